--- a/emberglade/membership/claims.py
+++ b/emberglade/membership/claims.py
@@ -61,6 +61,7 @@
         self.shard_planner, self.lead_planner = shard_planner, lead_planner
 
     def forget_claims(self):
+        """Forgets all holders, before the whole copy is told anew."""
         self.shards, self.lead = {}, None
 
     def note_claim(self, key, data, stamp):
@@ -94,6 +95,10 @@
         return live[(shard // len(names)) % len(live)] if live else None
 
     def shards_to_take(self):
+        """The shards that this process should take now and does not hold.
+
+        From the shard planner once a view of peers is there, else from the nodes' keys alone.
+        """
         if self.view is not None:
             return self.shard_planner.shards_to_take(
                 self.incarnation, self.shards, self.view, self.now()
@@ -107,6 +112,7 @@
         ]
 
     def should_lead(self):
+        """Whether this process should take the leader's key now."""
         if self.view is not None:
             return self.lead_planner.should_take(self.incarnation, self.lead, self.view, self.now())
         # A node that is back at once finds the lead of its own former process, which is no more.
@@ -115,6 +121,11 @@
         )
 
     def claim(self):
+        """Takes the shards and the leader's key that are due, unless a take is on its way.
+
+        Nothing is taken before the copy is read, without a lease, or while the view of peers lags
+        behind the last change of a claim.
+        """
         me = self.settings.node
         if not self.loaded or self.lease is None or self.nodes.get(me) != self.incarnation:
             return
@@ -139,6 +150,7 @@
             )
 
     def take_shards(self, take):
+        """Takes `take` (shard numbers) in one compare-and-swap on their keys' stamps."""
         self.busy_shards = True
         conditions = [(f"{LIVE}s/{shard}", self.shards.get(shard, NOBODY).stamp) for shard in take]
         writes = [
@@ -151,14 +163,20 @@
         self.store.tell("commit", DECISIONS, conditions, writes, self.then("claimed"))
 
     def on_claimed(self, status, revision, failed):
+        """Handles the store's answer to `take_shards`: a sync shows what became of it."""
         self.store.tell("sync", self.then("claim_seen"))
 
     def on_claim_seen(self, revision):
+        """Handles the sync after a take of shards: claims again if the sync was answered."""
         self.busy_shards = False
         if revision is not None:
             self.claim()
 
     def on_led(self, lease, status, revision, failed):
+        """Handles the store's answer to a take of the leader's key made with `lease`.
+
+        A refused lease takes a new one; either way, a sync shows what became of it.
+        """
         if status == 200:
             log.info("leading from revision %s", revision)
         else:
@@ -166,4 +184,5 @@
         self.store.tell("sync", self.then("lead_seen"))
 
     def on_lead_seen(self, revision):
+        """Handles the sync after a take of the leader's key: another may be tried."""
         self.busy_lead = False
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -35,10 +35,16 @@
         self.busy = False
 
     def on_begin(self):
+        """Handles `begin` from the actor system: subscribes, and ticks every 0.5 s."""
         super().on_begin()
         self.after(0.5, "tick")
 
     def on_changed(self, events, revision, whole):
+        """Handles `changed(events, revision, whole)` from the store.
+
+        Notes the format's key, the nodes' keys and the readers' keys, and takes the next step of
+        the upgrade.
+        """
         if whole:
             self.processes, self.readers = {}, {}
         for key, data, stamp in events:
@@ -58,6 +64,7 @@
             rows[node] = (data.get("inc"), stamp)
 
     def on_tick(self):
+        """Handles `tick`, sent to itself every 0.5 s: takes the next step, if one is due."""
         self.after(0.5, "tick")
         self.advance()
 
@@ -90,8 +97,9 @@
         return process is not None and reader is not None and process[0] == reader[0]
 
     def raise_conditions(self):
-        """The keys that the raise hangs on; those of the processes, rewritten every few seconds,
-        where there is room.
+        """The conditions `[(full key, stamp)]` that the raise hangs on.
+
+        Those of the processes' keys, rewritten every few seconds, only where there is room.
         """
         conditions = [(LIVE + FORMAT_KEY, self.format_stamp)]
         conditions += [(f"{LIVE}v/{name}", self.readers[name][1]) for name in self.settings.names]
@@ -101,14 +109,17 @@
         return conditions
 
     def commit(self, conditions, write):
+        """Sends one write under `conditions`; nothing else is sent until a sync shows it."""
         self.busy = True
         self.store.tell("commit", DECISIONS, conditions, [write], self.then("written"))
 
     def on_written(self, status, revision, failed):
+        """Handles the store's answer to `commit`: asks for a sync."""
         # Whatever became of it, the copy shows it after a sync.
         self.store.tell("sync", self.then("seen"))
 
     def on_seen(self, revision):
+        """Handles the sync after a commit: the next step may be taken."""
         self.busy = False
         if revision is not None:
             self.advance()
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -33,6 +33,7 @@
         self.key_dirty = True
 
     def on_begin(self):
+        """Handles `begin` from the actor system: subscribes, asks for a lease, starts timers."""
         super().on_begin()
         self.on_grant()
         self.after(self.life_s / 3, "touch")
@@ -41,9 +42,15 @@
     # --- the lease and the node's key
 
     def on_grant(self):
+        """Handles `grant`, sent to itself: asks the store for a lease of `life_s`."""
         self.store.tell("grant", int(self.life_s * 1000), self.then("granted"))
 
     def on_granted(self, lease):
+        """Handles the store's answer to `grant`: the lease's number, or None if none was granted.
+
+        The first lease names this process's incarnation, told to the listeners; the node's key is
+        written again under the new lease. Without a lease, asks again in 0.5 s.
+        """
         if not isinstance(lease, int):
             self.after(0.5, "grant")
             return
@@ -58,11 +65,13 @@
         self.write_key()
 
     def on_touch(self):
+        """Handles `touch`, sent to itself every third of `life_s`: keeps the lease alive."""
         self.after(self.life_s / 3, "touch")
         if self.lease is not None:
             self.store.tell("touch", self.lease, self.then("touched", self.lease))
 
     def on_touched(self, lease, status):
+        """Handles the store's answer to a keep-alive of `lease`: a 404 takes a new lease."""
         if status == 404 and lease == self.lease:
             log.info("the node's lease ran out; taking a new one")
             self.lease = None
@@ -85,6 +94,10 @@
         return chunk
 
     def write_key(self):
+        """Writes the node's key with its table, and the first further values, if they changed.
+
+        Keys of further values that are no longer needed are removed first.
+        """
         if self.busy_key or self.lease is None or not self.key_dirty:
             return
         self.busy_key, self.key_dirty = True, False
@@ -107,15 +120,22 @@
         self.write_parts(writes if spare else writes + self.puts(self.chunk()))
 
     def puts(self, chunk):
+        """The writes of `chunk` (`[(number, value)]`) as keys of further values."""
         return [
             state_wire.put(f"{LIVE}r/{self.settings.node}/{n}", data, self.lease)
             for n, data in chunk
         ]
 
     def write_parts(self, writes):
+        """Sends `writes` in one transaction; the answer goes to `on_key_written`."""
         self.store.tell("commit", DECISIONS, [], writes, self.then("key_written", self.lease))
 
     def on_key_written(self, lease, status, revision, failed):
+        """Handles the store's answer to a write of the node's key or further values.
+
+        Writes the next chunk while there is one; a refused table is logged, other failures write
+        the key again on the next tick.
+        """
         if status == 200 and self.parts and lease == self.lease and not self.key_dirty:
             self.write_parts(self.puts(self.chunk()))
             return
@@ -144,6 +164,10 @@
     # --- what the copy says
 
     def on_changed(self, events, revision, whole):
+        """Handles `changed(events, revision, whole)` from the store.
+
+        Notes the nodes' keys and the claims, and claims what is due.
+        """
         self.loaded = True
         if whole:
             self.nodes = {}
@@ -165,6 +189,7 @@
             self.claim()
 
     def on_tick(self):
+        """Handles `tick`, sent to itself every 0.5 s: rewrites a lost node key, claims."""
         self.after(0.5, "tick")
         if self.settings.node not in self.nodes and self.lease is not None:
             self.key_dirty = True
--- a/emberglade/state/follower.py
+++ b/emberglade/state/follower.py
@@ -4,18 +4,26 @@
 
 
 class Follower(Actor):
-    """Told `changed(events, revision, whole)` by the store; subclasses set `store`."""
+    """Told `changed(events, revision, whole)` by the store; subclasses set `store`.
+
+    `events` are `(key without LIVE, data or None, stamp)`; `whole` is True when they are the
+    whole copy, read anew.
+    """
 
     store: Actor
     incarnation: int | None = None
     hears_contact = False  # whether it is told of every sync
 
     def on_begin(self):
+        """Handles `begin` from the actor system: subscribes to the store."""
         self.store.tell("subscribe", self)
 
     def on_identity(self, incarnation):
-        """The membership has this process's incarnation."""
+        """Handles `identity(incarnation)` from the member: this process's incarnation is known."""
         self.incarnation = incarnation
 
     def on_contact(self, when, revision):
-        """A sync sent at `when` was answered, and brought the copy to `revision` at least."""
+        """Handles `contact(when, revision)` from the store, if `hears_contact` is set.
+
+        A sync sent at `when` was answered, and brought the copy to `revision` at least.
+        """
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -61,11 +61,16 @@
         self.recent_after = -1  # `recent` holds all changes after this revision
 
     def on_begin(self):
+        """Handles `begin` from the actor system: starts the tick and the first full read."""
         self.contact_lost_logged = False
         self.on_tick()
         self.load("", [])
 
     def on_subscribe(self, actor):
+        """Handles `subscribe(actor)` from a follower: it is told every change from now on.
+
+        If the copy has been read, the follower is told all of it at once (`whole` True).
+        """
         self.subscribers.append(actor)
         if self.revision >= 0:
             actor.tell(
@@ -75,6 +80,10 @@
     # --- reading everything
 
     def load(self, after, found, first=None):
+        """Asks for one page of up to 1000 live keys after `after` (a key without LIVE).
+
+        `found` collects the rows of all pages; `first` is the revision of the first page.
+        """
         self.send(
             REPORTS,
             0,
@@ -85,6 +94,11 @@
         )
 
     def on_loaded(self, found, first, status, body):
+        """Handles the answer to one page of the full read (from `load`).
+
+        Asks for the next page while there is one; after the last, replaces the copy, tells all
+        subscribers the whole of it, and asks for a sync. An odd answer reads again in 0.5 s.
+        """
         page = wire.read_list(body) if status == 200 else None
         if page is None:
             self.after(0.5, "reload")
@@ -108,11 +122,17 @@
         self.soon_sync()
 
     def on_reload(self):
+        """Handles `reload`, sent to itself after a failed page: starts the full read again."""
         self.load("", [])
 
     # --- following
 
     def apply(self, events, revision):
+        """Applies committed changes `[(full key, data or None, stamp)]` to the copy.
+
+        Changes at or below the copy's revision and keys outside LIVE are left out; subscribers are
+        told what is new. The copy's revision becomes `revision` if that is newer.
+        """
         fresh = []
         for key, data, stamp in events:
             if stamp <= self.revision or not key.startswith(LIVE):
@@ -135,8 +155,10 @@
     # --- what peers learn from each other while the state service is out of reach
 
     def on_changes_for_peer(self, since, reply):
-        """The changes after `since`, as the state service would tell them; 410 if they are not all
-        here.
+        """Handles `changes_for_peer(since, reply)` from the node's server, for a peer controller.
+
+        Replies 200 with the changes after `since`, as the state service would tell them, or 410
+        if they are not all kept here.
         """
         if self.revision < 0 or since < self.recent_after or since > self.revision:
             reply(410, {"error": "not all of these changes are kept here"})
@@ -144,7 +166,9 @@
         reply(200, wire.news([row for row in self.recent if row[2] > since], self.revision))
 
     def on_changes_of_peer(self, since, status, body):
-        """Committed changes, whoever tells of them. They show nothing about contact: a peer's copy
+        """Handles a peer's answer to a question for the changes after `since`.
+
+        Committed changes, whoever tells of them. They show nothing about contact: a peer's copy
         may lag.
         """
         news = wire.read_news(body) if status == 200 else None
@@ -159,7 +183,10 @@
     # --- the read barrier
 
     def on_sync(self, reply):
-        """`reply(revision)` once the copy shows all changes up to now, else `reply(None)`."""
+        """Handles `sync(reply)`: `reply(revision)` once the copy shows all changes up to now.
+
+        `reply(None)` if the sync failed, or if too many wait before the copy was first read.
+        """
         self.sync_next.append(reply)
         if self.revision >= 0:
             self.soon_sync()
@@ -176,6 +203,7 @@
         self.after(max(0.0, self.sync_sent + gap - self.now()), "send_sync")
 
     def on_send_sync(self):
+        """Handles `send_sync`, sent to itself by `soon_sync`: sends one sync for all who wait."""
         self.sync_due = False
         if self.revision < 0:
             return
@@ -193,6 +221,12 @@
         )
 
     def on_synced(self, number, status, body):
+        """Handles the answer to a sync (from `on_send_sync`), numbered `number`.
+
+        A 410 (the revision is too old) reads everything again and keeps the waiters for the next
+        sync; news bring the copy forward and tell followers of the contact. Every waiter of this
+        sync is answered with the copy's revision, or None if the sync failed.
+        """
         sent, waiting = self.syncs.pop(number)
         news = wire.read_news(body) if status == 200 else None
         if status == 410 and self.revision >= 0:
@@ -218,8 +252,10 @@
     # --- single requests
 
     def on_commit(self, rank, conditions, writes, reply):
-        """`reply(status, revision, failed)`; keys are full names. `failed`: the keys, or what was
-        wrong.
+        """Handles `commit(rank, conditions, writes, reply)`: one compare-and-swap transaction.
+
+        Keys are full names. `reply(status, revision, failed)`; `failed` holds the keys whose
+        conditions failed, or what was wrong.
         """
         self.send(
             rank,
@@ -231,7 +267,10 @@
         )
 
     def on_read(self, rank, key, reply):
-        """`reply(status, data, stamp)`."""
+        """Handles `read(rank, key, reply)`: one key from the state service.
+
+        `reply(status, data, stamp)`; data and stamp are None unless the status is 200.
+        """
 
         def answer(status, body):
             if status == 200 and not (isinstance(body, dict) and "data" in body):
@@ -245,10 +284,14 @@
         self.send(rank, 0, "GET", wire.get_path(key), None, answer)
 
     def on_look(self, keys, reply):
-        """`reply({key: (data, stamp)})` from the copy, as it stands."""
+        """Handles `look(keys, reply)`: `reply({key: (data, stamp) or None})` from the copy."""
         reply({key: self.copy.get(key) for key in keys})
 
     def on_grant(self, life_ms, reply):
+        """Handles `grant(life_ms, reply)`: asks the state service for a lease of `life_ms` ms.
+
+        `reply(lease)` with the lease's number, or None if none was granted.
+        """
         self.send(
             REPORTS,
             0,
@@ -261,11 +304,16 @@
         )
 
     def on_touch(self, lease, reply):
+        """Handles `touch(lease, reply)`: keeps the lease alive; `reply(status)`, 404 if expired."""
         self.send(
             REPORTS, 0, "POST", f"/grants/{lease}/touch", {}, lambda status, body: reply(status)
         )
 
     def send(self, rank, writes, method, path, body, reply):
+        """Queues one request at `rank`; `writes` is how many writes it holds.
+
+        `reply(status, body)` comes from the state service, or 429 at once if the queue is full.
+        """
         if len(self.queue[rank]) > 200:
             reply(429, None)
             return
@@ -273,6 +321,7 @@
         self.pump()
 
     def on_tick(self):
+        """Handles `tick`, sent to itself every half idle gap: syncs if none went out for long."""
         # Unasked as well, so that what others wrote is soon seen.
         if self.revision >= 0 and self.now() - self.sync_sent > self.idle_gap:
             self.soon_sync()
@@ -280,8 +329,9 @@
         self.after(self.idle_gap / 2, "tick")
 
     def lines(self, now):
-        """The queues in the order in which they are served: by rank, but for a submission that
-        waited long.
+        """The queues in the order in which they are served, with how many to take from each.
+
+        By rank, but for a submission that waited long.
 
         Once broken: while a third of all machines was lost, decisions took all writes for seconds,
         and every submission of that time was answered too late (fleet/third_dies.txt).
@@ -297,6 +347,10 @@
             yield line, len(line)
 
     def pump(self):
+        """Sends queued requests while the budgets and the flight cap allow.
+
+        Requests that waited longer than the request timeout are answered 429 instead.
+        """
         now = self.now()
         for line, most in self.lines(now):
             while line and most > 0 and self.flying < self.flight_cap:
@@ -326,6 +380,10 @@
                 )
 
     def on_answered(self, writes, reply, status, body):
+        """Handles the state service's answer to one request sent by `pump`.
+
+        A 429 pauses all requests for a sync gap and halves the refused budget's rate.
+        """
         self.flying -= 1
         if status == 429:
             now = self.now()
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -5,7 +5,12 @@
 
 
 class TokenBucket:
-    """Paces one kind of request."""
+    """Paces one kind of request, in requests (or writes) per second.
+
+    `rate` is the whole service's rate, shared by `nodes` controllers; `burst` is the most that
+    may be taken at once. The rate starts at the even share and grows by GROWTH a second up to
+    CAUTION of the whole, until the service refuses.
+    """
 
     def __init__(self, rate, nodes, burst):
         self.share, self.most = rate / nodes, max(rate / nodes, rate * CAUTION)
@@ -26,6 +31,7 @@
         return self.level >= 1.0 - 1e-9
 
     def take(self, now, amount):
+        """Takes `amount` at time `now` (seconds); the level may go below zero."""
         self._fill(now)
         self.level -= amount
 
