--- a/emberglade/membership/claims.py
+++ b/emberglade/membership/claims.py
@@ -6,9 +6,10 @@
 """
 
 import logging
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
-from ..state import LIVE
+from ..state import LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 
@@ -43,14 +44,23 @@
     )
 
 
-class Claims:
+class Claims(Follower):
     """The part of the member that claims; without a view of peers, their keys alone speak."""
 
+    # Set by the member.
+    settings: Any
+    lease: int | None
+    nodes: dict[str, int | None]  # node -> incarnation of its live process
+    loaded: bool
+    lost_lease: Callable[[int | None, int, object], bool]
+
     def __init__(self, settings):
         self.shards, self.lead = {}, None  # Holder by shard, Holder of the lead
         self.watches_peers = False  # whether failure detection is on, so that a view will come
         self.view = None  # the LivenessView
-        self.shard_planner = self.lead_planner = None
+        # The failure detection's planners, once peers are watched.
+        self.shard_planner: Any = None
+        self.lead_planner: Any = None
         self.claims_revision = -1  # of the last change of a node's key, a shard or the lead
         self.busy_shards = False
         self.busy_lead = False
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -85,7 +85,8 @@
 
     def chunk(self):
         """Takes as many further values as one transaction holds besides what is already in it."""
-        size, chunk = 0, []
+        size = 0
+        chunk: list[tuple[int, object]] = []
         while self.parts and len(chunk) < self.settings.txn_ops - 1:
             size += len(orjson.dumps(self.parts[0][1]))
             if chunk and size > TRANSACTION_BYTES - self.settings.value_bytes:
