--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -250,7 +250,7 @@
         if revision is None:
             self.after(0.5, "retry_sync")
             return
-        self.store.tell("look", list(self.flight), self.then("looked"))
+        self.store.tell("read_replica", list(self.flight), self.then("looked"))
 
     def on_retry_sync(self):
         self.store.tell("sync", self.then("resync"))
--- a/emberglade/jobs/relayout.py
+++ b/emberglade/jobs/relayout.py
@@ -72,7 +72,7 @@
         self.layout_changes += 1
         self.layout_change = LayoutChange(job.id, f"{self.incarnation}-{self.layout_changes}")
         keys = [job.part_key(number) for number in {0, *job.parts}]
-        self.store.tell("look", keys, self.then("layout_looked", self.layout_change))
+        self.store.tell("read_replica", keys, self.then("layout_looked", self.layout_change))
 
     def on_layout_looked(self, change, found):
         """Falls back to what is committed and works out the new parts."""
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -43,7 +43,7 @@
 
     def on_grant(self):
         """Handles `grant`, sent to itself: asks the store for a lease of `life_s`."""
-        self.store.tell("grant", int(self.life_s * 1000), self.then("granted"))
+        self.store.tell("grant_lease", int(self.life_s * 1000), self.then("granted"))
 
     def on_granted(self, lease):
         """Handles the store's answer to `grant`: the lease's number, or None if none was granted.
@@ -68,7 +68,7 @@
         """Handles `touch`, sent to itself every third of `life_s`: keeps the lease alive."""
         self.after(self.life_s / 3, "touch")
         if self.lease is not None:
-            self.store.tell("touch", self.lease, self.then("touched", self.lease))
+            self.store.tell("keep_alive", self.lease, self.then("touched", self.lease))
 
     def on_touched(self, lease, status):
         """Handles the store's answer to a keep-alive of `lease`: a 404 takes a new lease."""
--- a/emberglade/state/__init__.py
+++ b/emberglade/state/__init__.py
@@ -1,4 +1,4 @@
-"""The state service's client: a synced copy of the live keys, commits, reads, budgets."""
+"""The state service's client: a synced local replica of the live keys, commits, reads, budgets."""
 
 from .follower import Follower
 from .store import FINAL, LIVE, Store
--- a/emberglade/state/follower.py
+++ b/emberglade/state/follower.py
@@ -7,7 +7,7 @@
     """Told `changed(events, revision, whole)` by the store; subclasses set `store`.
 
     `events` are `(key without LIVE, data or None, stamp)`; `whole` is True when they are the
-    whole copy, read anew.
+    whole replica, read anew.
     """
 
     store: Actor
@@ -25,5 +25,5 @@
     def on_contact(self, when, revision):
         """Handles `contact(when, revision)` from the store, if `hears_contact` is set.
 
-        A sync sent at `when` was answered, and brought the copy to `revision` at least.
+        A sync sent at `when` was answered, and brought the replica to `revision` at least.
         """
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -1,8 +1,8 @@
-"""The copy of the live keys, kept in step with the state service.
+"""The local replica of the live keys, kept in step with the consensus-backed key-value store.
 
-`sync` is the read barrier of the whole service: its answer comes only when the copy shows every
-change made before the sync was asked for. Subscribers get `changed(events, revision)` before the
-answer, so an actor that asks for a sync acts on what was true after it asked.
+`sync` is the read barrier of the whole service: its answer comes only when the replica shows
+every change made before the sync was asked for. Subscribers get `changed(events, revision)`
+before the answer, so an actor that asks for a sync acts on what was true after it asked.
 """
 
 import logging
@@ -18,16 +18,18 @@
 LIVE = "eg/l/"  # keys that every controller follows
 FINAL = "eg/o/"  # final states of jobs: read one by one, never followed
 
-REPORTS, DECISIONS, SUBMISSIONS = 0, 1, 2  # ranks of work
+# Ranks of work, served in this order: heartbeats (and the store's own reads, syncs and leases),
+# decisions of controllers, users' submissions.
+HEARTBEATS, DECISIONS, SUBMISSIONS = 0, 1, 2
 
 
 class Store(Actor):
-    """The only way to the state service: paces requests and keeps the copy in step."""
+    """The only way to the state service: paces requests and keeps the replica in step."""
 
     def __init__(self, settings, client):
         self.settings = settings
         self.client = client
-        self.copy = {}  # key without LIVE -> (data, stamp)
+        self.replica = {}  # key without LIVE -> (data, stamp: the revision that last wrote it)
         self.revision = -1  # -1: not read yet
         self.contact = float("-inf")  # when the last sync that was answered was sent
         self.subscribers = []
@@ -35,9 +37,9 @@
         self.sync_number = 0
         self.sync_sent = float("-inf")
         self.sync_due = False
-        self.sync_next = []
+        self.sync_waiters = []
         self.queue: tuple[deque, deque, deque] = (deque(), deque(), deque())
-        self.flying = 0
+        self.in_flight = 0
         self.submission_favoured = float("-inf")  # when a submission was last sent
         self.pause_until = 0.0
         self.requests = TokenBucket(
@@ -69,12 +71,12 @@
     def on_subscribe(self, actor):
         """Handles `subscribe(actor)` from a follower: it is told every change from now on.
 
-        If the copy has been read, the follower is told all of it at once (`whole` True).
+        If the replica has been read, the follower is told all of it at once (`whole` True).
         """
         self.subscribers.append(actor)
         if self.revision >= 0:
             actor.tell(
-                "changed", [(k, d, s) for k, (d, s) in self.copy.items()], self.revision, True
+                "changed", [(k, d, s) for k, (d, s) in self.replica.items()], self.revision, True
             )
 
     # --- reading everything
@@ -85,7 +87,7 @@
         `found` collects the rows of all pages; `first` is the revision of the first page.
         """
         self.send(
-            REPORTS,
+            HEARTBEATS,
             0,
             "GET",
             wire.list_path(LIVE, LIVE + after if after else "", 1000),
@@ -96,7 +98,7 @@
     def on_loaded(self, found, first, status, body):
         """Handles the answer to one page of the full read (from `load`).
 
-        Asks for the next page while there is one; after the last, replaces the copy, tells all
+        Asks for the next page while there is one; after the last, replaces the replica, tells all
         subscribers the whole of it, and asks for a sync. An odd answer reads again in 0.5 s.
         """
         page = wire.read_list(body) if status == 200 else None
@@ -111,15 +113,15 @@
             self.load(rows[-1][0][len(LIVE) :], found, first)
             return
         fresh = {key[len(LIVE) :]: (data, stamp) for key, data, stamp in found}
-        gone = [(key, None, first) for key in self.copy if key not in fresh]
-        self.copy = fresh
+        gone = [(key, None, first) for key in self.replica if key not in fresh]
+        self.replica = fresh
         self.revision = self.recent_after = first
         self.recent.clear()
         events = gone + [(key, data, stamp) for key, (data, stamp) in fresh.items()]
         for actor in self.subscribers:
             actor.tell("changed", events, first, True)
         log.info("read %d live keys at revision %d", len(fresh), first)
-        self.soon_sync()
+        self.schedule_sync()
 
     def on_reload(self):
         """Handles `reload`, sent to itself after a failed page: starts the full read again."""
@@ -128,10 +130,10 @@
     # --- following
 
     def apply(self, events, revision):
-        """Applies committed changes `[(full key, data or None, stamp)]` to the copy.
+        """Applies committed changes `[(full key, data or None, stamp)]` to the replica.
 
-        Changes at or below the copy's revision and keys outside LIVE are left out; subscribers are
-        told what is new. The copy's revision becomes `revision` if that is newer.
+        Changes at or below the replica's revision and keys outside LIVE are left out;
+        subscribers are told what is new. The replica's revision becomes `revision` if newer.
         """
         fresh = []
         for key, data, stamp in events:
@@ -139,9 +141,9 @@
                 continue
             key = key[len(LIVE) :]
             if data is None:
-                self.copy.pop(key, None)
+                self.replica.pop(key, None)
             else:
-                self.copy[key] = (data, stamp)
+                self.replica[key] = (data, stamp)
             fresh.append((key, data, stamp))
             if len(self.recent) == self.recent.maxlen:
                 self.recent_after = self.recent[0][2]
@@ -161,14 +163,14 @@
         if they are not all kept here.
         """
         if self.revision < 0 or since < self.recent_after or since > self.revision:
-            reply(410, {"error": "not all of these changes are kept here"})
+            reply(410, wire.changes_not_kept())
             return
         reply(200, wire.news([row for row in self.recent if row[2] > since], self.revision))
 
     def on_changes_of_peer(self, since, status, body):
         """Handles a peer's answer to a question for the changes after `since`.
 
-        Committed changes, whoever tells of them. They show nothing about contact: a peer's copy
+        Committed changes, whoever tells of them. They show nothing about contact: a peer's replica
         may lag.
         """
         news = wire.read_news(body) if status == 200 else None
@@ -183,17 +185,17 @@
     # --- the read barrier
 
     def on_sync(self, reply):
-        """Handles `sync(reply)`: `reply(revision)` once the copy shows all changes up to now.
+        """Handles `sync(reply)`: `reply(revision)` once the replica shows all changes up to now.
 
-        `reply(None)` if the sync failed, or if too many wait before the copy was first read.
+        `reply(None)` if the sync failed, or if too many wait before the replica was first read.
         """
-        self.sync_next.append(reply)
+        self.sync_waiters.append(reply)
         if self.revision >= 0:
-            self.soon_sync()
-        elif len(self.sync_next) > 64:
-            self.sync_next.pop(0)(None)
+            self.schedule_sync()
+        elif len(self.sync_waiters) > 64:
+            self.sync_waiters.pop(0)(None)
 
-    def soon_sync(self):
+    def schedule_sync(self):
         """All who ask within the gap share one request; a slow answer does not hold up the next."""
         if self.sync_due or len(self.syncs) >= 3:
             return
@@ -203,16 +205,16 @@
         self.after(max(0.0, self.sync_sent + gap - self.now()), "send_sync")
 
     def on_send_sync(self):
-        """Handles `send_sync`, sent to itself by `soon_sync`: sends one sync for all who wait."""
+        """Handles `send_sync`, from `schedule_sync`: sends one sync for all who wait."""
         self.sync_due = False
         if self.revision < 0:
             return
         self.sync_number += 1
         self.sync_sent = self.now()
-        self.syncs[self.sync_number] = (self.sync_sent, self.sync_next)
-        self.sync_next = []
+        self.syncs[self.sync_number] = (self.sync_sent, self.sync_waiters)
+        self.sync_waiters = []
         self.send(
-            REPORTS,
+            HEARTBEATS,
             0,
             "GET",
             wire.follow_path(LIVE, self.revision, 0),
@@ -224,21 +226,21 @@
         """Handles the answer to a sync (from `on_send_sync`), numbered `number`.
 
         A 410 (the revision is too old) reads everything again and keeps the waiters for the next
-        sync; news bring the copy forward and tell followers of the contact. Every waiter of this
-        sync is answered with the copy's revision, or None if the sync failed.
+        sync; news bring the replica forward and tell followers of the contact. Every waiter of this
+        sync is answered with the replica's revision, or None if the sync failed.
         """
         sent, waiting = self.syncs.pop(number)
         news = wire.read_news(body) if status == 200 else None
         if status == 410 and self.revision >= 0:
             self.revision = -1
-            self.sync_next = waiting + self.sync_next
+            self.sync_waiters = waiting + self.sync_waiters
             self.load("", [])
             return
         done = False
         if news is not None and self.revision >= 0:
             done = True
             self.apply(*news)
-            # Only this shows that the copy is in step; other answers may come while syncs fail.
+            # Only this shows that the replica is in step; other answers may come while syncs fail.
             if sent > self.contact:
                 self.contact = sent
                 for actor in self.subscribers:
@@ -246,8 +248,8 @@
                         actor.tell("contact", sent, self.revision)
         for reply in waiting:
             reply(self.revision if done else None)
-        if self.sync_next:
-            self.soon_sync()
+        if self.sync_waiters:
+            self.schedule_sync()
 
     # --- single requests
 
@@ -261,8 +263,8 @@
             rank,
             len(writes),
             "POST",
-            "/txn",
-            wire.txn(conditions, writes),
+            wire.TRANSACTION_PATH,
+            wire.compare_and_swap(conditions, writes),
             lambda status, body: reply(status, wire.revision(body), wire.failure(body)),
         )
 
@@ -273,40 +275,41 @@
         """
 
         def answer(status, body):
-            if status == 200 and not (isinstance(body, dict) and "data" in body):
-                status = NO_ANSWER
-            reply(
-                status,
-                body["data"] if status == 200 else None,
-                body.get("stamp") if status == 200 else None,
-            )
+            found = wire.read_key(body) if status == 200 else None
+            if found is None:
+                reply(NO_ANSWER if status == 200 else status, None, None)
+            else:
+                reply(status, *found)
 
         self.send(rank, 0, "GET", wire.get_path(key), None, answer)
 
-    def on_look(self, keys, reply):
-        """Handles `look(keys, reply)`: `reply({key: (data, stamp) or None})` from the copy."""
-        reply({key: self.copy.get(key) for key in keys})
+    def on_read_replica(self, keys, reply):
+        """Handles `read_replica(keys, reply)`: `reply({key: (data, stamp) or None})`."""
+        reply({key: self.replica.get(key) for key in keys})
 
-    def on_grant(self, life_ms, reply):
-        """Handles `grant(life_ms, reply)`: asks the state service for a lease of `life_ms` ms.
+    def on_grant_lease(self, life_ms, reply):
+        """Handles `grant_lease(life_ms, reply)`: asks the store for a lease of `life_ms` ms.
 
         `reply(lease)` with the lease's number, or None if none was granted.
         """
         self.send(
-            REPORTS,
+            HEARTBEATS,
             0,
             "POST",
-            "/grants",
-            {"life_ms": life_ms},
-            lambda status, body: reply(
-                body.get("tenure") if status == 200 and isinstance(body, dict) else None
-            ),
+            wire.GRANT_PATH,
+            wire.grant(life_ms),
+            lambda status, body: reply(wire.read_grant(body) if status == 200 else None),
         )
 
-    def on_touch(self, lease, reply):
-        """Handles `touch(lease, reply)`: keeps the lease alive; `reply(status)`, 404 if expired."""
+    def on_keep_alive(self, lease, reply):
+        """Handles `keep_alive(lease, reply)`: renews a lease; `reply(status)`, 404: expired."""
         self.send(
-            REPORTS, 0, "POST", f"/grants/{lease}/touch", {}, lambda status, body: reply(status)
+            HEARTBEATS,
+            0,
+            "POST",
+            wire.keep_alive_path(lease),
+            {},
+            lambda status, body: reply(status),
         )
 
     def send(self, rank, writes, method, path, body, reply):
@@ -324,11 +327,11 @@
         """Handles `tick`, sent to itself every half idle gap: syncs if none went out for long."""
         # Unasked as well, so that what others wrote is soon seen.
         if self.revision >= 0 and self.now() - self.sync_sent > self.idle_gap:
-            self.soon_sync()
+            self.schedule_sync()
         self.pump()
         self.after(self.idle_gap / 2, "tick")
 
-    def lines(self, now):
+    def queues_in_order(self, now):
         """The queues in the order in which they are served, with how many to take from each.
 
         By rank, but for a submission that waited long.
@@ -352,8 +355,8 @@
         Requests that waited longer than the request timeout are answered 429 instead.
         """
         now = self.now()
-        for line, most in self.lines(now):
-            while line and most > 0 and self.flying < self.flight_cap:
+        for line, most in self.queues_in_order(now):
+            while line and most > 0 and self.in_flight < self.flight_cap:
                 most -= 1
                 asked, writes, method, path, body, reply = line[0]
                 if now - asked > self.request_timeout:
@@ -370,7 +373,7 @@
                     self.submission_favoured = now
                 self.requests.take(now, 1)
                 self.writes.take(now, writes)
-                self.flying += 1
+                self.in_flight += 1
                 self.client.call(
                     method,
                     path,
@@ -384,7 +387,7 @@
 
         A 429 pauses all requests for a sync gap and halves the refused budget's rate.
         """
-        self.flying -= 1
+        self.in_flight -= 1
         if status == 429:
             now = self.now()
             self.pause_until = now + self.sync_gap
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -1,4 +1,7 @@
-"""What the state service says and is told, field names included."""
+"""What the state service says and is told: the one place that knows its paths and field names.
+
+Keys are full names (with their prefix); a key's `stamp` is the revision that last wrote it.
+"""
 
 import urllib.parse
 
@@ -31,8 +34,39 @@
     return {"remove": key}
 
 
-def txn(conditions, writes):
-    """The body of a transaction."""
+TRANSACTION_PATH = "/txn"
+GRANT_PATH = "/grants"
+
+
+def keep_alive_path(lease):
+    """The path that renews a lease."""
+    return f"/grants/{lease}/touch"
+
+
+def grant(life_ms):
+    """The body that asks for a lease of `life_ms` milliseconds."""
+    return {"life_ms": life_ms}
+
+
+def read_grant(body):
+    """The number of the lease that an answer grants, or None."""
+    return body.get("tenure") if isinstance(body, dict) else None
+
+
+def read_key(body):
+    """(data, stamp) of one key, or None when the body is odd."""
+    if not (isinstance(body, dict) and "data" in body):
+        return None
+    return body["data"], body.get("stamp")
+
+
+def changes_not_kept():
+    """The body of a 410: not all changes that a peer asks for are kept here."""
+    return {"error": "not all of these changes are kept here"}
+
+
+def compare_and_swap(conditions, writes):
+    """The body of a transaction: `writes` if every `(key, stamp)` of `conditions` holds."""
     return {"when": [{"key": key, "stamp": stamp} for key, stamp in conditions], "writes": writes}
 
 
@@ -87,7 +121,7 @@
 
 
 def read_since(body):
-    """The revision that a peer's copy has, or None."""
+    """The revision that a peer's replica has, or None."""
     value = body.get("since") if isinstance(body, dict) else None
     return value if type(value) is int else None
 
