--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from ..actors import Actor
-from ..membership import claims_revision
+from ..membership import ownership_revision
 from ..state import Follower
 from ..transport import NO_ANSWER, REFUSED, Reply
 from .detector import PeerDetector
@@ -91,7 +91,7 @@
         if self.first_revision is None:
             self.first_revision = revision
             self.detector.begin(now)
-        changed = claims_revision(events, revision, whole)
+        changed = ownership_revision(events, revision, whole)
         if whole:
             present = {key[len(NODE_KEYS) :] for key, data, _ in events if data is not None}
             for name in self.keys - present:
--- a/emberglade/membership/__init__.py
+++ b/emberglade/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Membership: the leased node key, who holds which shard, who leads, the record format."""
+"""Membership: the leased node key, shard ownership, leader election, the record format."""
 
-from .claims import NOBODY, Holder, claims_revision, shard_count
 from .format import FORMAT_KEY, FormatUpgrade, is_raised
 from .member import Member
+from .ownership import NOBODY, Holder, ownership_revision, shard_count
 
 __all__ = [
     "FORMAT_KEY",
@@ -10,7 +10,7 @@
     "FormatUpgrade",
     "Holder",
     "Member",
-    "claims_revision",
+    "ownership_revision",
     "is_raised",
     "shard_count",
 ]
--- a/emberglade/membership/claims.py
+++ b/emberglade/membership/ownership.py
@@ -1,8 +1,8 @@
-"""Takes the shards that this node should hold, and the lead when it is free.
+"""Shard ownership and leader election: takes this node's shards, and the leader's key if free.
 
-Taking a shard writes its key, and every write to a job is conditional on that key's stamp: a
-former holder can't write any more, however late it learns of it. So nothing here has to be
-exact about who is alive; wrong guesses cost time, never safety.
+Taking a shard writes its key, and every write to a job is a compare-and-swap on that key's stamp
+(its fencing token): a former holder can't write any more, however late it learns of it. So
+nothing here has to be exact about who is alive; wrong guesses cost time, never safety.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 
 class Holder(NamedTuple):
-    """Who holds a shard or the lead: the key's content and its stamp."""
+    """Who holds a shard or the leader's key: the key's content and its stamp."""
 
     node: str | None
     incarnation: int | None
@@ -34,8 +34,8 @@
 NOBODY = Holder(None, None, 0)
 
 
-def claims_revision(events, revision, whole):
-    """The revision of the last change of a node's key, a shard or the lead; None: there is none."""
+def ownership_revision(events, revision, whole):
+    """The revision of the last change of a node's, a shard's or the leader's key; None: none."""
     if whole:
         return revision
     return max(
@@ -44,43 +44,46 @@
     )
 
 
-class Claims(Follower):
-    """The part of the member that claims; without a view of peers, their keys alone speak."""
+class Ownership(Follower):
+    """The part of the member that takes shards and leadership.
+
+    Without a view of peers (failure detection off), the nodes' keys alone say who is alive.
+    """
 
     # Set by the member.
     settings: Any
     lease: int | None
     nodes: dict[str, int | None]  # node -> incarnation of its live process
     loaded: bool
-    lost_lease: Callable[[int | None, int, object], bool]
+    renew_lost_lease: Callable[[int | None, int, object], bool]
 
     def __init__(self, settings):
-        self.shards, self.lead = {}, None  # Holder by shard, Holder of the lead
+        self.shards, self.leader = {}, None  # Holder by shard, Holder of the leader's key
         self.watches_peers = False  # whether failure detection is on, so that a view will come
         self.view = None  # the LivenessView
         # The failure detection's planners, once peers are watched.
         self.shard_planner: Any = None
-        self.lead_planner: Any = None
-        self.claims_revision = -1  # of the last change of a node's key, a shard or the lead
-        self.busy_shards = False
-        self.busy_lead = False
+        self.leader_planner: Any = None
+        self.ownership_revision = -1  # of the last change of a node's, shard's or leader's key
+        self.taking_shards = False
+        self.taking_leadership = False
 
-    def watch_peers(self, shard_planner, lead_planner):
-        """Claims follow these plans, and wait for the first view of peers."""
+    def watch_peers(self, shard_planner, leader_planner):
+        """Takes shards and leadership by these plans, once the first view of peers is there."""
         self.watches_peers = True
-        self.shard_planner, self.lead_planner = shard_planner, lead_planner
+        self.shard_planner, self.leader_planner = shard_planner, leader_planner
 
-    def forget_claims(self):
-        """Forgets all holders, before the whole copy is told anew."""
-        self.shards, self.lead = {}, None
+    def forget_owners(self):
+        """Forgets all holders, before the whole replica is told anew."""
+        self.shards, self.leader = {}, None
 
-    def note_claim(self, key, data, stamp):
-        """Notes a change of a claim's key; False if it is none."""
+    def note_owner(self, key, data, stamp):
+        """Notes a change of a shard's or the leader's key; False if the key is neither."""
         if key != "lead" and not key.startswith("s/"):
             return False
         holder = None if data is None else Holder(data.get("node"), data.get("inc"), stamp)
         if key == "lead":
-            self.lead = holder
+            self.leader = holder
         elif holder is None:
             self.shards.pop(int(key[2:]), None)
         else:
@@ -88,14 +91,14 @@
         return True
 
     def on_liveness(self, view):
-        """Who can be relied on has changed."""
+        """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
         self.view = view
-        self.claim()
+        self.acquire()
 
     def on_peer_dead(self, name):
-        """The view that came before says so too."""
+        """Handles `peer_dead(name)` from the peer monitor; the view that came before says so."""
 
-    def wanted(self, shard):
+    def wanted_holder(self, shard):
         """Who should hold the shard: its home node, or if that is not alive the next live one."""
         names = self.settings.names
         home = names[shard % len(names)]
@@ -117,51 +120,55 @@
         return [
             shard
             for shard in range(shard_count(self.settings))
-            if self.wanted(shard) == self.settings.node
+            if self.wanted_holder(shard) == self.settings.node
             and self.shards.get(shard, NOBODY)[:2] != mine
         ]
 
-    def should_lead(self):
+    def should_take_leadership(self):
         """Whether this process should take the leader's key now."""
         if self.view is not None:
-            return self.lead_planner.should_take(self.incarnation, self.lead, self.view, self.now())
-        # A node that is back at once finds the lead of its own former process, which is no more.
-        return self.lead is None or (
-            self.lead.node == self.settings.node and self.lead.incarnation != self.incarnation
+            return self.leader_planner.should_take(
+                self.incarnation, self.leader, self.view, self.now()
+            )
+        # A node that is back at once finds its former process as leader, which is no more.
+        return self.leader is None or (
+            self.leader.node == self.settings.node and self.leader.incarnation != self.incarnation
         )
 
-    def claim(self):
+    def acquire(self):
         """Takes the shards and the leader's key that are due, unless a take is on its way.
 
-        Nothing is taken before the copy is read, without a lease, or while the view of peers lags
-        behind the last change of a claim.
+        Nothing is taken before the replica is read, without a lease, or while the view of peers
+        lags behind the last change of a shard's or the leader's key.
         """
         me = self.settings.node
         if not self.loaded or self.lease is None or self.nodes.get(me) != self.incarnation:
             return
-        if self.watches_peers and (self.view is None or self.view.revision < self.claims_revision):
+        if self.watches_peers and (
+            self.view is None or self.view.revision < self.ownership_revision
+        ):
             # Once broken: a controller that was in contact again after long took all shards in the
-            # moment in which its copy showed their holders and its view did not
+            # moment in which its replica showed their holders and its view did not
             # (failure_detection/contact_at_last.txt).
             return
-        if not self.busy_shards:
+        if not self.taking_shards:
             take = self.shards_to_take()[: self.settings.txn_ops]
             if take:
                 self.take_shards(take)
-        if not self.busy_lead and self.should_lead():
-            self.busy_lead = True
-            stamp = 0 if self.lead is None else self.lead.stamp
+        if not self.taking_leadership and self.should_take_leadership():
+            self.taking_leadership = True
+            stamp = 0 if self.leader is None else self.leader.stamp
             self.store.tell(
                 "commit",
                 DECISIONS,
                 [(LIVE + "lead", stamp)],
                 [state_wire.put(LIVE + "lead", {"node": me, "inc": self.incarnation}, self.lease)],
-                self.then("led", self.lease),
+                self.then("leader_written", self.lease),
             )
 
     def take_shards(self, take):
         """Takes `take` (shard numbers) in one compare-and-swap on their keys' stamps."""
-        self.busy_shards = True
+        self.taking_shards = True
         conditions = [(f"{LIVE}s/{shard}", self.shards.get(shard, NOBODY).stamp) for shard in take]
         writes = [
             state_wire.put(
@@ -170,29 +177,29 @@
             for shard in take
         ]
         log.info("taking shards %s", take)
-        self.store.tell("commit", DECISIONS, conditions, writes, self.then("claimed"))
+        self.store.tell("commit", DECISIONS, conditions, writes, self.then("shards_written"))
 
-    def on_claimed(self, status, revision, failed):
+    def on_shards_written(self, status, revision, failed):
         """Handles the store's answer to `take_shards`: a sync shows what became of it."""
-        self.store.tell("sync", self.then("claim_seen"))
+        self.store.tell("sync", self.then("shards_seen"))
 
-    def on_claim_seen(self, revision):
-        """Handles the sync after a take of shards: claims again if the sync was answered."""
-        self.busy_shards = False
+    def on_shards_seen(self, revision):
+        """Handles the sync after a take of shards: takes again if the sync was answered."""
+        self.taking_shards = False
         if revision is not None:
-            self.claim()
+            self.acquire()
 
-    def on_led(self, lease, status, revision, failed):
+    def on_leader_written(self, lease, status, revision, failed):
         """Handles the store's answer to a take of the leader's key made with `lease`.
 
         A refused lease takes a new one; either way, a sync shows what became of it.
         """
         if status == 200:
-            log.info("leading from revision %s", revision)
+            log.info("leader from revision %s", revision)
         else:
-            self.lost_lease(lease, status, failed)
-        self.store.tell("sync", self.then("lead_seen"))
+            self.renew_lost_lease(lease, status, failed)
+        self.store.tell("sync", self.then("leader_seen"))
 
-    def on_lead_seen(self, revision):
+    def on_leader_seen(self, revision):
         """Handles the sync after a take of the leader's key: another may be tried."""
-        self.busy_lead = False
+        self.taking_leadership = False
