--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -111,15 +111,12 @@
     def commit(self, conditions, write):
         """Sends one write under `conditions`; nothing else is sent until a sync shows it."""
         self.busy = True
-        self.store.tell("commit", DECISIONS, conditions, [write], self.then("written"))
-
-    def on_written(self, status, revision, failed):
-        """Handles the store's answer to `commit`: asks for a sync."""
-        # Whatever became of it, the copy shows it after a sync.
-        self.store.tell("sync", self.then("seen"))
+        self.store.tell(
+            "commit", DECISIONS, conditions, [write], self.then("sync_after_commit", "seen")
+        )
 
     def on_seen(self, revision):
-        """Handles the sync after a commit: the next step may be taken."""
+        """Handles the sync after a commit (`sync_after_commit`): the next step may be taken."""
         self.busy = False
         if revision is not None:
             self.advance()
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -177,14 +177,12 @@
             for shard in take
         ]
         log.info("taking shards %s", take)
-        self.store.tell("commit", DECISIONS, conditions, writes, self.then("shards_written"))
-
-    def on_shards_written(self, status, revision, failed):
-        """Handles the store's answer to `take_shards`: a sync shows what became of it."""
-        self.store.tell("sync", self.then("shards_seen"))
+        self.store.tell(
+            "commit", DECISIONS, conditions, writes, self.then("sync_after_commit", "shards_seen")
+        )
 
     def on_shards_seen(self, revision):
-        """Handles the sync after a take of shards: takes again if the sync was answered."""
+        """Handles the sync after a take of shards (`sync_after_commit`): takes more if it came."""
         self.taking_shards = False
         if revision is not None:
             self.acquire()
--- a/emberglade/state/follower.py
+++ b/emberglade/state/follower.py
@@ -22,6 +22,14 @@
         """Handles `identity(incarnation)` from the member: this process's incarnation is known."""
         self.incarnation = incarnation
 
+    def on_sync_after_commit(self, seen, status, revision, failed):
+        """Handles the store's answer to a commit told to answer here, with `seen` a message name.
+
+        Whatever became of the commit, the replica shows it after a sync; the sync's revision (None
+        if it failed) is then told to this actor as `seen(revision)`.
+        """
+        self.store.tell("sync", self.then(seen))
+
     def on_contact(self, when, revision):
         """Handles `contact(when, revision)` from the store, if `hears_contact` is set.
 
