--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -18,6 +18,10 @@
 NEW_FORMAT = 2  # from here on: jobs that await others, and parts laid out anew
 
 
+class RecordError(ValueError):
+    """A key that the upgrade reads holds no record; its message names the key and the value."""
+
+
 def is_raised(data):
     """Whether the value of FORMAT_KEY shows that records of the new format may be written."""
     return isinstance(data, dict) and data.get("format", 1) >= NEW_FORMAT
@@ -51,15 +55,23 @@
             if key == FORMAT_KEY:
                 self.raised, self.format_stamp = self.raised or is_raised(data), stamp
             elif key.startswith("n/"):
-                self._note(self.processes, key[2:], data, stamp)
+                self._note(self.processes, key, data, stamp)
             elif key.startswith("v/"):
-                self._note(self.readers, key[2:], data, stamp)
+                self._note(self.readers, key, data, stamp)
         self.advance()
 
     @staticmethod
-    def _note(rows, node, data, stamp):
+    def _note(rows, key, data, stamp):
+        """Notes the incarnation and stamp of `key` (`n/NODE` or `v/NODE`) in `rows` by node.
+
+        Raises:
+            RecordError: the key holds something other than a JSON object.
+        """
+        node = key[2:]
         if data is None:
             rows.pop(node, None)
+        elif not isinstance(data, dict):
+            raise RecordError(f"the key {key!r} holds {data!r}, not a JSON object")
         else:
             rows[node] = (data.get("inc"), stamp)
 
