--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -11,10 +11,11 @@
 from ..state import LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
+from . import wire
+from .wire import FORMAT_KEY
 
 log = logging.getLogger("emberglade.membership")
 
-FORMAT_KEY = "format"
 NEW_FORMAT = 2  # from here on: jobs that await others, and parts laid out anew
 
 
@@ -24,7 +25,7 @@
 
 def is_raised(data):
     """Whether the value of FORMAT_KEY shows that records of the new format may be written."""
-    return isinstance(data, dict) and data.get("format", 1) >= NEW_FORMAT
+    return isinstance(data, dict) and wire.read_format(data) >= NEW_FORMAT
 
 
 class FormatUpgrade(Follower):
@@ -54,26 +55,26 @@
         for key, data, stamp in events:
             if key == FORMAT_KEY:
                 self.raised, self.format_stamp = self.raised or is_raised(data), stamp
-            elif key.startswith("n/"):
-                self._note(self.processes, key, data, stamp)
-            elif key.startswith("v/"):
-                self._note(self.readers, key, data, stamp)
+            elif key.startswith(wire.NODE_PREFIX):
+                self._note(self.processes, key, wire.NODE_PREFIX, data, stamp)
+            elif key.startswith(wire.READER_PREFIX):
+                self._note(self.readers, key, wire.READER_PREFIX, data, stamp)
         self.advance()
 
     @staticmethod
-    def _note(rows, key, data, stamp):
-        """Notes the incarnation and stamp of `key` (`n/NODE` or `v/NODE`) in `rows` by node.
+    def _note(rows, key, prefix, data, stamp):
+        """Notes the incarnation and stamp of `key` (`prefix` and a node's name) in `rows` by node.
 
         Raises:
             RecordError: the key holds something other than a JSON object.
         """
-        node = key[2:]
+        node = key[len(prefix) :]
         if data is None:
             rows.pop(node, None)
         elif not isinstance(data, dict):
             raise RecordError(f"the key {key!r} holds {data!r}, not a JSON object")
         else:
-            rows[node] = (data.get("inc"), stamp)
+            rows[node] = (wire.read_incarnation(data), stamp)
 
     def on_tick(self):
         """Handles `tick`, sent to itself every 0.5 s: takes the next step, if one is due."""
@@ -92,7 +93,7 @@
             return
         if self.readers.get(node, (None,))[0] != self.incarnation:
             write = state_wire.put(
-                f"{LIVE}v/{node}", {"inc": self.incarnation, "format": NEW_FORMAT}
+                LIVE + wire.reader_key(node), wire.reader_record(self.incarnation, NEW_FORMAT)
             )
             self.commit([], write)
         elif all(self.reads_new_format(name) for name in self.settings.names):
@@ -100,7 +101,8 @@
                 "all controllers run the new version; raising the record format to %d", NEW_FORMAT
             )
             self.commit(
-                self.raise_conditions(), state_wire.put(LIVE + FORMAT_KEY, {"format": NEW_FORMAT})
+                self.raise_conditions(),
+                state_wire.put(LIVE + FORMAT_KEY, wire.format_record(NEW_FORMAT)),
             )
 
     def reads_new_format(self, name):
@@ -114,8 +116,12 @@
         Those of the processes' keys, rewritten every few seconds, only where there is room.
         """
         conditions = [(LIVE + FORMAT_KEY, self.format_stamp)]
-        conditions += [(f"{LIVE}v/{name}", self.readers[name][1]) for name in self.settings.names]
-        processes = [(f"{LIVE}n/{name}", self.processes[name][1]) for name in self.settings.names]
+        conditions += [
+            (LIVE + wire.reader_key(name), self.readers[name][1]) for name in self.settings.names
+        ]
+        processes = [
+            (LIVE + wire.node_key(name), self.processes[name][1]) for name in self.settings.names
+        ]
         if len(conditions) + len(processes) <= 4 * self.settings.txn_ops:
             conditions += processes
         return conditions
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -7,6 +7,7 @@
 from ..state import LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
+from . import wire
 from .ownership import Ownership, ownership_revision
 
 log = logging.getLogger("emberglade.membership")
@@ -112,13 +113,13 @@
         self.overflow_left = list(enumerate(self.overflow))
         writes = [
             state_wire.put(
-                LIVE + "n/" + self.settings.node,
-                {"inc": self.incarnation, "table": self.table},
+                LIVE + wire.node_key(self.settings.node),
+                wire.node_record(self.incarnation, self.table),
                 self.lease,
             )
         ]
         writes += [
-            state_wire.remove(f"{LIVE}r/{self.settings.node}/{n}")
+            state_wire.remove(LIVE + wire.overflow_key(self.settings.node, n))
             for n in range(len(self.overflow), len(self.overflow) + spare)
         ][: self.settings.txn_ops - 1]
         self.write_batch(
@@ -128,7 +129,7 @@
     def overflow_writes(self, batch):
         """The writes of `batch` (`[(number, value)]`) as keys of overflow values."""
         return [
-            state_wire.put(f"{LIVE}r/{self.settings.node}/{n}", data, self.lease)
+            state_wire.put(LIVE + wire.overflow_key(self.settings.node, n), data, self.lease)
             for n, data in batch
         ]
 
@@ -180,11 +181,12 @@
             self.forget_owners()
         touched = False
         for key, data, stamp in events:
-            if key.startswith("n/"):
+            if key.startswith(wire.NODE_PREFIX):
+                node = key[len(wire.NODE_PREFIX) :]
                 if data is None:
-                    self.nodes.pop(key[2:], None)
+                    self.nodes.pop(node, None)
                 else:
-                    self.nodes[key[2:]] = data.get("inc")
+                    self.nodes[node] = wire.read_incarnation(data)
             elif not self.note_owner(key, data, stamp):
                 continue
             touched = True
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -12,6 +12,7 @@
 from ..state import LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
+from . import wire
 
 log = logging.getLogger("emberglade.membership")
 
@@ -39,7 +40,11 @@
     if whole:
         return revision
     return max(
-        (stamp for key, _, stamp in events if key == "lead" or key.startswith(("n/", "s/"))),
+        (
+            stamp
+            for key, _, stamp in events
+            if key == wire.LEADER_KEY or key.startswith((wire.NODE_PREFIX, wire.SHARD_PREFIX))
+        ),
         default=None,
     )
 
@@ -79,15 +84,15 @@
 
     def note_owner(self, key, data, stamp):
         """Notes a change of a shard's or the leader's key; False if the key is neither."""
-        if key != "lead" and not key.startswith("s/"):
+        if key != wire.LEADER_KEY and not key.startswith(wire.SHARD_PREFIX):
             return False
-        holder = None if data is None else Holder(data.get("node"), data.get("inc"), stamp)
-        if key == "lead":
+        holder = None if data is None else Holder(*wire.read_holder(data), stamp)
+        if key == wire.LEADER_KEY:
             self.leader = holder
         elif holder is None:
-            self.shards.pop(int(key[2:]), None)
+            self.shards.pop(int(key[len(wire.SHARD_PREFIX) :]), None)
         else:
-            self.shards[int(key[2:])] = holder
+            self.shards[int(key[len(wire.SHARD_PREFIX) :])] = holder
         return True
 
     def on_liveness(self, view):
@@ -161,18 +166,25 @@
             self.store.tell(
                 "commit",
                 DECISIONS,
-                [(LIVE + "lead", stamp)],
-                [state_wire.put(LIVE + "lead", {"node": me, "inc": self.incarnation}, self.lease)],
+                [(LIVE + wire.LEADER_KEY, stamp)],
+                [
+                    state_wire.put(
+                        LIVE + wire.LEADER_KEY, wire.holder_record(me, self.incarnation), self.lease
+                    )
+                ],
                 self.then("leader_written", self.lease),
             )
 
     def take_shards(self, take):
         """Takes `take` (shard numbers) in one compare-and-swap on their keys' stamps."""
         self.taking_shards = True
-        conditions = [(f"{LIVE}s/{shard}", self.shards.get(shard, NOBODY).stamp) for shard in take]
+        conditions = [
+            (LIVE + wire.shard_key(shard), self.shards.get(shard, NOBODY).stamp) for shard in take
+        ]
         writes = [
             state_wire.put(
-                f"{LIVE}s/{shard}", {"node": self.settings.node, "inc": self.incarnation}
+                LIVE + wire.shard_key(shard),
+                wire.holder_record(self.settings.node, self.incarnation),
             )
             for shard in take
         ]
