--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -11,16 +11,21 @@
 from ..state import LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
+from . import wire
+from .wire import FORMAT_KEY
 
 log = logging.getLogger("emberglade.membership")
 
-FORMAT_KEY = "format"
 NEW_FORMAT = 2  # from here on: jobs that await others, and parts laid out anew
 
 
+class RecordError(ValueError):
+    """A key that the upgrade reads holds no record; its message names the key and the value."""
+
+
 def is_raised(data):
     """Whether the value of FORMAT_KEY shows that records of the new format may be written."""
-    return isinstance(data, dict) and data.get("format", 1) >= NEW_FORMAT
+    return isinstance(data, dict) and wire.read_format(data) >= NEW_FORMAT
 
 
 class FormatUpgrade(Follower):
@@ -35,29 +40,44 @@
         self.busy = False
 
     def on_begin(self):
+        """Handles `begin` from the actor system: subscribes, and ticks every 0.5 s."""
         super().on_begin()
         self.after(0.5, "tick")
 
     def on_changed(self, events, revision, whole):
+        """Handles `changed(events, revision, whole)` from the store.
+
+        Notes the format's key, the nodes' keys and the readers' keys, and takes the next step of
+        the upgrade.
+        """
         if whole:
             self.processes, self.readers = {}, {}
         for key, data, stamp in events:
             if key == FORMAT_KEY:
                 self.raised, self.format_stamp = self.raised or is_raised(data), stamp
-            elif key.startswith("n/"):
-                self._note(self.processes, key[2:], data, stamp)
-            elif key.startswith("v/"):
-                self._note(self.readers, key[2:], data, stamp)
+            elif key.startswith(wire.NODE_PREFIX):
+                self._note(self.processes, key, wire.NODE_PREFIX, data, stamp)
+            elif key.startswith(wire.READER_PREFIX):
+                self._note(self.readers, key, wire.READER_PREFIX, data, stamp)
         self.advance()
 
     @staticmethod
-    def _note(rows, node, data, stamp):
+    def _note(rows, key, prefix, data, stamp):
+        """Notes the incarnation and stamp of `key` (`prefix` and a node's name) in `rows` by node.
+
+        Raises:
+            RecordError: the key holds something other than a JSON object.
+        """
+        node = key[len(prefix) :]
         if data is None:
             rows.pop(node, None)
+        elif not isinstance(data, dict):
+            raise RecordError(f"the key {key!r} holds {data!r}, not a JSON object")
         else:
-            rows[node] = (data.get("inc"), stamp)
+            rows[node] = (wire.read_incarnation(data), stamp)
 
     def on_tick(self):
+        """Handles `tick`, sent to itself every 0.5 s: takes the next step, if one is due."""
         self.after(0.5, "tick")
         self.advance()
 
@@ -73,7 +93,7 @@
             return
         if self.readers.get(node, (None,))[0] != self.incarnation:
             write = state_wire.put(
-                f"{LIVE}v/{node}", {"inc": self.incarnation, "format": NEW_FORMAT}
+                LIVE + wire.reader_key(node), wire.reader_record(self.incarnation, NEW_FORMAT)
             )
             self.commit([], write)
         elif all(self.reads_new_format(name) for name in self.settings.names):
@@ -81,7 +101,8 @@
                 "all controllers run the new version; raising the record format to %d", NEW_FORMAT
             )
             self.commit(
-                self.raise_conditions(), state_wire.put(LIVE + FORMAT_KEY, {"format": NEW_FORMAT})
+                self.raise_conditions(),
+                state_wire.put(LIVE + FORMAT_KEY, wire.format_record(NEW_FORMAT)),
             )
 
     def reads_new_format(self, name):
@@ -90,25 +111,30 @@
         return process is not None and reader is not None and process[0] == reader[0]
 
     def raise_conditions(self):
-        """The keys that the raise hangs on; those of the processes, rewritten every few seconds,
-        where there is room.
+        """The conditions `[(full key, stamp)]` that the raise hangs on.
+
+        Those of the processes' keys, rewritten every few seconds, only where there is room.
         """
         conditions = [(LIVE + FORMAT_KEY, self.format_stamp)]
-        conditions += [(f"{LIVE}v/{name}", self.readers[name][1]) for name in self.settings.names]
-        processes = [(f"{LIVE}n/{name}", self.processes[name][1]) for name in self.settings.names]
+        conditions += [
+            (LIVE + wire.reader_key(name), self.readers[name][1]) for name in self.settings.names
+        ]
+        processes = [
+            (LIVE + wire.node_key(name), self.processes[name][1]) for name in self.settings.names
+        ]
         if len(conditions) + len(processes) <= 4 * self.settings.txn_ops:
             conditions += processes
         return conditions
 
     def commit(self, conditions, write):
+        """Sends one write under `conditions`; nothing else is sent until a sync shows it."""
         self.busy = True
-        self.store.tell("commit", DECISIONS, conditions, [write], self.then("written"))
-
-    def on_written(self, status, revision, failed):
-        # Whatever became of it, the copy shows it after a sync.
-        self.store.tell("sync", self.then("seen"))
+        self.store.tell(
+            "commit", DECISIONS, conditions, [write], self.then("sync_after_commit", "seen")
+        )
 
     def on_seen(self, revision):
+        """Handles the sync after a commit (`sync_after_commit`): the next step may be taken."""
         self.busy = False
         if revision is not None:
             self.advance()
