--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -48,6 +48,7 @@
         self.reader: BinaryIO | None = None
 
     def close(self) -> None:
+        """Closes the reader and the socket, if open; a failure to close is logged and dropped."""
         for part in (self.reader, self.sock):
             if part is not None:
                 try:
@@ -150,6 +151,10 @@
             threading.Thread(target=self._run, name=f"{name}-{number}", daemon=True).start()
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: Reply) -> None:
+        """Queues a call; `reply(status, body)` follows on a thread of the client.
+
+        `timeout` is in seconds. Past `backlog` queued calls the reply is NO_ANSWER at once.
+        """
         if self.jobs.qsize() > self.backlog:
             reply(NO_ANSWER, None)
             return
@@ -192,6 +197,10 @@
     def call(
         self, address: str, method: str, path: str, body: Any, timeout: float, reply: Reply
     ) -> None:
+        """Queues a call to `address` (host:port); `reply(status, body)` follows on a pool thread.
+
+        `timeout` is in seconds. Past four queued calls per thread the reply is NO_ANSWER at once.
+        """
         if self.jobs.qsize() > 4 * self.threads:
             reply(NO_ANSWER, None)
             return
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -16,7 +16,7 @@
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
 
-class MalformedRequest(ValueError):
+class MalformedRequestError(ValueError):
     """The bytes received can't become a request; the connection has to be closed."""
 
 
@@ -43,7 +43,9 @@
     head_length = received.find(HEAD_END)
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
-            raise MalformedRequest("the headers are too long")
+            raise MalformedRequestError(
+                f"the head is not complete in {len(received)} bytes, over {MAX_HEAD_BYTES}"
+            )
         return None
     head = parse_head(received[:head_length])
     body_start = head_length + len(HEAD_END)
@@ -59,9 +61,11 @@
     lines = data.split(b"\r\n")
     words = lines[0].decode("latin-1").split()
     if len(words) != 3 or not words[2].startswith("HTTP/1."):
-        raise MalformedRequest("malformed request line")
+        raise MalformedRequestError(f"malformed request line: {lines[0][:100]!r}")
     if len(lines) > MAX_HEADERS:
-        raise MalformedRequest("too many headers")
+        raise MalformedRequestError(
+            f"too many lines in the head: {len(lines)}, at most {MAX_HEADERS}"
+        )
     method, path, version = words
     content_length, keep_alive = 0, version != "HTTP/1.0"
     for line in lines[1:]:
@@ -74,15 +78,24 @@
         elif name == b"connection":
             keep_alive = value.strip().lower() != b"close"
         elif name == b"transfer-encoding":
-            raise MalformedRequest("a body needs its Content-Length")
+            raise MalformedRequestError(
+                f"a body needs its Content-Length, not Transfer-Encoding: {value.strip()[:100]!r}"
+            )
     return Head(method, path, content_length, keep_alive)
 
 
 def parse_content_length(value: bytes) -> int:
-    """The length that a header names; MalformedRequest unless it is one that is allowed."""
+    """The length that a Content-Length header names, in bytes.
+
+    Raises:
+        MalformedRequestError: The value is not a whole number of at most MAX_BODY_BYTES.
+    """
     value = value.strip()
     if not value.isdigit() or int(value) > MAX_BODY_BYTES:
-        raise MalformedRequest("a body of at most 64 KiB with its Content-Length is needed")
+        raise MalformedRequestError(
+            f"Content-Length must be a whole number of at most {MAX_BODY_BYTES} bytes,"
+            f" not {value[:100]!r}"
+        )
     return int(value)
 
 
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -14,11 +14,13 @@
 import time
 from collections import OrderedDict, deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from itertools import islice
 from typing import Any
 
-from .messages import MAX_REQUEST_BYTES, MalformedRequest, encode_response, take_request
+from .admission import ConnectionAdmission, ServerLimits
+from .connection import Exchange, ServerConnection
+from .messages import MAX_REQUEST_BYTES, MalformedRequestError, encode_response, take_request
+
+__all__ = ["Route", "Server", "ServerLimits"]
 
 log = logging.getLogger("emberglade.transport")
 
@@ -26,83 +28,14 @@
 Route = Callable[[str, str, bytes, Callable[..., None]], None]
 
 RECEIVE_BYTES = 64 * 1024
-ACCEPTS_AT_ONCE = 64  # new connections taken before the others have their turn again
-EVICTION_CANDIDATES = 16  # of the connections idle for longest, those that are looked at
 OVERLOAD_RETRY_S = 1
-FIRST_REQUEST_S = 1.0  # a new connection is not taken for an idle one for so long
-ACCEPT_PAUSE_S = 0.02  # while every place is taken by connections that have only just come
-CROWDED_SHARE = 7 / 8  # of the connections; above it each one is closed after its answer
-
-
-@dataclass(frozen=True)
-class ServerLimits:
-    """What a server holds open, and for how long."""
-
-    max_connections: int
-    max_user_connections: int  # at most so many of them, once they have sent a user's request
-    answer_timeout_s: float  # a request without a decision by then gets 503
-    idle_timeout_s: float  # a connection without a request for so long is closed
-
-
-class ServerConnection:
-    """One accepted connection. Only the server's thread reads, opens and closes it."""
-
-    __slots__ = (
-        "sock",
-        "received",
-        "unsent",
-        "exchange",
-        "active_at",
-        "served",
-        "is_user",
-        "closing",
-        "lock",
-    )
-
-    def __init__(self, sock: socket.socket, now: float) -> None:
-        self.sock = sock
-        self.received = b""  # what came after the last complete request
-        self.unsent = b""  # the rest of an answer for which the socket had no room
-        self.exchange: Exchange | None = None  # the request that waits for its answer
-        self.active_at = now  # when it was opened, or the last complete request came
-        self.served = False  # whether a request was routed
-        self.is_user = False
-        self.closing = False  # to be closed once `unsent` is sent
-        # Sending and closing exclude each other: once closed, the descriptor may be another's.
-        self.lock = threading.Lock()
-
-    @property
-    def idle(self) -> bool:
-        return self.exchange is None and not self.unsent
-
-    def may_give_way(self, now: float) -> bool:
-        """Whether nothing is asked on it, nor about to be."""
-        return self.idle and (self.served or now - self.active_at > FIRST_REQUEST_S)
 
 
-class Exchange:
-    """One request and the one answer that it gets."""
+class Server(ConnectionAdmission, socketserver.TCPServer):
+    """An HTTP/1.1 server that feeds each request to a route on its own thread.
 
-    __slots__ = ("server", "connection", "keep_alive", "deadline")
-
-    def __init__(
-        self, server: "Server", connection: ServerConnection, keep_alive: bool, deadline: float
-    ) -> None:
-        self.server, self.connection = server, connection
-        self.keep_alive, self.deadline = keep_alive, deadline
-
-    @property
-    def answered(self) -> bool:
-        return self.connection.exchange is not self
-
-    def reply(self, status: int, data: Any = None, retry_after: int | None = None) -> None:
-        """Sends the answer, unless there was one already or the connection is gone."""
-        self.server.send_answer(self, status, data, retry_after)
-
-
-class Server(socketserver.TCPServer):
-    """Feeds requests to `route(method, path, body, reply)`, which must lead to one `reply(status,
-    data, retry_after)`, from any thread and at any later time.
+    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from
+    any thread and at any later time.
 
     At the bound on connections the one that has been idle for longest gives way, those of users
     first; if none is idle, the new one is closed at once. Connections on which a path came that
@@ -142,14 +75,6 @@
         self.stopping = False
         self.evicted = self.refused = 0
 
-    @property
-    def connection_count(self) -> int:
-        return len(self.users) + len(self.others)
-
-    @property
-    def crowded(self) -> bool:
-        return self.connection_count > CROWDED_SHARE * self.limits.max_connections
-
     # --- the server's thread
 
     def begin(self, name: str) -> None:
@@ -221,87 +146,6 @@
             self._close(connection)
         super().server_close()
 
-    # --- opening and closing
-
-    def _accept(self) -> None:
-        now = time.monotonic()
-        for _ in range(ACCEPTS_AT_ONCE):
-            full = self.connection_count >= self.limits.max_connections
-            if full and not self._has_idle(now) and self._has_newcomer():
-                # These are read first; the others wait in the listener's queue meanwhile.
-                self._pause_accepting(now)
-                return
-            try:
-                sock, _ = self.socket.accept()
-            except BlockingIOError:
-                return
-            except OSError as error:
-                log.warning("accepting a connection failed: %s", error)
-                if not self._evict_idle(now):
-                    self._pause_accepting(now)
-                return
-            if full and not self._evict_idle(now):
-                self.refused += 1
-                sock.close()
-                continue
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            connection = ServerConnection(sock, now)
-            self.others[connection] = None
-            self.selector.register(sock, selectors.EVENT_READ, connection)
-
-    def _pause_accepting(self, now: float) -> None:
-        if self.accept_again_at is None:
-            self.selector.unregister(self.socket)
-        self.accept_again_at = now + ACCEPT_PAUSE_S
-
-    def _resume_accepting(self) -> None:
-        if self.accept_again_at is not None and time.monotonic() >= self.accept_again_at:
-            self.accept_again_at = None
-            self.selector.register(self.socket, selectors.EVENT_READ, None)
-
-    def _idle_longest(self, now: float) -> ServerConnection | None:
-        """The connection that is to give way: of those idle for longest, users' first, or None."""
-        for connections in (self.users, self.others):
-            for connection in islice(connections, EVICTION_CANDIDATES):
-                if connection.may_give_way(now):
-                    return connection
-        return None
-
-    def _has_idle(self, now: float) -> bool:
-        return self._idle_longest(now) is not None
-
-    def _has_newcomer(self) -> bool:
-        return any(not c.served and c.exchange is None for c in reversed(self.others))
-
-    def _evict_idle(self, now: float) -> bool:
-        """Closes the connection that has been idle for longest; False if none is."""
-        connection = self._idle_longest(now)
-        if connection is None:
-            return False
-        self.evicted += 1
-        self._close(connection)
-        return True
-
-    def _close(self, connection: ServerConnection) -> None:
-        with connection.lock:
-            if connection.sock.fileno() < 0:
-                return
-            connection.exchange = None
-            self.selector.unregister(connection.sock)
-            connection.sock.close()
-        (self.users if connection.is_user else self.others).pop(connection, None)
-
-    def _close_idle(self, now: float) -> None:
-        """Closes what has sent no complete request for long, also if a part of one trickles in, and
-        what doesn't take its answer.
-        """
-        oldest = now - self.limits.idle_timeout_s
-        for connections in (self.users, self.others):
-            for connection in [
-                c for c in connections if c.active_at < oldest and c.exchange is None
-            ]:
-                self._close(connection)
-
     # --- requests
 
     def _receive(self, connection: ServerConnection) -> None:
@@ -327,7 +171,7 @@
         now = time.monotonic()
         try:
             taken = take_request(connection.received)
-        except MalformedRequest as error:
+        except MalformedRequestError as error:
             self._open_exchange(connection, False, now).reply(400, {"error": str(error)})
             return
         if taken is None:
@@ -355,20 +199,6 @@
         connection.exchange = exchange
         return exchange
 
-    def _admit(self, connection: ServerConnection, path: str) -> bool:
-        """Notes that the connection is in use; False if it is one user's too many."""
-        if connection.is_user:
-            self.users.move_to_end(connection)
-        elif not self.is_user_path(path):
-            self.others.move_to_end(connection)
-        elif len(self.users) >= self.limits.max_user_connections:
-            return False
-        else:
-            del self.others[connection]
-            connection.is_user = True
-            self.users[connection] = None
-        return True
-
     def _expire_exchanges(self, now: float) -> None:
         while self.waiting and (self.waiting[0].answered or self.waiting[0].deadline <= now):
             self.waiting.popleft().reply(
