--- a/emberglade/failure_detection/__init__.py
+++ b/emberglade/failure_detection/__init__.py
@@ -1,4 +1,4 @@
-"""Which controllers are alive: suspicion, confirmation by others, and who takes over what.
+"""Which controllers are alive: suspicion, confirmation by others, and failover plans.
 
 Nothing here proves that a task ended or that a worker's lease is over (docs/failure-detection.md).
 """
@@ -11,15 +11,15 @@
     failure_domains,
 )
 from .domains import FailureDomains
+from .failover import LeaderPlanner, ShardPlanner
 from .monitor import PeerMonitor
-from .takeover import LeadPlanner, ShardPlanner
 from .view import LivenessView
 
 __all__ = [
     "DetectionBounds",
     "DetectionError",
     "FailureDomains",
-    "LeadPlanner",
+    "LeaderPlanner",
     "LivenessView",
     "PeerMonitor",
     "ShardPlanner",
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .local_health import LocalHealth
-from .messages import MalformedStatement, Opinion, PeerState, PingOutcome
+from .messages import MalformedPeerMessageError, Opinion, PeerState, PingOutcome
 from .peer import Peer
 from .view import LivenessView
 
@@ -58,16 +58,23 @@
     # --- what comes in
 
     def peer(self, name):
-        """The record of a peer; MalformedStatement for a controller that is not configured."""
+        """The record of the peer `name`.
+
+        Raises:
+            MalformedPeerMessageError: `name` is not another controller of this cluster.
+        """
         if name not in self.peers:
-            raise MalformedStatement(f"{name} is no other controller of this cluster")
+            raise MalformedPeerMessageError(f"{name!r} is no other controller of this cluster")
         return self.peers[name]
 
     def hear(self, heartbeat, now, wall):
         """A heartbeat that came from its sender; False if it is a copy or came out of order."""
         peer = self.peer(heartbeat.sender)
         if heartbeat.sent_wall > wall + 2 * self.bounds.skew_s + self.bounds.heartbeat_s:
-            raise MalformedStatement(f"{heartbeat.sender} states a time that is yet to come")
+            raise MalformedPeerMessageError(
+                f"{heartbeat.sender} sent its heartbeat at wall time {heartbeat.sent_wall:.3f},"
+                f" later than this controller's {wall:.3f} allows"
+            )
         if peer.direct_mark is not None and heartbeat.mark <= peer.direct_mark:
             return False
         if not peer.note_mark(heartbeat.mark):
@@ -93,10 +100,10 @@
         if peer is None or opinion.mark is None:
             return
         sent_at = now - delay_s - opinion.age_s
-        if self._vouch(peer, opinion.mark, sent_at, now):
+        if self._note_heard_by_other(peer, opinion.mark, sent_at, now):
             peer.contact_at = max(peer.contact_at, sent_at - opinion.contact_age_s)
 
-    def _vouch(self, peer, mark, sent_at, now):
+    def _note_heard_by_other(self, peer, mark, sent_at, now):
         """Somebody else heard the peer at that moment; False if it was a former process."""
         if not peer.note_mark(mark):
             return False
@@ -136,7 +143,7 @@
         peer = self.peer(result.target)
         if result.outcome is PingOutcome.ANSWERED:
             if result.mark is not None:
-                self._vouch(peer, result.mark, now - result.age_s, now)
+                self._note_heard_by_other(peer, result.mark, now - result.age_s, now)
             return
         peer.denials[relay] = (result.outcome, now)
 
@@ -208,14 +215,14 @@
             return False
         key_shown_gone = peer.key_lease is None and self._in_contact(now)
         if key_shown_gone and peer.refuses(now):
-            # Two witnesses: the state service, and the machine where nobody listens any more. Once
-            # slower than keys alone, when most controllers ended at once
+            # Two sources of evidence: the state service, and the machine where nobody listens any
+            # more. Once slower than keys alone, when most controllers ended at once
             # (failure_detection/most_gone.txt).
             self._move(peer, PeerState.DEAD, "refuses, and the state service has ended its key")
             return True
         relays = () if isolated else self._relays(peer)
         if not relays:
-            # The state service alone is the witness.
+            # The state service alone is the evidence.
             if not key_shown_gone or peer.silence(now) < self.bounds.confirm_s:
                 return False
             self._move(peer, PeerState.DEAD, "silent, and the state service has ended its key")
@@ -278,7 +285,7 @@
             states={peer.name: peer.state for peer in self.peers.values()},
             serving=frozenset(serving),
             slow=frozenset(slow),
-            may_take_over=not doubtful,
+            may_fail_over=not doubtful,
             may_return=now >= self.return_at and not self._isolated() and not doubtful,
         )
 
--- a/emberglade/failure_detection/takeover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,5 +1,7 @@
-"""Who takes which shard, and who the lead, from one view of who serves. Pure but for its memory
-of how long something has been free.
+"""Failover plans: which shards this controller takes, and when it takes leadership.
+
+Both planners decide from one liveness view of who serves; they are pure but for their memory of
+how long a shard or the leader's key has been free.
 """
 
 from ..membership import NOBODY
@@ -101,7 +103,7 @@
         if holder.node == self.node:
             return True  # our former process held it; nobody else has it
         place = line.index(self.node)
-        if not view.may_take_over and not (holder is NOBODY and place == 0):
+        if not view.may_fail_over and not (holder is NOBODY and place == 0):
             return False
         # Views differ for a moment: who comes next waits, so that a shard is not left to nobody.
         return now - self.free_since[shard] >= place * self.heartbeat_s
@@ -115,8 +117,8 @@
         )
 
 
-class LeadPlanner:
-    """Says when to take the lead: if it is free, or its holder does not serve."""
+class LeaderPlanner:
+    """Says when to take leadership: if the leader's key is free, or its holder does not serve."""
 
     def __init__(self, node, names, heartbeat_s):
         self.node, self.names, self.heartbeat_s = node, tuple(names), heartbeat_s
@@ -124,26 +126,29 @@
         self.free_since = None
         self.history = ClaimHistory(heartbeat_s)
 
-    def should_take(self, incarnation, lead, view, now):
-        """Whether this controller should write the lead's key now; `lead` None: it is missing."""
-        if lead is not None:
-            self.former = lead
-            if lead.node == self.node:
+    def should_take(self, incarnation, leader, view, now):
+        """Whether this controller should write the leader's key now.
+
+        `leader` is the key's holder, or None if the key is missing.
+        """
+        if leader is not None:
+            self.former = leader
+            if leader.node == self.node:
                 self.free_since = None
-                return lead.incarnation != incarnation
-            self.history.note({"lead": lead}, now)
-            if lead.node in view.serving or self.history.is_fresh("lead", now):
+                return leader.incarnation != incarnation
+            self.history.note({"lead": leader}, now)
+            if leader.node in view.serving or self.history.is_fresh("lead", now):
                 self.free_since = None
                 return False
         if self.free_since is None:
             self.free_since = now
         waited = now - self.free_since
-        if lead is None:
-            # Its lease ran out, but the process goes on: it takes the lead again by itself.
+        if leader is None:
+            # Its lease expired, but the process goes on: it takes leadership again by itself.
             left_to_former = self.former.node != self.node and self.former.node in view.serving
             return waited >= self._delay(left_to_former, view)
         line = sorted(view.serving, key=lambda name: (name in view.slow, name))
-        return view.may_take_over and waited >= line.index(self.node) * self.heartbeat_s
+        return view.may_fail_over and waited >= line.index(self.node) * self.heartbeat_s
 
     def _delay(self, left_to_former, view):
         others_are_faster = self.node in view.slow and view.serving - view.slow
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -1,20 +1,20 @@
 """What controllers tell each other of who is alive; the names of fields included.
 
-Whatever a peer sends is checked here, and refused with MalformedStatement.
+Whatever a peer sends is checked here, and refused with MalformedPeerMessageError.
 """
 
 import enum
 import math
 from typing import NamedTuple
 
-# A heartbeat names each controller once; more rows than this are no honest statement.
+# A heartbeat names each controller once; more rows than this are no honest message.
 MAX_OPINIONS = 1000
 MAX_COUNT = 2**64
-HEARTBEAT_FIELD = "heartbeat"  # of a question or a statement, which production ignores
+HEARTBEAT_FIELD = "heartbeat"  # of a question or an answer, which production ignores
 
 
-class MalformedStatement(Exception):
-    """A peer's message that can't be taken for what it should be."""
+class MalformedPeerMessageError(Exception):
+    """A peer's message that can't be taken for what it should be; the text says which part."""
 
 
 class Incarnation(NamedTuple):
@@ -138,47 +138,65 @@
 # --- from the wire
 
 
+def _shown(value):
+    """A short rendering of a value that a peer sent, for an error message."""
+    text = repr(value)
+    return text if len(text) <= 80 else f"{text[:77]}..."
+
+
 def _read_object(data):
     if not isinstance(data, dict):
-        raise MalformedStatement("not an object")
+        raise MalformedPeerMessageError(f"expected a JSON object, got {_shown(data)}")
     return data
 
 
 def _read_name(value):
     if not isinstance(value, str) or not value or len(value) > 200:
-        raise MalformedStatement("a name is missing")
+        raise MalformedPeerMessageError(
+            f"a name must be a string of 1 to 200 characters, got {_shown(value)}"
+        )
     return value
 
 
 def _read_count(value):
     if type(value) is not int or not 0 <= value < MAX_COUNT:
-        raise MalformedStatement("a count is not a whole number")
+        raise MalformedPeerMessageError(
+            f"a count must be a whole number from 0 to below 2**64, got {_shown(value)}"
+        )
     return value
 
 
 def _read_seconds(value):
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise MalformedStatement("a time is not a number")
+        raise MalformedPeerMessageError(f"a time must be a number of seconds, got {_shown(value)}")
     if not math.isfinite(value) or value < 0:
-        raise MalformedStatement("a time is negative or not finite")
+        raise MalformedPeerMessageError(
+            f"a time must be finite and not negative, got {_shown(value)}"
+        )
     return float(value)
 
 
 def _read_mark(value):
     if not isinstance(value, list) or len(value) != 3:
-        raise MalformedStatement("a mark is not of three counts")
+        raise MalformedPeerMessageError(
+            f"a mark must be a list of three counts, got {_shown(value)}"
+        )
     revision, lease, sequence = map(_read_count, value)
     return Mark(Incarnation(revision, lease), sequence)
 
 
 def _read_opinion(row):
     if not isinstance(row, list) or len(row) < 6:
-        raise MalformedStatement("an opinion is not a row of six")
+        raise MalformedPeerMessageError(
+            f"an opinion must be a list of at least six fields, got {_shown(row)}"
+        )
     peer, state, mark, age_s, contact_age_s, return_wait_s = row[:6]
     try:
         state = PeerState(state)
     except ValueError:
-        raise MalformedStatement("an opinion names no known state") from None
+        raise MalformedPeerMessageError(
+            f"an opinion names no known peer state: {_shown(state)}"
+        ) from None
     return Opinion(
         _read_name(peer),
         state,
@@ -190,14 +208,16 @@
 
 
 def read_heartbeat(data):
-    """A Heartbeat, or MalformedStatement with what is wrong."""
+    """A Heartbeat, or MalformedPeerMessageError with what is wrong."""
     data = _read_object(data)
     rows = data.get("peers")
     if not isinstance(rows, list) or len(rows) > MAX_OPINIONS:
-        raise MalformedStatement("the opinions are no list, or too many")
+        raise MalformedPeerMessageError(
+            f"'peers' must be a list of at most {MAX_OPINIONS} opinions, got {_shown(rows)}"
+        )
     slow = data.get("slow")
     if not isinstance(slow, bool):
-        raise MalformedStatement("slow is not true or false")
+        raise MalformedPeerMessageError(f"'slow' must be true or false, got {_shown(slow)}")
     return Heartbeat(
         sender=_read_name(data.get("from")),
         mark=_read_mark(data.get("mark")),
@@ -209,23 +229,25 @@
 
 
 def read_ping(data):
-    """The Heartbeat in a ping or its answer, or MalformedStatement."""
+    """The Heartbeat in a ping or its answer, or MalformedPeerMessageError."""
     return read_heartbeat(_read_object(data).get(HEARTBEAT_FIELD))
 
 
 def read_probe(data):
-    """A ProbeRequest, or MalformedStatement."""
+    """A ProbeRequest, or MalformedPeerMessageError."""
     data = _read_object(data)
     return ProbeRequest(_read_name(data.get("from")), _read_name(data.get("target")))
 
 
 def read_probe_result(data):
-    """A ProbeResult, or MalformedStatement."""
+    """A ProbeResult, or MalformedPeerMessageError."""
     data = _read_object(data)
     try:
         outcome = PingOutcome(data.get("outcome"))
     except ValueError:
-        raise MalformedStatement("the outcome is not known") from None
+        raise MalformedPeerMessageError(
+            f"'outcome' names no known ping outcome: {_shown(data.get('outcome'))}"
+        ) from None
     mark = data.get("mark")
     return ProbeResult(
         _read_name(data.get("target")),
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -5,28 +5,20 @@
 
 from ..actors import Actor
 from ..membership import ownership_revision
-from ..state import Follower
 from ..transport import NO_ANSWER, REFUSED, Reply
 from .detector import PeerDetector
 from .messages import (
     HEARTBEAT_FIELD,
     Heartbeat,
     Incarnation,
-    MalformedStatement,
+    MalformedPeerMessageError,
     Mark,
     PeerState,
     PingOutcome,
-    ProbeRequest,
-    ProbeResult,
     read_heartbeat,
-    read_ping,
-    read_probe,
-    read_probe_result,
     write_heartbeat,
-    write_ping,
-    write_probe,
-    write_probe_result,
 )
+from .probes import PeerProbing
 from .view import LivenessView
 
 log = logging.getLogger("emberglade.failure_detection")
@@ -49,7 +41,7 @@
             self.link.call(method, path, body, timeout, reply)
 
 
-class PeerMonitor(Follower):
+class PeerMonitor(PeerProbing):
     """Drives the state machine, carries its messages, and tells of what changes.
 
     `listeners` are told `liveness(view)` when the view changes, and `peer_dead(name)` once an
@@ -66,14 +58,15 @@
         self.first_revision: int | None = None
         self.sequence = 0
         self.view: LivenessView | None = None
-        self.claims_revision = -1  # of the last change of a node's key, a shard or the lead
+        self.ownership_revision = -1  # of the last change of a node's, shard's or leader's key
         self.keys: set[str] = set()  # peers whose keys are there
         self.moves: Counter[PeerState] = Counter()  # transitions to each state
-        self.refused: Counter[str] = Counter()  # peer -> statements that were refused
+        self.refused_messages: Counter[str] = Counter()  # peer -> its messages that were refused
         self.pinging: dict[str, list[Reply]] = {}  # peer -> probes that wait for its ping
         self.turn_due = 0.0
 
     def on_begin(self):
+        """Handles `begin`, from the actor system: subscribes, makes the detector, starts turns."""
         super().on_begin()
         self.detector = PeerDetector(
             self.settings.node, self.links, self.bounds, self.domains, self.now()
@@ -81,12 +74,17 @@
         self.schedule_turn()
 
     def links_with_heartbeats(self):
-        """The links for the exchange of statements."""
+        """The links to the peers, each adding this controller's heartbeat to its questions."""
         return {name: MonitoredLink(self, name, link) for name, link in self.links.items()}
 
     # --- the committed copy
 
     def on_changed(self, events, revision, whole):
+        """Handles `changed(events, revision, whole)` from the store.
+
+        The first copy starts the detector. The peers' node keys (below `n/`) tell the detector
+        which process of each peer holds its key; a change of claims publishes a new view.
+        """
         now = self.now()
         if self.first_revision is None:
             self.first_revision = revision
@@ -104,30 +102,37 @@
             (self.keys.discard if data is None else self.keys.add)(name)
             self.detector.register(name, None if data is None else data.get("inc"), now)
         if changed is not None:
-            self.claims_revision = max(self.claims_revision, changed)
+            self.ownership_revision = max(self.ownership_revision, changed)
             self.publish(self.detector.view(now))
 
     def publish(self, view):
         """Tells the listeners if anything in the view has changed."""
         if self.first_revision is None:
             return
-        view = view._replace(revision=self.claims_revision)
+        view = view._replace(revision=self.ownership_revision)
         if view != self.view:
             self.view = view
             for listener in self.listeners:
                 listener.tell("liveness", view)
 
     def on_contact(self, when, revision):
+        """Handles `contact`, from the store: a sync sent at `when` was answered."""
         self.detector.touched_state_service(when)
 
     # --- the loop
 
     def schedule_turn(self):
+        """Tells this actor `turn` after a quarter of the heartbeat interval."""
         period = self.bounds.heartbeat_s / TURNS_PER_HEARTBEAT
         self.turn_due = self.now() + period
         self.after(period, "turn")
 
     def on_turn(self):
+        """Handles `turn`, from `schedule_turn`: one step of the detector.
+
+        Logs each transition, sends the probes the detector orders, publishes the view, and tells
+        the listeners `peer_dead(name)` for each peer whose death is now confirmed.
+        """
         now = self.now()
         result = self.detector.turn(now, max(0.0, now - self.turn_due))
         self.schedule_turn()
@@ -178,11 +183,11 @@
             "peers": {name: peer.state.value for name, peer in self.detector.peers.items()},
             "suspicions": self.moves[PeerState.SUSPECTED],
             "deaths": self.moves[PeerState.DEAD],
-            "refused_statements": sum(self.refused.values()),
+            "refused_statements": sum(self.refused_messages.values()),
             "slow": self.detector.health.slow,
         }
 
-    # --- heartbeats on the exchange of statements
+    # --- heartbeats carried by the questions between controllers
 
     def on_ask(self, peer, body, timeout, reply):
         """This controller's question to a peer."""
@@ -195,6 +200,11 @@
         )
 
     def on_asked(self, peer, deadline, reply, status, body):
+        """Handles the answer to a question of `on_ask`, from the peer's link.
+
+        Notes how the call ended, hears the heartbeat in the answer, and hands status and body on
+        to the asker's `reply`.
+        """
         self.note_outcome(peer, status, self.now() < deadline - self.bounds.heartbeat_s)
         if status == 200 and isinstance(body, dict) and HEARTBEAT_FIELD in body:
             self.hear(peer, lambda: read_heartbeat(body[HEARTBEAT_FIELD]))
@@ -230,102 +240,14 @@
         try:
             heartbeat = read()
             self.detector.hear(heartbeat, self.now(), self.system.wall())
-        except MalformedStatement as error:
+        except MalformedPeerMessageError as error:
             self.refuse(peer, error)
             return None
         return heartbeat
 
     def refuse(self, peer, error):
-        """Counts a statement that can't be taken, and logs the first of each peer."""
+        """Counts a message that can't be taken, and logs the first of each peer."""
         peer = peer if peer in self.links else "an unknown sender"
-        self.refused[peer] += 1
-        if self.refused[peer] == 1:
-            log.warning("a statement of %s is refused, as will be others: %s", peer, error)
-
-    # --- pings and probes
-
-    def ping(self, peer, waiting=()):
-        """Asks a peer for a sign of life; `waiting` are answered with what comes of it."""
-        self.pinging[peer] = list(waiting)
-        heartbeat = self.heartbeat()
-        body = {} if heartbeat is None else write_ping(heartbeat)
-        timeout = self.bounds.heartbeat_s
-        # The link may be busy with a question that nobody answers.
-        self.after(timeout, "ping_overdue", peer)
-        self.links[peer].call("POST", "/peer/ping", body, timeout, self.then("pinged", peer))
-
-    def on_pinged(self, peer, status, body):
-        self.note_outcome(peer, status, False)
-        if status == 200 and body:  # empty while that process does not know which one it is
-            self.hear(peer, lambda: read_ping(body))
-        if status == REFUSED:
-            self.end_ping(peer, PingOutcome.REFUSED)
-        else:
-            self.end_ping(peer, PingOutcome.SILENT if status == NO_ANSWER else PingOutcome.ANSWERED)
-
-    def on_ping_overdue(self, peer):
-        self.end_ping(peer, PingOutcome.SILENT)
-
-    def end_ping(self, peer, outcome):
-        for reply in self.pinging.pop(peer, ()):
-            reply(200, write_probe_result(self.probe_result(peer, outcome)))
-
-    def probe_result(self, peer, outcome):
-        """What this controller tells another about a peer."""
-        record = self.detector.peers[peer]
-        if outcome is not PingOutcome.ANSWERED or not record.heard_directly:
-            return ProbeResult(peer, outcome, None, 0.0)
-        return ProbeResult(
-            peer, outcome, record.direct_mark, max(0.0, self.now() - record.direct_at)
-        )
-
-    def on_ping(self, data, reply):
-        """A peer wants a sign of life."""
-        if isinstance(data, dict) and HEARTBEAT_FIELD in data:
-            self.hear("", lambda: read_ping(data))
-        reply(200, self.with_heartbeat({}))
-
-    def on_probe(self, data, reply):
-        """A peer asks whether this controller reaches another one."""
-        try:
-            request = read_probe(data)
-            self.detector.peer(request.sender)
-            record = self.detector.peer(request.target)
-        except MalformedStatement as error:
-            self.refuse("", error)
-            reply(400, {"error": str(error)})
-            return
-        now = self.now()
-        if now - record.direct_at < self.bounds.heartbeat_s:
-            outcome = PingOutcome.ANSWERED
-        elif record.refuses(now) and now - record.refused_at < self.bounds.heartbeat_s:
-            outcome = PingOutcome.REFUSED
-        elif request.target in self.pinging:
-            self.pinging[request.target].append(reply)
-            return
-        else:
-            self.ping(request.target, [reply])
-            return
-        reply(200, write_probe_result(self.probe_result(request.target, outcome)))
-
-    def send_probes(self, order):
-        """Asks others about a suspected peer, and the peer itself."""
-        if order.target not in self.pinging:
-            self.ping(order.target)
-        body = write_probe(ProbeRequest(self.settings.node, order.target))
-        timeout = 2 * self.bounds.heartbeat_s
-        for relay in order.relays:
-            self.links[relay].call(
-                "POST", "/peer/probe", body, timeout, self.then("probed", relay, order.target)
-            )
-
-    def on_probed(self, relay, target, status, body):
-        if status != 200:
-            return
-        try:
-            result = read_probe_result(body)
-            if result.target != target:
-                raise MalformedStatement("it is about another controller")
-            self.detector.probed(relay, result, self.now())
-        except MalformedStatement as error:
-            self.refuse(relay, error)
+        self.refused_messages[peer] += 1
+        if self.refused_messages[peer] == 1:
+            log.warning("a message of %s is refused, as will be others: %s", peer, error)
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -11,9 +11,9 @@
     states: dict[str, PeerState]
     serving: frozenset[str]  # these can commit; this controller is among them
     slow: frozenset[str]  # these ask not to be given others' work
-    may_take_over: bool  # whether this controller trusts its own picture
+    may_fail_over: bool  # whether this controller trusts its own picture enough to fail over
     may_return: bool  # whether it has served for long enough to get its home shards back
-    # Of the last change of a node's key, a shard or the lead that this view takes into account.
+    # Of the last change of a node's key, a shard or the leader's key that this view takes in.
     revision: int = -1
 
     @property
--- a/emberglade/node.py
+++ b/emberglade/node.py
@@ -93,7 +93,7 @@
 def watch_peers(settings, operators, store, member, peer_clients):
     """The monitor of the other controllers, which the member's claims follow from now on."""
     from .failure_detection import (  # a start without it does not pay for it
-        LeadPlanner,
+        LeaderPlanner,
         PeerMonitor,
         ShardPlanner,
         detection_bounds,
@@ -104,7 +104,7 @@
     domains = failure_domains(settings, operators)
     member.watch_peers(
         ShardPlanner(settings.node, settings.names, shard_count(settings), bounds.heartbeat_s),
-        LeadPlanner(settings.node, settings.names, bounds.heartbeat_s),
+        LeaderPlanner(settings.node, settings.names, bounds.heartbeat_s),
     )
     return PeerMonitor(settings, bounds, domains, store, peer_clients)
 
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -326,7 +326,9 @@
 
 def deaf_to_vouchers(patch):
     """That another controller hears a peer counts for nothing."""
-    patch.setattr(PeerDetector, "_vouch", lambda self, peer, mark, sent_at, now: False)
+    patch.setattr(
+        PeerDetector, "_note_heard_by_other", lambda self, peer, mark, sent_at, now: False
+    )
 
 
 def copies_count(patch):
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -9,7 +9,7 @@
 from emberglade.failure_detection.messages import (
     Heartbeat,
     Incarnation,
-    MalformedStatement,
+    MalformedPeerMessageError,
     Mark,
     Opinion,
     PeerState,
@@ -127,7 +127,7 @@
         try:
             if not self.detector.hear(heartbeat, self.now, self.now):
                 self.copies += 1
-        except MalformedStatement:
+        except MalformedPeerMessageError:
             self.refused += 1
 
     def do_hear(self, name, *words):
@@ -179,7 +179,7 @@
         body["heartbeat"].update(orjson.loads(text))
         try:
             read_ping(body)
-        except MalformedStatement:
+        except MalformedPeerMessageError:
             self.refused += 1
 
     # --- what is watched and expected
