--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -18,18 +18,18 @@
     attempt: int
     stop: int  # KEEP, STOP or SAVE
     stop_seen: int  # revision at which the stop was seen
-    session: int  # of the machine
+    agent_epoch: int  # of the machine
 
 
 class Entry:
     """What the agents has of a live job: only what decides over commands."""
 
-    __slots__ = ("spec", "generation", "withdrawn", "withdrawn_at", "parts")
+    __slots__ = ("spec", "generation", "cancelled", "cancelled_at", "parts")
 
     def __init__(self, spec, generation):
-        # `withdrawn_at`: the revision at which the withdrawal was seen; `generation` of the layout
-        # of its parts
-        self.spec, self.withdrawn, self.withdrawn_at, self.parts = spec, False, 0, {}
+        # `cancelled_at`: the revision at which the cancellation was seen; `generation`: of the
+        # layout of its parts
+        self.spec, self.cancelled, self.cancelled_at, self.parts = spec, False, 0, {}
         self.generation = generation
 
     def bound(self):
@@ -84,14 +84,14 @@
             generation = data.get("g", "")
             if entry is None:
                 entry = self.jobs[job_id] = Entry(Spec.decode(job_id, data["s"]), generation)
-                if job_id in self.heard_withdrawn:
-                    self.see_withdrawal(job_id, entry, self.heard_withdrawn[job_id])
+                if job_id in self.heard_cancelled:
+                    self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
                 for number, (part, part_stamp) in self.take_loose(job_id, generation).items():
                     self.put_part(job_id, entry, number, part, part_stamp)
             elif generation != entry.generation:
                 self.change_layout(job_id, entry, data, stamp)
-            if data.get("w") and not entry.withdrawn:
-                self.see_withdrawal(job_id, entry, stamp)
+            if data.get("w") and not entry.cancelled:
+                self.see_cancellation(job_id, entry, stamp)
             self.put_part(job_id, entry, 0, data.get("p", {}), stamp)
         elif key.startswith("t/"):
             self.absorb_part(key, data, stamp)
@@ -159,7 +159,7 @@
     def drop_job(self, job_id):
         entry = self.jobs.pop(job_id, None)
         self.loose.pop(job_id, None)
-        self.forget_withdrawal(job_id)
+        self.forget_cancellation(job_id)
         if entry is not None:
             for number in list(entry.parts):
                 self.put_part(job_id, entry, number, {}, 0)
@@ -190,7 +190,7 @@
                 self.fresh.append((job_id, task, *row[:3]))
 
     def want(self, job_id, task, row, since):
-        attempt, machine, session, *stop = row
-        wanted = Wanted(attempt, stop[0] if stop else KEEP, since, session)
+        attempt, machine, agent_epoch, *stop = row
+        wanted = Wanted(attempt, stop[0] if stop else KEEP, since, agent_epoch)
         self.bound.setdefault(machine, {})[(job_id, task)] = wanted
         self.touched.add(row[1])
--- a/emberglade/agents/withdrawals.py
+++ b/emberglade/agents/cancellations.py
@@ -1,9 +1,9 @@
-"""Halts of withdrawn jobs' tasks, sent directly to their machines and told to the other
+"""Halts of cancelled jobs' tasks, sent directly to their machines and told to the other
 controllers.
 
-A withdrawal reaches a task in the next answer to its machine's report, if the controller that
+A cancellation reaches a task in the next answer to its machine's report, if the controller that
 answers has seen it. One that the state service refuses has not, and its workers go on reporting to
-it. So the controller that confirms a withdrawal halts the tasks itself, and every other one that
+it. So the controller that confirms a cancellation halts the tasks itself, and every other one that
 knows of it does so a little later if the record still shows them (docs/safety.md, 8).
 """
 
@@ -14,86 +14,87 @@
 
 log = logging.getLogger("emberglade.agents")
 
-LATER_REPORTS = (
-    3  # report intervals after which the controllers that did not confirm a withdrawal halt as well
-)
+# Heartbeat intervals after which the controllers that did not confirm a cancellation halt as well.
+LATER_HEARTBEATS = 3
 
 
-class Withdrawals:
-    """The part of the agents that sees to it that withdrawn tasks end, whoever their machines
+class Cancellations:
+    """The part of the agents that sees to it that cancelled tasks end, whoever their machines
     report to.
     """
 
     def __init__(self, settings):
-        self.withdrawn = {}  # live withdrawn job -> from when on its tasks are halted directly
+        self.cancelled = {}  # live cancelled job -> from when on its tasks are halted directly
         # job -> revision, told by a peer of what this copy does not show yet
-        self.heard_withdrawn = {}
+        self.heard_cancelled = {}
         self.halted = {}  # machine -> (session, when the last direct halt was sent)
         self.halting = set()  # machines whose answer to a direct halt is awaited
-        # withdrawn job -> {(task, attempt)} that its machine's own report shows ended
+        # cancelled job -> {(task, attempt)} that its machine's own report shows ended
         self.seen_off = {}
         # Machines that hang hold a thread each until they time out; starts need some as well.
         self.most_halting = max(2, settings.fd_limit // 128)
         self.held_back = False  # some halts wait for others to be answered
 
-    # --- who knows of a withdrawal
+    # --- who knows of a cancellation
 
-    def see_withdrawal(self, job_id, entry, revision):
-        entry.withdrawn, entry.withdrawn_at = True, revision
+    def see_cancellation(self, job_id, entry, revision):
+        entry.cancelled, entry.cancelled_at = True, revision
         self.touched.update(row[1] for _, row in entry.bound())
-        self.withdrawn.setdefault(job_id, self.now() + LATER_REPORTS * self.settings.report_s)
+        self.cancelled.setdefault(
+            job_id, self.now() + LATER_HEARTBEATS * self.settings.agent_heartbeat_s
+        )
 
-    def forget_withdrawal(self, job_id):
-        self.withdrawn.pop(job_id, None)
+    def forget_cancellation(self, job_id):
+        self.cancelled.pop(job_id, None)
         self.seen_off.pop(job_id, None)
 
-    def is_withdrawn(self, job_id):
-        return job_id in self.withdrawn or job_id in self.heard_withdrawn
+    def is_cancelled(self, job_id):
+        return job_id in self.cancelled or job_id in self.heard_cancelled
 
-    def withdrawn_revision(self, job_id):
+    def cancelled_revision(self, job_id):
         entry = self.jobs.get(job_id)
-        return entry.withdrawn_at if entry is not None else self.heard_withdrawn[job_id]
+        return entry.cancelled_at if entry is not None else self.heard_cancelled[job_id]
 
-    def on_confirm_withdrawal(self, job_id):
-        """This controller tells a user that the job is withdrawn; its copy shows that."""
-        if job_id in self.withdrawn:
-            self.withdrawn[job_id] = self.now()
+    def on_confirm_cancellation(self, job_id):
+        """This controller tells a user that the job is cancelled; its copy shows that."""
+        if job_id in self.cancelled:
+            self.cancelled[job_id] = self.now()
             for link in self.peers.values():
                 link.call(
                     "POST",
                     "/peer/withdrawn",
-                    wire.withdrawal(job_id, self.withdrawn_revision(job_id)),
-                    self.settings.report_s,
+                    wire.cancellation(job_id, self.cancelled_revision(job_id)),
+                    self.settings.agent_heartbeat_s,
                     lambda status, body: None,
                 )
             self.press_halts(job_id)
 
-    def on_hear_withdrawal(self, job_id, revision):
-        """A peer's word is enough to halt; that the job is withdrawn is told to users from the copy
+    def on_hear_cancellation(self, job_id, revision):
+        """A peer's word is enough to halt; that the job is cancelled is told to users from the copy
         alone.
         """
         if revision <= self.revision:
             return  # shown by the copy, if the job is not over by now
-        self.heard_withdrawn[job_id] = revision
+        self.heard_cancelled[job_id] = revision
         entry = self.jobs.get(job_id)
-        if entry is not None and not entry.withdrawn:
-            self.see_withdrawal(job_id, entry, revision)
+        if entry is not None and not entry.cancelled:
+            self.see_cancellation(job_id, entry, revision)
 
     def on_peer_dead(self, name):
         """Its halts may not have been sent: every survivor sends those that are due, at once."""
         now = self.now()
-        for job_id, due in self.withdrawn.items():
-            self.withdrawn[job_id] = min(due, now)
+        for job_id, due in self.cancelled.items():
+            self.cancelled[job_id] = min(due, now)
         self.press_due_halts()
 
     # --- direct halts
 
     def on_press_halts(self):
-        tell_after(self.settings.report_s / 2, self.on_press_halts)
+        tell_after(self.settings.agent_heartbeat_s / 2, self.on_press_halts)
         for job_id in [
-            job_id for job_id, revision in self.heard_withdrawn.items() if revision <= self.revision
+            job_id for job_id, revision in self.heard_cancelled.items() if revision <= self.revision
         ]:
-            del self.heard_withdrawn[job_id]
+            del self.heard_cancelled[job_id]
         self.halted = {
             name: last
             for name, last in self.halted.items()
@@ -104,7 +105,7 @@
     def press_due_halts(self):
         self.held_back = False
         now = self.now()
-        for job_id in [job_id for job_id, due in self.withdrawn.items() if due <= now]:
+        for job_id in [job_id for job_id, due in self.cancelled.items() if due <= now]:
             self.press_halts(job_id)
 
     def press_halts(self, job_id):
@@ -115,10 +116,10 @@
         if entry is None:
             return
         off = self.seen_off.setdefault(job_id, set())
-        for task, (attempt, machine, session, *_) in entry.bound():
+        for task, (attempt, machine, agent_epoch, *_) in entry.bound():
             if (task, attempt) not in off:
-                machines.setdefault((machine, session), []).append((task, attempt))
-        for machine, session in machines:
+                machines.setdefault((machine, agent_epoch), []).append((task, attempt))
+        for machine, agent_epoch in machines:
             if len(self.halting) >= self.most_halting:
                 self.held_back = True
                 return
@@ -127,59 +128,63 @@
             if (
                 last_seen is None
                 or not last_seen.row.addr
-                or last_seen.row.session > session
+                or last_seen.row.agent_epoch > agent_epoch
                 or machine in self.halting
                 or (
-                    last[0] == session
-                    and now - last[1] < self.settings.report_s
-                    and self.withdrawn[job_id] < last[1]
+                    last[0] == agent_epoch
+                    and now - last[1] < self.settings.agent_heartbeat_s
+                    and self.cancelled[job_id] < last[1]
                 )
             ):
                 continue
-            self.send_halts(machine, session, last_seen.row.addr, self.revision)
+            self.send_halts(machine, agent_epoch, last_seen.row.addr, self.revision)
 
-    def send_halts(self, machine, session, addr, token):
-        """All of this machine's withdrawn tasks in one message.
+    def send_halts(self, machine, agent_epoch, addr, fencing_token):
+        """All of this machine's cancelled tasks in one message.
 
-        Its token is at least the revision of the withdrawal, so that no start from before it, on
+        Its token is at least the revision of the cancellation, so that no start from before it, on
         its way however long, is accepted afterwards.
         """
         commands = []
         for (job_id, task), want in self.bound.get(machine, {}).items():
-            if job_id in self.withdrawn and want.session == session:
-                token = max(token, self.withdrawn_revision(job_id))
+            if job_id in self.cancelled and want.agent_epoch == agent_epoch:
+                fencing_token = max(fencing_token, self.cancelled_revision(job_id))
                 commands.append(wire.halt(f"{job_id}/{task}", want.attempt, 0))
         if not commands:
             return
-        self.halted[machine] = (session, self.now())
+        self.halted[machine] = (agent_epoch, self.now())
         self.halting.add(machine)
         self.workers.call(
             addr,
             "POST",
             "/commands",
-            wire.orders(token, session, commands),
-            self.settings.report_s,
-            callback(self.on_halted, machine, session, addr, token),
+            wire.orders(fencing_token, agent_epoch, commands),
+            self.settings.agent_heartbeat_s,
+            callback(self.on_halted, machine, agent_epoch, addr, fencing_token),
         )
 
-    def on_halted(self, machine, session, addr, token, status, body):
+    def on_halted(self, machine, agent_epoch, addr, fencing_token, status, body):
         self.halting.discard(machine)
         self.on_ordered(machine, status, body)
         if status not in (200, 409):
             return
         try:
-            report = wire.read_report(body)
-            tasks = wire.read_tasks(report.raw)
+            heartbeat = wire.read_agent_heartbeat(body)
+            tasks = wire.read_tasks(heartbeat.raw)
         except ValueError:
             return  # logged already
-        if status == 409 and report.session == session and report.token > token:
-            # It has seen a newer token. Halts of what is withdrawn are true at any time.
-            self.send_halts(machine, session, addr, report.token)
+        if (
+            status == 409
+            and heartbeat.agent_epoch == agent_epoch
+            and heartbeat.fencing_token > fencing_token
+        ):
+            # It has seen a newer token. Halts of what is cancelled are true at any time.
+            self.send_halts(machine, agent_epoch, addr, heartbeat.fencing_token)
             return
         for (job_id, task), want in self.bound.get(machine, {}).items():
             seen = tasks.get((job_id, task))
-            if job_id in self.withdrawn and (
-                report.session > want.session
+            if job_id in self.cancelled and (
+                heartbeat.agent_epoch > want.agent_epoch
                 or seen is None
                 or seen.attempt != want.attempt
                 or seen.state == "exited"
--- a/emberglade/agents/commands.py
+++ b/emberglade/agents/commands.py
@@ -17,10 +17,10 @@
 
     def commands(self, known, synced):
         """(token, commands, what more a sync would allow: nothing, a clear, or a start)."""
-        report, tasks = known.report, known.tasks
-        token, commands, more = max(report.token, known.probe or 0), [], None
-        bound = self.bound.get(report.machine, {})
-        tainted = report.machine in self.taints
+        heartbeat, tasks = known.heartbeat, known.tasks
+        fencing_token, commands, more = max(heartbeat.fencing_token, known.probe or 0), [], None
+        bound = self.bound.get(heartbeat.machine, {})
+        tainted = heartbeat.machine in self.taints
         for key, seen in tasks.items():
             name = task_name(*key)
             want = bound.get(key)
@@ -29,48 +29,48 @@
                     continue  # the holder is told; cleared once that is written
                 stop, since = self.stop_of(key, want)
                 if stop != KEEP:
-                    token = max(token, since)
+                    fencing_token = max(fencing_token, since)
                     grace = self.grace(self.jobs[key[0]], stop)
                     if seen.state != "saving" or stop != SAVE:
                         commands.append(wire.halt(name, seen.attempt, grace))
-            elif seen.state != "exited" and self.is_withdrawn(key[0]):
-                # Whatever the copy lacks, nothing of a withdrawn job is wanted anywhere.
-                token = max(token, self.withdrawn_revision(key[0]))
+            elif seen.state != "exited" and self.is_cancelled(key[0]):
+                # Whatever the copy lacks, nothing of a cancelled job is wanted anywhere.
+                fencing_token = max(fencing_token, self.cancelled_revision(key[0]))
                 commands.append(wire.halt(name, seen.attempt, 0))
             elif not synced:
                 more = more or CLEAR
             elif seen.state == "exited":
                 # Fenced: no start of this attempt that is still on its way can follow the clear.
-                token = max(token, self.revision)
+                fencing_token = max(fencing_token, self.revision)
                 commands.append(wire.clear(name, seen.attempt))
             else:
-                token = max(token, self.revision)
+                fencing_token = max(fencing_token, self.revision)
                 log.info(
                     "%s attempt %d on %s is not wanted there; stopping it",
                     name,
                     seen.attempt,
-                    report.machine,
+                    heartbeat.machine,
                 )
                 commands.append(wire.halt(name, seen.attempt, 0))
         for key, want in bound.items():
             seen = tasks.get(key)
             if (
                 seen is not None and seen.attempt == want.attempt
-            ) or report.session != want.session:
+            ) or heartbeat.agent_epoch != want.agent_epoch:
                 continue
             stop, since = self.stop_of(key, want)
             if stop != KEEP:
                 # Absent: with this token seen, no late start can bring it back.
-                token = max(token, since)
+                fencing_token = max(fencing_token, since)
             elif seen is not None and seen.state != "exited":
                 continue  # another attempt is still there; it is being stopped first
-            elif tainted or known.deaf or report.notice_s is not None:
+            elif tainted or known.unreachable or heartbeat.spot_notice_s is not None:
                 continue
             elif not synced:
                 more = START
             else:
                 commands.append(wire.start(task_name(*key), want.attempt))
-        return token, commands, more
+        return fencing_token, commands, more
 
     @staticmethod
     def grace(entry, stop):
@@ -78,9 +78,9 @@
 
     def stop_of(self, key, want):
         entry = self.jobs[key[0]]
-        if entry.withdrawn:
+        if entry.cancelled:
             return STOP, (
-                min(want.stop_seen, entry.withdrawn_at) if want.stop else entry.withdrawn_at
+                min(want.stop_seen, entry.cancelled_at) if want.stop else entry.cancelled_at
             )
         return want.stop, want.stop_seen
 
@@ -94,7 +94,7 @@
         attempt that is never started again, so it does no harm at any time.
         """
         machines = {}
-        for job_id, task, attempt, machine, session in fresh:
+        for job_id, task, attempt, machine, agent_epoch in fresh:
             entry = self.jobs.get(job_id)
             # Once broken: the binding and its stop came in one change, and the start went out all
             # the same, with a token above the stop's (rules/stopped_in_one_change.txt).
@@ -102,30 +102,30 @@
             if (
                 want is None
                 or want.attempt != attempt
-                or want.session != session
-                or entry.withdrawn
+                or want.agent_epoch != agent_epoch
+                or entry.cancelled
                 or self.holder_of(entry.spec) != self.settings.node
             ):
                 continue
             name = task_name(job_id, task)
-            machines.setdefault((machine, session), []).append(
+            machines.setdefault((machine, agent_epoch), []).append(
                 wire.start(name, attempt)
                 if want.stop == KEEP
                 else wire.halt(name, attempt, self.grace(entry, want.stop))
             )
         now = self.now()
-        for (machine, session), commands in machines.items():
+        for (machine, agent_epoch), commands in machines.items():
             last_seen = self.evidence.view.get(machine)
             if last_seen is None:
                 continue
             row = last_seen.row
-            if machine in self.taints or row.notice:
+            if machine in self.taints or row.spot_notice:
                 commands = [command for command in commands if wire.is_halt(command)]
             if (
                 not commands
                 or not row.addr
-                or row.session != session
-                or row.deaf
+                or row.agent_epoch != agent_epoch
+                or row.unreachable
                 or now - last_seen.heard > self.settings.lease_s / 2
             ):
                 continue
@@ -133,8 +133,8 @@
                 row.addr,
                 "POST",
                 "/commands",
-                wire.orders(self.revision, session, commands),
-                self.settings.report_s,
+                wire.orders(self.revision, agent_epoch, commands),
+                self.settings.agent_heartbeat_s,
                 callback(self.on_ordered, machine),
             )
 
@@ -143,14 +143,19 @@
         if status not in (200, 409):
             return
         try:
-            report = wire.read_report(body)
-            tasks = wire.read_tasks(report.raw)
+            heartbeat = wire.read_agent_heartbeat(body)
+            tasks = wire.read_tasks(heartbeat.raw)
         except ValueError as error:
             log.info("%s answered a command with an odd report: %s", machine, error)
             return
-        known = self.known.get(report.machine)
+        known = self.known.get(heartbeat.machine)
         # Direct commands renew no lease, and where the worker reports is not this node's to say.
-        if known is not None and known.report.age < report.age:
-            known.report, known.tasks, known.heard, known.quiet = report, tasks, self.now(), False
-            self.evidence.view[report.machine] = self.last_seen(known)
-        self.tell_holders(report, tasks)
+        if known is not None and known.heartbeat.age < heartbeat.age:
+            known.heartbeat, known.tasks, known.heard, known.quiet = (
+                heartbeat,
+                tasks,
+                self.now(),
+                False,
+            )
+            self.evidence.view[heartbeat.machine] = self.last_seen(known)
+        self.tell_holders(heartbeat, tasks)
--- a/emberglade/agents/exchange.py
+++ b/emberglade/agents/exchange.py
@@ -27,14 +27,17 @@
         self.asked_from = 0  # where among the lost machines the next question begins
         self.inventory, self.inventory_told = {}, float("-inf")
         self.newcomers = []
-        self.deaf_now, self.hearing_now = [], []
+        self.newly_unreachable, self.newly_reachable = [], []
 
     def on_ask_peers(self):
         """Asks peers for all machines now and then, and more often for those whose tasks wait for
         proof.
         """
         now = self.now()
-        often, interval = min(1.0, self.settings.report_s) / 4, self.settings.exchange_s
+        often, interval = (
+            min(1.0, self.settings.agent_heartbeat_s) / 4,
+            self.settings.peer_exchange_s,
+        )
         lost = [
             name for name, taint in self.taints.items() if taint == "lost" and name in self.bound
         ]
@@ -46,14 +49,14 @@
             self.asked_whole = now
         only = None if whole else self.next_asked(lost)
         for name, link in self.peers.items():
-            if now - self.asked.get(name, -100) < 3 * self.settings.report_s:
+            if now - self.asked.get(name, -100) < 3 * self.settings.agent_heartbeat_s:
                 continue
             self.asked[name] = now
             link.call(
                 "POST",
                 "/peer/heard",
                 wire.question(self.settings.node, only),
-                2 * self.settings.report_s,
+                2 * self.settings.agent_heartbeat_s,
                 callback(self.on_peer_heard, name, now, None if whole else frozenset(only)),
             )
 
@@ -64,12 +67,12 @@
         return lost[first : first + MAX_ASKED]
 
     def on_tick(self):
-        tell_after(min(1.0, self.settings.report_s), self.on_tick)
+        tell_after(min(1.0, self.settings.agent_heartbeat_s), self.on_tick)
         self.answer_late(self.now())
         self.write_updates()
         if self.needs_rows(self.now()) and not self.rows_in_table:
             self.ask_for_table()
-        if self.now() - self.inventory_told >= self.settings.exchange_s:
+        if self.now() - self.inventory_told >= self.settings.peer_exchange_s:
             self.tell_inventory()
 
     def last_seen(self, known):
@@ -77,17 +80,17 @@
 
     @staticmethod
     def row(known, now):
-        report = known.report
+        heartbeat = known.heartbeat
         return wire.Row(
             round(now - max(known.heard, known.answered), 3),
-            report.type,
-            report.zone,
-            report.spot,
-            report.session,
-            report.tally,
-            report.notice_s is not None,
-            known.deaf,
-            report.addr,
+            heartbeat.type,
+            heartbeat.zone,
+            heartbeat.spot,
+            heartbeat.agent_epoch,
+            heartbeat.sequence,
+            heartbeat.spot_notice_s is not None,
+            known.unreachable,
+            heartbeat.addr,
         )
 
     def rows(self, now, within, only=None):
@@ -108,19 +111,19 @@
                 if quiet >= 10 * self.settings.lease_s:
                     continue
                 last_seen = view.get(name)
-                if last_seen is not None and last_seen.age > known.report.age:
+                if last_seen is not None and last_seen.age > known.heartbeat.age:
                     continue
-            report = known.report
+            heartbeat = known.heartbeat
             rows[name] = (
                 round(now - max(known.heard, known.answered), 3),
-                report.type,
-                report.zone,
-                report.spot,
-                report.session,
-                report.tally,
-                report.notice_s is not None,
-                known.deaf,
-                report.addr,
+                heartbeat.type,
+                heartbeat.zone,
+                heartbeat.spot,
+                heartbeat.agent_epoch,
+                heartbeat.sequence,
+                heartbeat.spot_notice_s is not None,
+                known.unreachable,
+                heartbeat.addr,
             )
         return rows
 
@@ -157,7 +160,7 @@
             self.evidence.compare_copies(self.revision)
             if (
                 self.evidence.told[name].copy_revision > self.revision >= 0
-                and self.now() - self.contact > self.settings.report_s / 2
+                and self.now() - self.contact > self.settings.agent_heartbeat_s / 2
             ):
                 # The state service is out of reach here. What it committed may be had from this
                 # peer.
@@ -165,7 +168,7 @@
                     "POST",
                     "/peer/changes",
                     state_wire.since(self.revision),
-                    2 * self.settings.report_s,
+                    2 * self.settings.agent_heartbeat_s,
                     lambda status, body, since=self.revision: tell(
                         self.store.on_changes_of_peer, since, status, body
                     ),
@@ -174,7 +177,7 @@
     def soon_inventory(self):
         if not self.inventory_due:
             self.inventory_due = True
-            tell_after(self.settings.report_s / 8, self.on_inventory)
+            tell_after(self.settings.agent_heartbeat_s / 8, self.on_inventory)
 
     def on_inventory(self):
         self.inventory_due = False
@@ -189,11 +192,11 @@
             self.newcomers = []
         for names, text in (
             (
-                self.deaf_now,
+                self.newly_unreachable,
                 "%d machines lost their lease although they were answered; "
                 "they get no work until they hear us: %s%s",
             ),
-            (self.hearing_now, "%d machines hear us again: %s%s"),
+            (self.newly_reachable, "%d machines hear us again: %s%s"),
         ):
             if names:
                 log.info(
@@ -212,7 +215,7 @@
             name: at for name, at in self.sent_home.items() if now - at < 4 * self.settings.lease_s
         }
         self.evidence.forget_old(now)
-        fresh = 3 * self.settings.report_s + 1
+        fresh = 3 * self.settings.agent_heartbeat_s + 1
         if self.evidence.missing_peers(now):
             # Their tables come less often than their answers would.
             fresh += TABLE_S
@@ -220,22 +223,24 @@
         for name, last_seen in self.evidence.view.items():
             row = last_seen.row
             if row.type in self.types:
-                usable = now - last_seen.heard < fresh and not row.notice and not row.deaf
+                usable = (
+                    now - last_seen.heard < fresh and not row.spot_notice and not row.unreachable
+                )
                 old = self.inventory.get(name)
                 if (
                     old is None
-                    or (old.session, old.open) != (row.session, usable)
+                    or (old.agent_epoch, old.open) != (row.agent_epoch, usable)
                     or old.type is not self.types[row.type]
                 ):
                     old = Machine(
-                        name, self.types[row.type], row.zone, row.spot, row.session, usable
+                        name, self.types[row.type], row.zone, row.spot, row.agent_epoch, usable
                     )
                 inventory[name] = old
         self.inventory, self.inventory_told = inventory, now
         tell(self.job_manager.on_inventory, inventory)
 
     def on_silence(self, reply, tainted=False):
-        """`reply({machine: (heard, proven over, deaf, whether it ever was)}, slack)` for the
+        """`reply({machine: (heard, proven over, unreachable, whether it ever was)}, slack)` for the
         leader; of tainted machines only if so asked. Who was never heard counts from when this
         process began.
         """
@@ -262,7 +267,7 @@
             result[name] = (
                 heard,
                 proven,
-                last_seen is not None and last_seen.row.deaf,
+                last_seen is not None and last_seen.row.unreachable,
                 last_seen is not None,
             )
         reply(result, slack)
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -23,7 +23,7 @@
 
     @property
     def age(self):
-        return self.row.session, self.row.tally
+        return self.row.agent_epoch, self.row.sequence
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
     def see(self, machine, row, heard):
         """Notes what a source tells; True if it is newer than all that was known."""
         old = self.view.get(machine)
-        age = row.session, row.tally
+        age = row.agent_epoch, row.sequence
         if old is None or age > old.age:
             self.view[machine] = LastSeen(row, heard)
             return True
@@ -81,7 +81,7 @@
         found = wire.read_statement(body)
         if found is None:
             return False
-        lately = 2 * self.settings.report_s
+        lately = 2 * self.settings.agent_heartbeat_s
         statement = Statement(
             asked, got, *found, sum(row.age_s < lately for row in found[3].values())
         )
@@ -142,7 +142,7 @@
     def missing_peers(self, now):
         """Whether a peer has not answered lately, so that only its tables tell of its machines."""
         return any(
-            now - self.told[p.name].asked > 4 * self.settings.report_s
+            now - self.told[p.name].asked > 4 * self.settings.agent_heartbeat_s
             if p.name in self.told
             else True
             for p in self.settings.peers
@@ -159,7 +159,7 @@
         Each node states, from a copy that shows the taint, when it last heard or answered the
         machine. For a node that can't be asked its own key speaks: without it, and with the taint
         in its copy, it does not answer this machine, and with an older copy it answers nobody for
-        longer than `blind_s` (docs/safety.md, 7).
+        longer than `max_staleness_s` (docs/safety.md, 7).
         """
         limit = self.settings.lease_s * DRIFT + MARGIN_S
         last, covered = own_heard, now
@@ -179,7 +179,9 @@
             if gone is not None:
                 # Once broken: this node was left out of the account, though a worker that it had
                 # kept alive could go to a node whose statement was older (rules/fence.txt).
-                said.append((max(gone, taint_seen) + self.settings.blind_s * DRIFT, self.contact))
+                said.append(
+                    (max(gone, taint_seen) + self.settings.max_staleness_s * DRIFT, self.contact)
+                )
             if not said:
                 return False
             its_last, its_covered = max(said, key=lambda pair: pair[1] - pair[0])
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -10,12 +10,12 @@
 from ..state import Follower
 from . import wire
 from .bindings import CommittedBindings
+from .cancellations import Cancellations
 from .commands import START, Commands
 from .exchange import PeerExchange
 from .routing import Routing
 from .tables import Tables
 from .update_forwarding import UpdateForwarding
-from .withdrawals import Withdrawals
 
 log = logging.getLogger("emberglade.agents")
 
@@ -23,13 +23,13 @@
 class Known:
     """A machine as last reported here."""
 
-    __slots__ = ("report", "tasks", "heard", "answered", "quiet", "deaf", "probe")
+    __slots__ = ("heartbeat", "tasks", "heard", "answered", "quiet", "unreachable", "probe")
 
-    def __init__(self, report, now):
-        self.report, self.tasks = report, None
+    def __init__(self, heartbeat, now):
+        self.heartbeat, self.tasks = heartbeat, None
         self.heard = self.answered = now
         self.quiet = False  # its last report led to nothing and waited for nothing
-        self.deaf = False  # our answers don't reach it, as far as can be seen
+        self.unreachable = False  # our answers don't reach it, as far as can be seen
         self.probe = None  # a token that it reports once it hears us again
 
 
@@ -40,7 +40,7 @@
     Routing,
     PeerExchange,
     Tables,
-    Withdrawals,
+    Cancellations,
     Follower,
 ):
     """Answers workers' reports and commands their machines, out of the committed copy."""
@@ -56,7 +56,7 @@
         Routing.__init__(self)
         PeerExchange.__init__(self, settings)
         Tables.__init__(self)
-        Withdrawals.__init__(self, settings)
+        Cancellations.__init__(self, settings)
         self.known = {}  # machine -> Known
         self.contact = float("-inf")  # when the last sync that was answered was sent
         self.waiting = {}  # reports that wait for a sync: number -> (known, report, reply, since)
@@ -68,7 +68,7 @@
         tell_after(0.3, self.on_ask_peers)
         tell_after(0.5, self.on_tick)
         tell_after(1.0, self.on_tables)
-        tell_after(self.settings.report_s, self.on_press_halts)
+        tell_after(self.settings.agent_heartbeat_s, self.on_press_halts)
 
     def on_contact(self, when, revision):
         self.contact = max(self.contact, when)
@@ -76,9 +76,9 @@
 
     # --- reports
 
-    def on_beat(self, data, reply):
+    def on_heartbeat(self, data, reply):
         try:
-            report = wire.read_report(data)
+            heartbeat = wire.read_agent_heartbeat(data)
         except ValueError as error:
             reply(400, {"error": str(error)})
             return
@@ -86,33 +86,33 @@
         better = self.better_node(now)
         # Peers that lose contact themselves answer questions late by up to what a sync may take
         # (meetings/gap_silent.txt, 2).
-        level_for = self.settings.lease_s / 4 + self.settings.report_s
+        level_for = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         if better is not None and now - self.evidence.level_since() > level_for:
             reply(421, wire.elsewhere(better))
             return
-        name = report.machine
+        name = heartbeat.machine
         taint = self.taints.get(name)
         if not self.entitled(now) or (taint and self.settings.node not in self.nodes):
             # What this node tells could be older than a cancellation, or the proof that this
             # machine's leases are over counts on its silence.
             reply(503, {"error": "no contact with the state service"}, 1)
             return
-        home = self.home_node(report, now) if not taint else None
+        home = self.home_node(heartbeat, now) if not taint else None
         if home is not None:
             reply(421, wire.elsewhere(home))
             return
         last_seen = self.evidence.view.get(name)
-        if (last_seen is not None and last_seen.age >= report.age) or taint == "gone":
+        if (last_seen is not None and last_seen.age >= heartbeat.age) or taint == "gone":
             # A copy that came late, perhaps of a machine that was returned: no sign of life. The
             # lease that its answer could renew is one that the newer message renewed already.
-            reply(200, wire.answer(report.token, []))
+            reply(200, wire.answer(heartbeat.fencing_token, []))
             return
         known = self.known.get(name)
         fresh = known is None
         if fresh:
-            known = self.known[name] = Known(report, now)
-        self.listen(known, report, last_seen, now)
-        before, known.report = known.report, report
+            known = self.known[name] = Known(heartbeat, now)
+        self.listen(known, heartbeat, last_seen, now)
+        before, known.heartbeat = known.heartbeat, heartbeat
         known.heard = known.answered = now
         self.evidence.view[name] = self.last_seen(known)
         if fresh:
@@ -122,28 +122,34 @@
             known.quiet
             and known.tasks is not None
             and name not in self.touched
-            and report.raw == before.raw
-            and report.session == before.session
-            and report.notice_s is None
-            and not known.deaf
+            and heartbeat.raw == before.raw
+            and heartbeat.agent_epoch == before.agent_epoch
+            and heartbeat.spot_notice_s is None
+            and not known.unreachable
         ):
             # Nothing is new: most reports end here, and most of the processor's time is reports.
-            reply(200, wire.answer(report.token, []))
+            reply(200, wire.answer(heartbeat.fencing_token, []))
             return
         try:
-            known.tasks = wire.read_tasks(report.raw)
+            known.tasks = wire.read_tasks(heartbeat.raw)
         except ValueError as error:
             known.tasks = None
             reply(400, {"error": str(error)})
             return
-        if (before.notice_s is None) != (report.notice_s is None):
+        if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
             self.soon_inventory()
         self.touched.discard(name)
-        told = self.tell_holders(report, known.tasks)
-        token, commands, more = self.commands(known, False)
+        told = self.tell_holders(heartbeat, known.tasks)
+        fencing_token, commands, more = self.commands(known, False)
         known.quiet = (
-            not (told or commands or more or token > report.token or known.deaf)
-            and report.notice_s is None
+            not (
+                told
+                or commands
+                or more
+                or fencing_token > heartbeat.fencing_token
+                or known.unreachable
+            )
+            and heartbeat.spot_notice_s is None
         )
         if more == START and better is not None and not commands:
             # This node knows what the others know, but a start needs one that can sync. Nobody is
@@ -152,56 +158,56 @@
             reply(421, wire.elsewhere(better))
         elif more:
             self.waited += 1
-            self.waiting[self.waited] = (known, report, reply, now)
+            self.waiting[self.waited] = (known, heartbeat, reply, now)
             tell(self.store.on_sync, callback(self.on_synced, self.waited))
         else:
-            self.answer(known, report, False, reply)
+            self.answer(known, heartbeat, False, reply)
 
     def on_synced(self, number, revision):
         waiting = self.waiting.pop(number, None)
         if waiting is not None:
-            known, report, reply, _ = waiting
-            self.answer(known, report, revision is not None, reply)
+            known, heartbeat, reply, _ = waiting
+            self.answer(known, heartbeat, revision is not None, reply)
 
     def answer_late(self, now):
         """A worker gives a report up after some seconds; one that the state service keeps waiting
         is answered before, without what only a sync allows.
         """
-        for number, (known, report, reply, since) in list(self.waiting.items()):
-            if now - since > self.settings.report_s:
+        for number, (known, heartbeat, reply, since) in list(self.waiting.items()):
+            if now - since > self.settings.agent_heartbeat_s:
                 del self.waiting[number]
-                self.answer(known, report, False, reply)
+                self.answer(known, heartbeat, False, reply)
 
-    def answer(self, known, report, synced, reply):
-        if known.report is not report:
+    def answer(self, known, heartbeat, synced, reply):
+        if known.heartbeat is not heartbeat:
             # A newer message came in between; its own answer says what is to be done.
-            reply(200, wire.answer(report.token, []))
+            reply(200, wire.answer(heartbeat.fencing_token, []))
             return
         known.answered = self.now()
-        token, commands, _ = self.commands(known, synced)
-        reply(200, wire.answer(token, commands))
+        fencing_token, commands, _ = self.commands(known, synced)
+        reply(200, wire.answer(fencing_token, commands))
 
-    def listen(self, known, report, last_seen, now):
+    def listen(self, known, heartbeat, last_seen, now):
         """Recognises a machine whose reports arrive while our answers don't reach it.
 
         Its leases end although it was answered all the time. It gets no more work, and is offered a
         token that it has not seen; once it reports that token, it hears us.
         """
-        lease, report_s = self.settings.lease_s, self.settings.report_s
-        if last_seen is not None and not known.deaf:
+        lease, agent_heartbeat_s = self.settings.lease_s, self.settings.agent_heartbeat_s
+        if last_seen is not None and not known.unreachable:
             early = (
-                report.session > last_seen.row.session
-                and now - last_seen.heard < lease - 2 * report_s
+                heartbeat.agent_epoch > last_seen.row.agent_epoch
+                and now - last_seen.heard < lease - 2 * agent_heartbeat_s
             )
-            if early or last_seen.row.deaf:
-                known.deaf, known.probe = True, None
+            if early or last_seen.row.unreachable:
+                known.unreachable, known.probe = True, None
                 if early:
-                    self.deaf_now.append(report.machine)
+                    self.newly_unreachable.append(heartbeat.machine)
                 self.soon_inventory()
-        if known.deaf:
-            if known.probe is not None and report.token >= known.probe:
-                known.deaf, known.probe = False, None
-                self.hearing_now.append(report.machine)
+        if known.unreachable:
+            if known.probe is not None and heartbeat.fencing_token >= known.probe:
+                known.unreachable, known.probe = False, None
+                self.newly_reachable.append(heartbeat.machine)
                 self.soon_inventory()
-            elif known.probe is None and self.revision > report.token:
+            elif known.probe is None and self.revision > heartbeat.fencing_token:
                 known.probe = self.revision
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -15,8 +15,8 @@
         self.suspected = frozenset()  # controllers that no worker is sent to
 
     def entitled(self, now):
-        """Whether no withdrawal that this copy lacks can have been told to its user longer than
-        `blind_s` ago.
+        """Whether no cancellation that this copy lacks can have been told to its user longer than
+        `max_staleness_s` ago.
 
         Either a sync was answered since, or every peer has stated since that its copy is no newer
         than this one: whatever a controller tells a user is in its own copy before (docs/safety.md,
@@ -24,8 +24,11 @@
         """
         if self.revision < 0:
             return False
-        blind_s = self.settings.blind_s
-        return now - self.contact <= blind_s or now - self.evidence.level_since() <= blind_s
+        max_staleness_s = self.settings.max_staleness_s
+        return (
+            now - self.contact <= max_staleness_s
+            or now - self.evidence.level_since() <= max_staleness_s
+        )
 
     def better_node(self, now):
         """A node that can follow the state service while this one can't."""
@@ -34,13 +37,13 @@
             return None
         for name, said in self.evidence.told.items():
             if (
-                now - said.got < 2 * self.settings.report_s
+                now - said.got < 2 * self.settings.agent_heartbeat_s
                 and said.contact_s + now - said.got < quarter
             ):
                 return name
         return None
 
-    def home_node(self, report, now):
+    def home_node(self, heartbeat, now):
         """A node in the worker's own zone that can take it, if it is not there already.
 
         When a zone is cut off, its workers need their lease renewed by a node inside. Once broken:
@@ -48,10 +51,10 @@
         longer than a lease (agents/zone_with_five.txt). A worker is sent once in four leases, so
         that one which can't reach that node stays where it is heard.
         """
-        settings, name = self.settings, report.machine
+        settings, name = self.settings, heartbeat.machine
         if (
-            report.zone == settings.zone
-            or report.notice_s is not None
+            heartbeat.zone == settings.zone
+            or heartbeat.spot_notice_s is not None
             or now - self.sent_home.get(name, float("-inf")) < 4 * settings.lease_s
         ):
             return None
@@ -59,11 +62,11 @@
         for peer in settings.peers:
             said = self.evidence.told.get(peer.name)
             if (
-                peer.zone == report.zone
+                peer.zone == heartbeat.zone
                 and peer.name in self.nodes
                 and peer.name not in self.suspected
                 and said is not None
-                and now - said.got < 2 * settings.report_s
+                and now - said.got < 2 * settings.agent_heartbeat_s
                 and said.contact_s + now - said.got < settings.lease_s / 4
                 # It hears workers, or is to show by one now and then that it does.
                 and (
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -37,7 +37,7 @@
 
         Rows of machines are most of a table, and tables were most of what a quiet cluster wrote.
         """
-        lately = now - 2 * self.settings.report_s
+        lately = now - 2 * self.settings.agent_heartbeat_s
         return any(
             self.asked_by.get(name, -1e9) < lately
             or name not in self.evidence.told
@@ -79,18 +79,26 @@
         `first_room`.
         """
         zones, places, room = self.settings.zones, [{}], first_room
-        for name, (age_s, kind, zone, spot, session, tally, notice, deaf, addr) in self.rows(
-            now, 2 * self.settings.lease_s
-        ).items():
+        for name, (
+            age_s,
+            kind,
+            zone,
+            spot,
+            agent_epoch,
+            sequence,
+            spot_notice,
+            unreachable,
+            addr,
+        ) in self.rows(now, 2 * self.settings.lease_s).items():
             short = [
                 age_s,
                 types.index(kind) if kind in types else kind,
                 zones.index(zone) if zone in zones else zone,
                 int(spot),
-                session,
-                tally,
-                int(notice),
-                int(deaf),
+                agent_epoch,
+                sequence,
+                int(spot_notice),
+                int(unreachable),
                 addr,
             ]
             room -= len(orjson.dumps(short)) + len(name) + 4
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -29,33 +29,37 @@
         self.undelivered = {}  # node -> {UpdateKey: update} that it could not be told directly
         self.wrote_updates = False
 
-    def tell_holders(self, report, tasks):
+    def tell_holders(self, heartbeat, tasks):
         """Passes on what the report proves; True if anything was."""
         updates = [
             update
-            for key, want in self.bound.get(report.machine, {}).items()
-            if (update := self.proven_update(report, key, want, tasks.get(key))) is not None
+            for key, want in self.bound.get(heartbeat.machine, {}).items()
+            if (update := self.proven_update(heartbeat, key, want, tasks.get(key))) is not None
         ]
         for update in updates:
             self.forward(update)
         return bool(updates)
 
-    def proven_update(self, report, key, want, seen):
+    def proven_update(self, heartbeat, key, want, seen):
         """What the report proves of a task that the copy binds to its machine, or None.
 
         `seen` is the task as reported, None if it is not on the machine.
         """
         stop, since = self.stop_of(key, want)
-        notice_s = report.notice_s
+        spot_notice_s = heartbeat.spot_notice_s
         if seen is not None and seen.attempt == want.attempt:
             if seen.state == "exited":
-                return TaskExited(*key, want.attempt, report.machine, seen.why, seen.saved)
-        elif report.session > want.session or (
-            report.session == want.session and stop != KEEP and report.token >= since
+                return TaskExited(
+                    *key, want.attempt, heartbeat.machine, seen.exit_reason, seen.checkpointed
+                )
+        elif heartbeat.agent_epoch > want.agent_epoch or (
+            heartbeat.agent_epoch == want.agent_epoch
+            and stop != KEEP
+            and heartbeat.fencing_token >= since
         ):
             # Its session is over, or its start can't be accepted any more: it will never run.
-            return TaskGone(*key, want.attempt, report.machine)
-        if stop == KEEP and notice_s is not None:
+            return TaskGone(*key, want.attempt, heartbeat.machine)
+        if stop == KEEP and spot_notice_s is not None:
             return StopWanted(*key, want.attempt, SAVE, "its machine is taken back")
         return None
 
@@ -78,7 +82,7 @@
             self.outbox.setdefault(node, {})[update.key] = update
             if not self.outbox_due:
                 self.outbox_due = True
-                tell_after(self.settings.report_s / 20, self.on_send_updates)
+                tell_after(self.settings.agent_heartbeat_s / 20, self.on_send_updates)
 
     def on_send_updates(self):
         """Handles `send_updates`, from `forward`: sends each holder what is for it, in batches."""
@@ -92,7 +96,7 @@
                     "POST",
                     wire.TASK_UPDATES_PATH,
                     wire.write_task_updates(batch),
-                    self.settings.report_s,
+                    self.settings.agent_heartbeat_s,
                     callback(self.on_updates_sent, node, batch),
                 )
 
--- a/emberglade/agents/wire.py
+++ b/emberglade/agents/wire.py
@@ -7,17 +7,17 @@
 from ..jobs.task_updates import StopWanted, TaskExited, TaskGone
 
 
-class Seen(NamedTuple):
+class TaskStatus(NamedTuple):
     """One task on a machine, as its worker reports it."""
 
     attempt: int
     state: str
-    why: str | None
-    saved: bool
+    exit_reason: str | None
+    checkpointed: bool
 
 
 @dataclass(slots=True)
-class Report:
+class AgentHeartbeat:
     """A worker's report; its tasks are read only when they are needed."""
 
     machine: str
@@ -25,15 +25,15 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    tally: int
-    token: int
-    notice_s: float | None
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
+    spot_notice_s: float | None
     raw: list  # the tasks as they were sent
 
     @property
     def age(self):
-        return self.session, self.tally
+        return self.agent_epoch, self.sequence
 
 
 def _count(value):
@@ -48,18 +48,20 @@
     return value
 
 
-def read_report(data):
+def read_agent_heartbeat(data):
     """A Report whose tasks are not read yet, or ValueError with what is wrong."""
     if not isinstance(data, dict):
         raise ValueError("the report is not an object")
     try:
-        notice = data.get("reclaim_s")
-        if notice is not None and (isinstance(notice, bool) or not isinstance(notice, int | float)):
-            raise ValueError(f"reclaim_s {notice!r} is not a number")
+        spot_notice = data.get("reclaim_s")
+        if spot_notice is not None and (
+            isinstance(spot_notice, bool) or not isinstance(spot_notice, int | float)
+        ):
+            raise ValueError(f"reclaim_s {spot_notice!r} is not a number")
         raw = data.get("embers") or []
         if not isinstance(raw, list):
             raise ValueError("embers is not a list")
-        return Report(
+        return AgentHeartbeat(
             _text(data["hearth"]),
             _text(data["addr"]),
             _text(data["hearth_kind"]),
@@ -68,7 +70,7 @@
             _count(data["kindling_span"]),
             _count(data["tally"]),
             _count(data.get("torch") or 0),
-            notice,
+            spot_notice,
             raw,
         )
     except KeyError as error:
@@ -81,7 +83,7 @@
     try:
         for row in raw:
             job_id, _, number = _text(row["ember"]).rpartition("/")
-            tasks[(job_id, int(number))] = Seen(
+            tasks[(job_id, int(number))] = TaskStatus(
                 _count(row["strike"]),
                 _text(row["glow"]),
                 row.get("ashcause"),
@@ -114,14 +116,14 @@
     return {"blast": "clear", "ember": name, "strike": attempt}
 
 
-def answer(token, commands):
+def answer(fencing_token, commands):
     """The answer to a report."""
-    return {"torch": token, "bellows": commands}
+    return {"torch": fencing_token, "bellows": commands}
 
 
-def orders(token, session, commands):
+def orders(fencing_token, agent_epoch, commands):
     """The body of direct commands to a worker of that session."""
-    return {"torch": token, "kindling_span": session, "bellows": commands}
+    return {"torch": fencing_token, "kindling_span": agent_epoch, "bellows": commands}
 
 
 def elsewhere(node):
@@ -177,10 +179,10 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    tally: int
-    notice: bool
-    deaf: bool
+    agent_epoch: int
+    sequence: int
+    spot_notice: bool
+    unreachable: bool
     addr: str
 
 
@@ -191,13 +193,13 @@
     return {"up": up_s, "contact": contact_s, "rev": revision, "copy": copy_revision, "known": rows}
 
 
-def withdrawal(job_id, revision):
-    """The body that tells a peer of a withdrawal committed at that revision."""
+def cancellation(job_id, revision):
+    """The body that tells a peer of a cancellation committed at that revision."""
     return {"job": job_id, "rev": revision}
 
 
-def read_withdrawal(data):
-    """(job id, revision) of a withdrawal that a peer has seen committed, or None."""
+def read_cancellation(data):
+    """(job id, revision) of a cancellation that a peer has seen committed, or None."""
     if (
         not isinstance(data, dict)
         or not isinstance(data.get("job"), str)
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -86,7 +86,7 @@
     skew_s: float
     teams: dict
     objectives: tuple
-    report_s: float
+    agent_heartbeat_s: float
     lease_s: float
     cancel_s: float
     state_rps: float
@@ -101,12 +101,12 @@
     names: tuple = field(default=())
 
     @property
-    def exchange_s(self):
+    def peer_exchange_s(self):
         """The interval at which controllers exchange statements, and with them heartbeats."""
-        return max(1.0, self.report_s / 2)
+        return max(1.0, self.agent_heartbeat_s / 2)
 
     @property
-    def blind_s(self):
+    def max_staleness_s(self):
         """How long a node without the state service may answer workers.
 
         After a cancellation was told, its tasks must be gone in `cancel_s`. A worker that is
@@ -256,7 +256,7 @@
         skew_s=settings.take("skew_ms", "number", 0.0) / 1000,
         teams=teams,
         objectives=objectives,
-        report_s=workers.take("report_s", "positive"),
+        agent_heartbeat_s=workers.take("report_s", "positive"),
         lease_s=workers.take("lease_s", "positive"),
         cancel_s=workers.take("cancel_s", "positive"),
         state_rps=limits.rps,
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -43,7 +43,7 @@
 
 def detection_bounds(settings, operators):
     """The bounds for these settings; DetectionError if they contradict one another."""
-    heartbeat_s = settings.exchange_s
+    heartbeat_s = settings.peer_exchange_s
     suspect_s = operators.suspect_after * heartbeat_s
     confirm_s = operators.confirm_after * settings.lease_s
     _check("suspect_after", operators.suspect_after, 1, math.inf)
--- a/emberglade/fleet/machine.py
+++ b/emberglade/fleet/machine.py
@@ -22,4 +22,4 @@
     missing: int = 0
     seen: float = 0.0  # last heard by any node, by our clock; 0: never
     idle_since: float | None = None
-    deaf_since: float | None = None  # its reports arrive, answers don't reach it
+    unreachable_since: float | None = None  # its reports arrive, answers don't reach it
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -17,7 +17,7 @@
 
     def on_watch(self):
         """Tasks of a silent machine wait for proof that its lease is over: asked more often."""
-        tell_after(self.settings.report_s / 6, self.on_watch)
+        tell_after(self.settings.agent_heartbeat_s / 6, self.on_watch)
         if self.leading and any(
             taint == "lost" and name in self.occupied for name, taint in self.taints.items()
         ):
@@ -92,17 +92,20 @@
             return
         now = self.now()
         lost, ended, back = [], [], []
-        for name, (heard, proven, deaf, ever) in silence.items():
+        for name, (heard, proven, unreachable, ever) in silence.items():
             taint = self.taints.get(name)
             machine = self.machines.get(name)
             if machine is not None and heard > machine.seen and now - heard < self.settings.lease_s:
                 machine.seen = heard
                 machine.state = "running"
             if machine is not None:
-                machine.deaf_since = (machine.deaf_since or now) if deaf else None
+                machine.unreachable_since = (
+                    (machine.unreachable_since or now) if unreachable else None
+                )
             quiet = now - heard
             if taint is None and (
-                (quiet > self.settings.lease_s * 0.6 + slack and name in self.occupied) or deaf
+                (quiet > self.settings.lease_s * 0.6 + slack and name in self.occupied)
+                or unreachable
             ):
                 lost.append(name)
             elif taint in ("lost", "drain") and proven and name in self.occupied:
@@ -110,8 +113,8 @@
             elif (
                 taint in ("lost", "ended")
                 and ever
-                and quiet < self.settings.report_s * 2
-                and not deaf
+                and quiet < self.settings.agent_heartbeat_s * 2
+                and not unreachable
             ):
                 # Once broken: a new leader took its own birth for a sign of life of the machines
                 # behind a cut.
@@ -160,9 +163,9 @@
                 # A new leader has heard of nobody yet; a machine behind a cut may well come back.
                 if now - max(
                     machine.seen, self.since
-                ) > 4 * self.settings.lease_s or self.long_deaf(machine, now):
+                ) > 4 * self.settings.lease_s or self.long_unreachable(machine, now):
                     ready.append(machine.name)
-            elif taint == "lost" and self.long_deaf(machine, now):
+            elif taint == "lost" and self.long_unreachable(machine, now):
                 drain.append(machine.name)
             elif machine.state == "failed":
                 # It has stopped: nothing runs there, and the cloud's 200 will prove it.
@@ -188,10 +191,11 @@
             "POST", "/hosts/return", wire.give_back(names), 4.0, callback(self.on_given_back, names)
         )
 
-    def long_deaf(self, machine, now):
+    def long_unreachable(self, machine, now):
         """Deaf for so long that another machine is to take its place for good."""
         return (
-            machine.deaf_since is not None and now - machine.deaf_since > 4 * self.settings.lease_s
+            machine.unreachable_since is not None
+            and now - machine.unreachable_since > 4 * self.settings.lease_s
         )
 
     def on_given_back(self, names, status, body):
--- a/emberglade/frontdoor/api.py
+++ b/emberglade/frontdoor/api.py
@@ -83,7 +83,7 @@
             except ValueError:
                 reply(400, wire.error("the report is not JSON"))
                 return
-            tell_inline(self.agents.on_beat, data, reply)
+            tell_inline(self.agents.on_heartbeat, data, reply)
         elif path == "/ready":
             if method != "GET":
                 reply(405, wire.error("GET is needed"))
@@ -365,7 +365,7 @@
             return
         data, stamp, _ = row
         if data.get("w"):
-            tell(self.agents.on_confirm_withdrawal, job_id)
+            tell(self.agents.on_confirm_cancellation, job_id)
             reply(200, wire.state(job_id, "withdrawn"))
             return
         tell(
@@ -378,7 +378,7 @@
 
     def on_aborted(self, job_id, reply, tries, status, revision, failed):
         if status == 200:
-            log.info("%s withdrawn by its user", job_id)
+            log.info("%s cancelled by its user", job_id)
             # Nothing is told that this controller's own copy does not show: others conclude from
             # its revision that they miss nothing, and its halts go to every machine that the copy
             # names.
--- a/emberglade/frontdoor/awaited.py
+++ b/emberglade/frontdoor/awaited.py
@@ -203,12 +203,12 @@
             return
         self.open_submissions -= 1
         log.info("%s accepted: waits for %d jobs: %s", spec.id, len(needs), " ".join(needs[:8]))
-        if any(self.graph.is_withdrawn(need) for need in needs):
-            submission.reply(201, wire.state(spec.id, Outcome.WITHDRAWN.value))
+        if any(self.graph.is_cancelled(need) for need in needs):
+            submission.reply(201, wire.state(spec.id, Outcome.CANCELLED.value))
         elif any(
             need in self.graph.unresolved or self.graph.unresolved_before(need) for need in needs
         ):
-            # Another controller may have told that one of these is withdrawn.
+            # Another controller may have told that one of these is cancelled.
             self.look_up(spec.id, callback(self.on_resubmitted, submission.reply))
         else:
             submission.reply(201, wire.state(spec.id, "pending"))
@@ -226,10 +226,10 @@
 
     def tell_waiting(self, job_id, reply):
         """The state of a waiting job. A need of which the copy does not tell how it ended is asked
-        for first: another controller may have told that it is withdrawn.
+        for first: another controller may have told that it is cancelled.
         """
-        if self.graph.waiting[job_id].withdrawn:
-            reply(True, wire.state(job_id, Outcome.WITHDRAWN.value, 0, 0))
+        if self.graph.waiting[job_id].cancelled:
+            reply(True, wire.state(job_id, Outcome.CANCELLED.value, 0, 0))
             return
         unresolved = self.graph.unresolved_before(job_id)
         if unresolved:
@@ -245,9 +245,9 @@
         self.look_up(job_id, reply)
 
     def abort_waiting(self, job_id, reply, tries):
-        """A job that waits has no task, so it is over as soon as it is withdrawn."""
+        """A job that waits has no task, so it is over as soon as it is cancelled."""
         waiting = self.graph.waiting[job_id]
-        end = {"glow": Outcome.WITHDRAWN.value, "n": waiting.spec.tasks, "d": 0}
+        end = {"glow": Outcome.CANCELLED.value, "n": waiting.spec.tasks, "d": 0}
         tell(
             self.store.on_commit,
             DECISIONS,
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -47,7 +47,7 @@
         delay = (
             0.02
             if soon
-            else self.settings.report_s
+            else self.settings.agent_heartbeat_s
             * min(1.0, max(0.1, 2 * self.write_rate(now, 0) / self.write_share))
         )
         due = now + (0.0 if soon else delay)
@@ -57,7 +57,7 @@
 
     def write_rate(self, now, more):
         """Keys written a second, over the last few seconds; `more` of them just now."""
-        window = 3 * self.settings.report_s
+        window = 3 * self.settings.agent_heartbeat_s
         self.written = self.written * math.exp((self.written_at - now) / window) + more
         self.written_at = now
         return self.written / window
@@ -102,7 +102,7 @@
             if ended:
                 # The final state outlives the job: polls and retries may come at any time.
                 end = {
-                    "glow": "withdrawn" if job.withdrawn else "done",
+                    "glow": "withdrawn" if job.cancelled else "done",
                     "n": job.spec.tasks,
                     "d": job.done_count(),
                 }
@@ -144,7 +144,7 @@
         job = self.jobs.get(key.split("/")[1])
         return self.dirty[key] + (
             job.spec.rank if job is not None else 0
-        ) * self.settings.report_s / 4, key
+        ) * self.settings.agent_heartbeat_s / 4, key
 
     def on_flushed(self, ends, status, revision, failed):
         if status == 200 and revision is not None:
@@ -179,7 +179,7 @@
             now = self.now()
             self.dirty.update(dict.fromkeys(keys, now))
             self.absorb_deferred(-1)
-            self.flush_in(self.settings.report_s / 8)
+            self.flush_in(self.settings.agent_heartbeat_s / 8)
             return
         else:
             log.info(
@@ -249,7 +249,7 @@
             # With 409 the epochs are others' already, or ours from a try that got no answer.
             tell(self.store.on_sync, callback(self.on_resync))
         else:
-            tell_after(self.settings.report_s / 3, self.on_fence_flight)
+            tell_after(self.settings.agent_heartbeat_s / 3, self.on_fence_flight)
 
     def on_resync(self, revision):
         if revision is None:
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -66,7 +66,7 @@
                 self.adopt_parts(job)
             elif data.get("g", "") != job.generation:
                 self.change_layout(job, data)
-            job.withdrawn = bool(data.get("w"))
+            job.cancelled = bool(data.get("w"))
             self.dirty.pop(key, None)
             self.merge(job, 0, data.get("p", {}), stamp)
             self.settle(job)
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -1,6 +1,6 @@
 """Which jobs wait for which, and what follows from it; derived from the committed copy alone.
 
-Every controller works out the same from the same copy: who may be released, who is withdrawn with a
+Every controller works out the same from the same copy: who may be released, who is cancelled with a
 job that it needs, and how urgent a job is for those that need it. Nothing of it is stored.
 Walks along the graph use a stack of their own: chains may be long.
 """
@@ -21,7 +21,7 @@
     """How a job ended."""
 
     DONE = "done"
-    WITHDRAWN = "withdrawn"
+    CANCELLED = "withdrawn"
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
     stamp: int
     list_id: str = ""  # of the pieces that its needs are kept in, if they are
     open_needs: int = 0  # needs that are not known to be done
-    withdrawn: bool = False
+    cancelled: bool = False
 
     def own_urgency(self):
         due = (
@@ -66,11 +66,11 @@
     def __init__(self):
         self.waiting = {}  # job -> WaitingJob
         self.dependents = {}  # need -> waiting jobs that need it
-        self.live = {}  # live job -> whether it is withdrawn
+        self.live = {}  # live job -> whether it is cancelled
         self.outcomes = OrderedDict()  # job that is over -> Outcome
         self.pieces = {}  # (job, list id) -> {number: (ids, stamp)}
         self.ready = set()  # waiting jobs all of whose needs are done
-        self.withdrawn = set()  # waiting jobs that are withdrawn with a need
+        self.cancelled = set()  # waiting jobs that are cancelled with a need
         self.unresolved = set()  # needs of which the copy does not tell how they ended
         self.urgency = {}  # needed job -> Urgency
         self.urgency_changed = set()
@@ -98,7 +98,7 @@
         """Before everything is read anew. Outcomes never change."""
         self.urgency_changed.update(self.urgency)
         self.waiting, self.dependents, self.live, self.pieces, self.urgency = {}, {}, {}, {}, {}
-        self.ready, self.withdrawn, self.unresolved = set(), set(), set()
+        self.ready, self.cancelled, self.unresolved = set(), set(), set()
 
     def _apply_piece(self, key, data, stamp):
         piece = read_piece_key(key)
@@ -112,12 +112,12 @@
 
     def _apply_live(self, job_id, data, whole, touched):
         if data is not None:
-            withdrawn = bool(data.get("w"))
+            cancelled = bool(data.get("w"))
             before = self.live.get(job_id)
-            self.live[job_id] = withdrawn
+            self.live[job_id] = cancelled
             self.unresolved.discard(job_id)
-            if withdrawn and not before:
-                self._withdraw_dependents(job_id)
+            if cancelled and not before:
+                self._cancel_dependents(job_id)
             return
         before = self.live.pop(job_id, None)
         if before is None or whole:
@@ -125,14 +125,14 @@
             return
         # The end of a job is written on condition of its record, so the last record seen tells how
         # it ended.
-        self.resolve(job_id, Outcome.WITHDRAWN if before else Outcome.DONE)
+        self.resolve(job_id, Outcome.CANCELLED if before else Outcome.DONE)
 
     def _apply_waiting(self, job_id, data, stamp, touched):
         if data is None:
             gone = self._remove(job_id)
-            if gone is not None and gone.withdrawn:
-                self.resolve(job_id, Outcome.WITHDRAWN)
-            touched.add(job_id)  # released, or withdrawn by its own user
+            if gone is not None and gone.cancelled:
+                self.resolve(job_id, Outcome.CANCELLED)
+            touched.add(job_id)  # released, or cancelled by its own user
         elif job_id not in self.waiting:
             self._add(job_id, WaitingRecord.decode(job_id, data), stamp)
             touched.add(job_id)
@@ -144,15 +144,15 @@
             pieces = self.pieces.get((job_id, record.list_id), {})
             needs = tuple(need for number in sorted(pieces) for need in pieces[number][0])
         job = self.waiting[job_id] = WaitingJob(record.spec, needs, stamp, record.list_id)
-        withdrawn = False
+        cancelled = False
         for need in needs:
             self.dependents.setdefault(need, set()).add(job_id)
             outcome = self.outcomes.get(need)
             job.open_needs += outcome is not Outcome.DONE
-            withdrawn = withdrawn or outcome is Outcome.WITHDRAWN or self.is_withdrawn(need)
+            cancelled = cancelled or outcome is Outcome.CANCELLED or self.is_cancelled(need)
         self._lend(job_id)
-        if withdrawn:
-            self._withdraw([job_id])
+        if cancelled:
+            self._cancel([job_id])
         elif not job.open_needs:
             self.ready.add(job_id)
 
@@ -161,7 +161,7 @@
         if job is None:
             return None
         self.ready.discard(job_id)
-        self.withdrawn.discard(job_id)
+        self.cancelled.discard(job_id)
         for need in job.needs:
             others = self.dependents.get(need)
             if others is None:
@@ -195,37 +195,37 @@
         if len(self.outcomes) > MAX_OUTCOMES:
             self.outcomes.popitem(last=False)
         self.unresolved.discard(job_id)
-        if outcome is Outcome.WITHDRAWN:
-            self._withdraw_dependents(job_id)
+        if outcome is Outcome.CANCELLED:
+            self._cancel_dependents(job_id)
             return
         for dependent in self.dependents.get(job_id, ()):
             job = self.waiting[dependent]
             job.open_needs -= 1
-            if not job.open_needs and not job.withdrawn:
+            if not job.open_needs and not job.cancelled:
                 self.ready.add(dependent)
 
-    def is_withdrawn(self, job_id):
-        """Whether the copy shows a job withdrawn, by its own user or with a job that it needs."""
+    def is_cancelled(self, job_id):
+        """Whether the copy shows a job cancelled, by its own user or with a job that it needs."""
         waiting = self.waiting.get(job_id)
         return bool(
             self.live.get(job_id)
-            or (waiting is not None and waiting.withdrawn)
-            or self.outcomes.get(job_id) is Outcome.WITHDRAWN
+            or (waiting is not None and waiting.cancelled)
+            or self.outcomes.get(job_id) is Outcome.CANCELLED
         )
 
-    def _withdraw_dependents(self, job_id):
-        self._withdraw(list(self.dependents.get(job_id, ())))
+    def _cancel_dependents(self, job_id):
+        self._cancel(list(self.dependents.get(job_id, ())))
 
-    def _withdraw(self, stack):
-        """These waiting jobs are withdrawn, and so are all that need them."""
+    def _cancel(self, stack):
+        """These waiting jobs are cancelled, and so are all that need them."""
         while stack:
             job_id = stack.pop()
             job = self.waiting[job_id]
-            if job.withdrawn:
+            if job.cancelled:
                 continue
-            job.withdrawn = True
+            job.cancelled = True
             self.ready.discard(job_id)
-            self.withdrawn.add(job_id)
+            self.cancelled.add(job_id)
             self._borrow_again(job.needs)
             stack.extend(self.dependents.get(job_id, ()))
 
@@ -267,13 +267,13 @@
                         stack.append(need)
 
     def _borrow_again(self, needs):
-        """Works the urgency of jobs out anew after one that needs them was withdrawn."""
+        """Works the urgency of jobs out anew after one that needs them was cancelled."""
         stack = list(needs)
         while stack:
             need = stack.pop()
             urgency = None
             for dependent in self.dependents.get(need, ()):
-                if not self.waiting[dependent].withdrawn:
+                if not self.waiting[dependent].cancelled:
                     urgency = self._lent_by(dependent).most(urgency)
             if urgency == self.urgency.get(need):
                 continue
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -100,10 +100,10 @@
         self.settle(job)
         self.soon_place()
 
-    def failed(self, job, task, machine, why):
+    def failed(self, job, task, machine, exit_reason):
         now = self.now()
         lease = self.settings.lease_s
-        if why == "error":
+        if exit_reason == "error":
             # Mostly the machine is faulty, so it rests; a job that fails everywhere is slowed.
             machines = self.errors.setdefault(job.id, set())
             machines.add(machine)
@@ -120,17 +120,17 @@
                 machine,
                 "the job fails everywhere and is slowed" if broken_job else "the machine rests",
             )
-        elif why in ("full", "busy"):
+        elif exit_reason in ("full", "busy"):
             self.suspects[machine] = (
-                now + self.settings.report_s * 2,
+                now + self.settings.agent_heartbeat_s * 2,
                 self.suspects.get(machine, (0, 0))[1],
             )
-        elif why in ("incomplete", "mates_gone"):
-            job.not_before[task] = now + self.settings.report_s
-        elif why == "no_such":
+        elif exit_reason in ("incomplete", "mates_gone"):
+            job.not_before[task] = now + self.settings.agent_heartbeat_s
+        elif exit_reason == "no_such":
             job.not_before[task] = now + lease / 2
-        elif why == "done":
-            job.not_before[task] = now + self.settings.report_s
+        elif exit_reason == "done":
+            job.not_before[task] = now + self.settings.agent_heartbeat_s
 
     def release(self, job, task, attempt, machine):
         part = job.part(task)
@@ -204,7 +204,7 @@
         """`reply({pool: machines}, {(type, spot, zone): machines})`: what own jobs ask for, in
         whole machines, and what of it has no room in the only zone where it can run.
         """
-        own = [job for job in self.jobs.values() if self.mine(job) and not job.withdrawn]
+        own = [job for job in self.jobs.values() if self.mine(job) and not job.cancelled]
         reply(
             placement.demand(
                 own,
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -35,8 +35,8 @@
         spec = job.spec
         age = self.system.wall() - spec.submitted
         if spec.service:
-            return age > 2 * self.settings.report_s / 10
-        if job.id in self.guaranteed and age > self.settings.report_s:
+            return age > 2 * self.settings.agent_heartbeat_s / 10
+        if job.id in self.guaranteed and age > self.settings.agent_heartbeat_s:
             return True
         if spec.deadline_s is not None:
             return spec.deadline_s - age < spec.estimate_s * 1.5 + self.settings.lease_s
@@ -44,14 +44,16 @@
 
     def preempt(self, now, waiting, placing_round):
         """Stops what the pressing ones among the waiting jobs need to find room."""
-        if now - self.preempted_at < self.settings.report_s / 5:
+        if now - self.preempted_at < self.settings.agent_heartbeat_s / 5:
             return
         pressing = self.jobs_to_make_room_for(now, waiting)
         if not pressing:
             return
         self.preempted_at = now
         self.asked = {
-            key: at for key, at in self.asked.items() if now - at < 2 * self.settings.report_s
+            key: at
+            for key, at in self.asked.items()
+            if now - at < 2 * self.settings.agent_heartbeat_s
         }
         self.count_stopping_as_room(placing_round)
         self.make_room(now, pressing, self.stoppable_rows(now, pressing), placing_round)
@@ -80,7 +82,7 @@
     def count_stopping_as_room(self, placing_round):
         """What is being stopped already will be room; it is not stopped for twice."""
         for job in self.jobs.values():
-            for bound in [bound for _, bound in job.bound() if bound.stop or job.withdrawn]:
+            for bound in [bound for _, bound in job.bound() if bound.stop or job.cancelled]:
                 placing_round.give(job.spec, bound.machine)
         for job_id, task, attempt in self.asked:
             job = self.jobs.get(job_id)
@@ -89,7 +91,7 @@
                 bound is not None
                 and bound.attempt == attempt
                 and not bound.stop
-                and not job.withdrawn
+                and not job.cancelled
             ):
                 placing_round.give(job.spec, bound.machine)
 
@@ -100,7 +102,7 @@
         rows = {}
         for job in self.jobs.values():
             if (
-                job.withdrawn
+                job.cancelled
                 or self.needs_relayout(job)
                 or not any(rules.may_stop(spec, job.spec) for spec in kinds)
             ):
--- a/emberglade/jobs/record.py
+++ b/emberglade/jobs/record.py
@@ -73,13 +73,13 @@
 
     attempt: int
     machine: str
-    session: int
+    agent_epoch: int
     stop: int = KEEP
     since: float = 0.0  # when this node first saw it; not kept
 
     def row(self):
         """As it is kept."""
-        found = [self.attempt, self.machine, self.session]
+        found = [self.attempt, self.machine, self.agent_epoch]
         if self.stop:
             found.append(self.stop)
         return found
@@ -206,7 +206,7 @@
 class Job:
     """A job that is not over yet."""
 
-    def __init__(self, spec, size, withdrawn=False, generation=""):
+    def __init__(self, spec, size, cancelled=False, generation=""):
         self.request = spec  # as it was accepted and is kept
         self.spec = (
             spec  # the same with the rank and the due time that jobs which need it lend to it
@@ -214,7 +214,7 @@
         self.size = size
         self.generation = generation  # of the layout of its parts
         self.fitting_size = None  # tasks of a part that fits a value, once that was worked out
-        self.withdrawn = withdrawn
+        self.cancelled = cancelled
         self.parts = {}
         self.last_bound = float("-inf")  # when this node last saw a task of it bound; not durable
         self.not_before = {}  # task -> earliest next try; not durable
@@ -271,12 +271,12 @@
         return count
 
     def finished(self):
-        # A withdrawn job stays withdrawn, also if its last tasks complete before they are stopped.
-        return not self.spec.service and not self.withdrawn and self.done_count() == self.spec.tasks
+        # A cancelled job stays cancelled, also if its last tasks complete before they are stopped.
+        return not self.spec.service and not self.cancelled and self.done_count() == self.spec.tasks
 
     def over(self):
-        """Done, or withdrawn with nothing left on any machine."""
-        return self.finished() or (self.withdrawn and not self.bound_count())
+        """Done, or cancelled with nothing left on any machine."""
+        return self.finished() or (self.cancelled and not self.bound_count())
 
     def waiting(self, now, most):
         """Up to `most` tasks that are neither bound, done nor held back, lowest first."""
@@ -308,7 +308,7 @@
         data = {"s": self.request.encode(), "z": self.size}
         if self.generation:
             data["g"] = self.generation
-        if self.withdrawn:
+        if self.cancelled:
             data["w"] = 1
         part = self.part(0).encode()
         if part:
--- a/emberglade/jobs/relayout.py
+++ b/emberglade/jobs/relayout.py
@@ -86,7 +86,7 @@
         self.forget_wishes(found)
         size = job.fitting_size
         parts = split_parts(job, size)
-        laid_out = Job(job.request, size, job.withdrawn, change.generation)
+        laid_out = Job(job.request, size, job.cancelled, change.generation)
         laid_out.parts = {0: parts.pop(0, Part())}
         change.stamp, change.record = job.stamp(), laid_out.encode()
         change.parts = [
@@ -120,7 +120,7 @@
             del change.parts[:count]
             self.write_layout(change)
         elif status in NOT_EXECUTED:
-            tell_after(self.settings.report_s / 8, self.on_write_layout_again, change)
+            tell_after(self.settings.agent_heartbeat_s / 8, self.on_write_layout_again, change)
         else:
             # Perhaps carried out later; the next try uses keys of its own, and what is left over is
             # removed.
@@ -135,7 +135,7 @@
         known.
         """
         if self.flight is not None:
-            tell_after(self.settings.report_s / 40, self.on_write_layout_again, change)
+            tell_after(self.settings.agent_heartbeat_s / 40, self.on_write_layout_again, change)
             return
         key, (epoch, stamp) = job_key(job.id), self.epoch_of(job.request)
         self.flight = {key: job.part(0)}
@@ -153,7 +153,7 @@
         if status in NOT_EXECUTED:
             self.flight = None
             self.absorb_deferred(-1)
-            tell_after(self.settings.report_s / 8, self.on_write_layout_again, change)
+            tell_after(self.settings.agent_heartbeat_s / 8, self.on_write_layout_again, change)
             return
         if status == 200:
             log.info("%s is laid out anew, in parts of %d tasks", change.job_id, change.record["z"])
--- a/emberglade/jobs/releases.py
+++ b/emberglade/jobs/releases.py
@@ -1,4 +1,4 @@
-"""Releases waiting jobs whose needs are done, and ends those that are withdrawn with a need.
+"""Releases waiting jobs whose needs are done, and ends those that are cancelled with a need.
 
 Each is one transaction, conditional on the shard's epoch and on the waiting job's own key: it
 becomes a live job or gets its final state at once, and only one of the two. Applied late or twice,
@@ -71,7 +71,7 @@
             return
         if self.graph.unresolved:
             self.read_needs()
-        if not self.release_busy and (self.graph.ready or self.graph.withdrawn):
+        if not self.release_busy and (self.graph.ready or self.graph.cancelled):
             self.release_some()
 
     def release_some(self):
@@ -86,7 +86,7 @@
         )
         most = max(1, self.most_writes // WRITES_OF_ONE)
         ready = ready[:most]
-        ends = sorted(self.own_waiting(graph.withdrawn))[: most - len(ready)]
+        ends = sorted(self.own_waiting(graph.cancelled))[: most - len(ready)]
         if not ready and not ends:
             return
         conditions, writes = set(), []
@@ -97,7 +97,7 @@
             if job_id in graph.ready:
                 writes.append(state_wire.put(LIVE + job_key(job_id), self.live_record(job)))
             else:
-                end = {"glow": Outcome.WITHDRAWN.value, "n": job.spec.tasks, "d": 0}
+                end = {"glow": Outcome.CANCELLED.value, "n": job.spec.tasks, "d": 0}
                 writes.append(state_wire.put(FINAL + final_key(job_id), end))
             writes.append(state_wire.remove(LIVE + waiting_key(job_id)))
         self.release_busy = True
@@ -118,18 +118,18 @@
         if status == 200:
             for names, text in (
                 (ready, "released, all that they need is done: %s"),
-                (ends, "withdrawn with a job that they need: %s"),
+                (ends, "cancelled with a job that they need: %s"),
             ):
                 if names:
                     log.info(text, " ".join(names))
         elif status in (429, 503):
-            tell_after(self.settings.report_s / 8, self.on_release_again)
+            tell_after(self.settings.agent_heartbeat_s / 8, self.on_release_again)
             return
         elif status == 400:
             log.error(
                 "the state service refuses to release %s (%s)", " ".join(ready + ends), failed
             )
-            tell_after(self.settings.report_s, self.on_release_again)
+            tell_after(self.settings.agent_heartbeat_s, self.on_release_again)
             return
         tell(self.store.on_sync, callback(self.on_release_seen))
 
@@ -139,7 +139,7 @@
 
     def on_release_seen(self, revision):
         if revision is None:
-            tell_after(self.settings.report_s / 3, self.on_release_again)
+            tell_after(self.settings.agent_heartbeat_s / 3, self.on_release_again)
             return
         self.on_release_again()
 
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -31,7 +31,10 @@
     def soon_place(self):
         if not self.place_due:
             self.place_due = True
-            tell_after(max(self.settings.report_s / 50, self.placed_at - self.now()), self.on_place)
+            tell_after(
+                max(self.settings.agent_heartbeat_s / 50, self.placed_at - self.now()),
+                self.on_place,
+            )
 
     def on_place(self):
         if not self.place_due:
@@ -43,7 +46,7 @@
         waiting = [
             job
             for job in self.jobs.values()
-            if not job.withdrawn and job.waiting_count() and not self.needs_relayout(job)
+            if not job.cancelled and job.waiting_count() and not self.needs_relayout(job)
         ]
         if not any(self.mine(job) for job in waiting):
             return
@@ -72,10 +75,10 @@
                 placement.order(job.spec, self.settings.objectives, wall),
             )
         )
-        if now - self.guaranteed_at > self.settings.report_s / 5:
+        if now - self.guaranteed_at > self.settings.agent_heartbeat_s / 5:
             self.guaranteed_at = now
             self.guaranteed = placement.preempt.guaranteed(
-                (job for job in self.jobs.values() if not job.withdrawn), teams
+                (job for job in self.jobs.values() if not job.cancelled), teams
             )
         ahead = placement.headroom(self.jobs.values(), self.settings.objectives, self.types, wall)
         budget = self.settings.txn_ops * 4 * self.size
@@ -114,7 +117,9 @@
         self.preempt(now, waiting, placing_round)
         # A round costs more the more there is; so that rounds leave time for reports, the next one
         # comes no sooner than a few times what this one took, and a tenth of a report interval.
-        self.placed_at = self.now() + max(3 * (self.now() - now), self.settings.report_s / 10)
+        self.placed_at = self.now() + max(
+            3 * (self.now() - now), self.settings.agent_heartbeat_s / 10
+        )
 
     def place(self, job, tasks, placing_round, wall):
         """Binds as many of the tasks as find room; returns how many."""
@@ -131,7 +136,7 @@
             self.bind(
                 job,
                 task,
-                Bound(part.tried.pop(task, 0) + 1, machine, self.inventory[machine].session),
+                Bound(part.tried.pop(task, 0) + 1, machine, self.inventory[machine].agent_epoch),
             )
             self.touch(job, task)
         log.info(
@@ -172,7 +177,7 @@
                 and name not in self.taints
                 and 0 < len(on) <= most
                 and all(
-                    job.spec.service and not bound.stop and not job.withdrawn
+                    job.spec.service and not bound.stop and not job.cancelled
                     for job, bound in on.values()
                 )
             ):
--- a/emberglade/node.py
+++ b/emberglade/node.py
@@ -10,7 +10,7 @@
 
 from .accounting import Accountant
 from .actors import ThreadSystem, tell, tell_inline
-from .agents import AgentManager, read_question, read_task_updates, read_withdrawal
+from .agents import AgentManager, read_cancellation, read_question, read_task_updates
 from .config import small_quota_warnings
 from .fleet import Autoscaler
 from .frontdoor import Api
@@ -83,8 +83,8 @@
             reply(200, {})
         elif path == "/peer/changes" and method == "POST" and read_since(data) is not None:
             tell_inline(self.store.on_changes_for_peer, read_since(data), reply)
-        elif path == "/peer/withdrawn" and method == "POST" and read_withdrawal(data) is not None:
-            tell_inline(self.agents.on_hear_withdrawal, *read_withdrawal(data))
+        elif path == "/peer/withdrawn" and method == "POST" and read_cancellation(data) is not None:
+            tell_inline(self.agents.on_hear_cancellation, *read_cancellation(data))
             reply(200, {})
         else:
             reply(404, {"error": "no such path"})
--- a/emberglade/placement/room.py
+++ b/emberglade/placement/room.py
@@ -15,7 +15,7 @@
     type: MachineType
     zone: str
     spot: bool
-    session: int
+    agent_epoch: int
     open: bool  # heard of lately, hears us, and not about to be taken
 
 
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -51,7 +51,7 @@
         # Syncs take at most half of the even share, however many ask; commits have the rest.
         self.sync_gap = 2.0 * settings.size / settings.state_rps
         # While nobody asks, others' changes are looked for less often: most of a quiet day is this.
-        self.idle_gap = max(3 * self.sync_gap, settings.report_s / 8)
+        self.idle_gap = max(3 * self.sync_gap, settings.agent_heartbeat_s / 8)
         # Requests that nobody answered may still hold a thread; bounded in time.
         self.request_timeout = min(settings.lease_s / 4, 3.0)
         self.flight_cap = 6
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -52,8 +52,8 @@
 
 
 def deaf_to_cancellations(patch):
-    """No agent manager sees a withdrawal."""
-    patch.setattr(AgentManager, "see_withdrawal", lambda self, job_id, entry, revision: None)
+    """No agent manager sees a cancellation."""
+    patch.setattr(AgentManager, "see_cancellation", lambda self, job_id, entry, revision: None)
 
 
 def forgets_the_final_state(patch):
@@ -79,7 +79,7 @@
         "finished",
         lambda self: (
             not self.spec.service
-            and not self.withdrawn
+            and not self.cancelled
             and self.done_count() >= max(1, self.spec.tasks // 2)
         ),
     )
@@ -119,24 +119,24 @@
 
 def copies_are_signs_of_life(patch):
     """A machine whose copies still come is never proven lost."""
-    original = AgentManager.on_beat
+    original = AgentManager.on_heartbeat
 
-    def on_beat(self, data, reply):
+    def on_heartbeat(self, data, reply):
         if isinstance(data, dict):
             self.evidence.view.pop(data.get("hearth"), None)
             self.known.pop(data.get("hearth"), None)
         original(self, data, reply)
 
-    patch.setattr(AgentManager, "on_beat", on_beat)
+    patch.setattr(AgentManager, "on_heartbeat", on_heartbeat)
 
 
 def blind_to_the_deaf(patch):
     """A machine that does not hear us counts as a good one."""
-    patch.setattr(AgentManager, "listen", lambda self, known, report, last_seen, now: None)
+    patch.setattr(AgentManager, "listen", lambda self, known, heartbeat, last_seen, now: None)
 
 
 def halts_wait_for_reports(patch):
-    """A withdrawn task is halted only by the answer to its machine's report."""
+    """A cancelled task is halted only by the answer to its machine's report."""
     patch.setattr(AgentManager, "press_halts", lambda self, job_id: None)
 
 
@@ -235,7 +235,7 @@
 
 
 def tells_before_commit(patch):
-    """A withdrawal is told before it is durable."""
+    """A cancellation is told before it is durable."""
     original = Api.on_abort_synced
 
     def on_abort_synced(self, job_id, reply, tries, revision):
@@ -302,7 +302,7 @@
 
 def keeps_orphans(patch):
     """A cancellation does not reach the jobs after it."""
-    patch.setattr(DependencyGraph, "_withdraw", lambda self, stack: None)
+    patch.setattr(DependencyGraph, "_cancel", lambda self, stack: None)
 
 
 def trusts_its_copy(patch):
--- a/tests/scenario_kinds/cluster_expectations.py
+++ b/tests/scenario_kinds/cluster_expectations.py
@@ -98,18 +98,18 @@
         observer = self.cluster.observer
         told = {
             job: at
-            for job, at in observer.withdrawn_told.items()
+            for job, at in observer.cancelled_told.items()
             if job.startswith("job-" + prefix)
         }
         assert told
         return {
-            job: round(observer.withdrawn_off.get(job, 0) - at, 1)
+            job: round(observer.cancelled_off.get(job, 0) - at, 1)
             for job, at in told.items()
-            if observer.withdrawn_off.get(job, 0) - at > float(seconds)
+            if observer.cancelled_off.get(job, 0) - at > float(seconds)
         }
 
     def expect_off(self, prefix, seconds):
-        """All withdrawn jobs of that name had nothing left that long after users were told."""
+        """All cancelled jobs of that name had nothing left that long after users were told."""
         assert not self.slow(prefix, seconds), self.slow(prefix, seconds)
 
     def expect_not_off(self, prefix, seconds):
@@ -117,8 +117,8 @@
         assert self.slow(prefix, seconds)
 
     def expect_told(self, least, before):
-        """So many withdrawals were told before that moment: the meeting took place."""
-        told = sorted(self.cluster.observer.withdrawn_told.values())
+        """So many cancellations were told before that moment: the meeting took place."""
+        told = sorted(self.cluster.observer.cancelled_told.values())
         assert sum(at < float(before) for at in told) >= int(least), told
 
     def expect_starts_after_cancel(self, least, most):
@@ -203,7 +203,7 @@
 
     def expect_sessions(self, most):
         """No worker's lease ran out more often than this."""
-        sessions = {m.name: m.session for m in self.cluster.cloud.machines.values() if m.up}
+        sessions = {m.name: m.agent_epoch for m in self.cluster.cloud.machines.values() if m.up}
         assert max(sessions.values(), default=1) <= int(most), sessions
 
     def expect_running_all(self, prefix, count):
--- a/tests/stand_ins/cloud.py
+++ b/tests/stand_ins/cloud.py
@@ -138,7 +138,7 @@
         self.type = cloud.plan["type"]
         self.asked = cloud.world.now
         self.up, self.dead, self.listed = False, False, True
-        self.session, self.tally, self.token = 1, 0, 0
+        self.agent_epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks = {}  # name -> [attempt, state, why, saved, serial]
         self.images = set()
         self.node = cloud.world.random.randrange(len(cloud.nodes))
@@ -178,15 +178,15 @@
             data = orjson.loads(body)
             if "torch" not in data or "kindling_span" not in data:
                 reply(400, {})
-            elif data["torch"] < self.token or data["kindling_span"] != self.session:
-                reply(409, self.report())
+            elif data["torch"] < self.fencing_token or data["kindling_span"] != self.agent_epoch:
+                reply(409, self.heartbeat())
             else:
-                self.token = data["torch"]
+                self.fencing_token = data["torch"]
                 for command in data["bellows"]:
                     self.execute(command)
-                reply(200, self.report())
+                reply(200, self.heartbeat())
         else:
-            reply(200, self.report())
+            reply(200, self.heartbeat())
 
     def hang(self, seconds):
         """Executes nothing and answers nobody; then goes on with what came meanwhile."""
@@ -224,7 +224,7 @@
             for name in list(self.tasks):
                 self.off(name)
             self.tasks = {}
-            self.session += 1
+            self.agent_epoch += 1
             self.renewed = self.world.now
             self.changed()
 
@@ -232,17 +232,17 @@
         if self.up and not self.in_flight:
             self.world.at(max(0.0, self.last_sent + 0.5 - self.world.now), self.send, self.reports)
 
-    def report(self):
-        self.tally += 1
+    def heartbeat(self):
+        self.sequence += 1
         return {
             "hearth": self.name,
             "addr": self.world.address_of(self.name),
             "hearth_kind": self.type["label"],
             "glade": self.zone,
             "driftwood": self.spot,
-            "kindling_span": self.session,
-            "tally": self.tally,
-            "torch": self.token,
+            "kindling_span": self.agent_epoch,
+            "tally": self.sequence,
+            "torch": self.fencing_token,
             "reclaim_s": None
             if self.notice_at is None
             else max(0.0, self.notice_at - self.world.now),
@@ -270,25 +270,25 @@
         self.reports += 1
         self.in_flight = True
         self.last_sent = self.world.now
-        sent, session = self.world.now, self.session
+        sent, agent_epoch = self.world.now, self.agent_epoch
         self.world.request(
             self.name,
             self.cloud.nodes[self.node],
             "POST",
             "/agent/beat",
-            self.report(),
+            self.heartbeat(),
             REPORT_TIMEOUT_S,
-            lambda status, body: self.answered(sent, session, status, body),
+            lambda status, body: self.answered(sent, agent_epoch, status, body),
         )
 
-    def answered(self, sent, session, status, body):
+    def answered(self, sent, agent_epoch, status, body):
         if self.hung:
             # Dropped if it waits for longer than a worker does; else read when the machine goes on.
             self.world.at(
                 0.5,
                 self.answered,
                 sent,
-                session,
+                agent_epoch,
                 status if self.world.now - sent < REPORT_TIMEOUT_S else NO_ANSWER,
                 body,
             )
@@ -297,8 +297,8 @@
         if self.dead:
             return
         if status == 200:
-            if body["torch"] >= self.token and session == self.session:
-                self.token = body["torch"]
+            if body["torch"] >= self.fencing_token and agent_epoch == self.agent_epoch:
+                self.fencing_token = body["torch"]
                 self.renewed = max(self.renewed, sent)
                 for command in body["bellows"]:
                     self.execute(command)
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -132,7 +132,7 @@
             skew_s=0.01,
             teams=teams,
             objectives=(Objective("finished", "test", 100.0, 0.9),),
-            report_s=limits["report_s"],
+            agent_heartbeat_s=limits["report_s"],
             lease_s=limits["lease_s"],
             cancel_s=limits["cancel_s"],
             state_rps=limits["rps"],
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -44,7 +44,7 @@
 [settings]
 size = {settings.size}
 zones = {zones}
-workers = {{ report_s = {settings.report_s}, lease_s = {settings.lease_s}, \
+workers = {{ report_s = {settings.agent_heartbeat_s}, lease_s = {settings.lease_s}, \
 cancel_s = {settings.cancel_s} }}
 state = {{ rps = {settings.state_rps}, write_rps = {settings.state_write_rps}, \
 value_kb = {value_kb}, txn_ops = {settings.txn_ops} }}
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -8,8 +8,8 @@
         self.world, self.cancel_s, self.teams = world, cancel_s, teams
         self.jobs = {}  # job -> submission, once a user has tried to submit it
         self.accepted = {}
-        self.withdrawn_told = {}
-        self.withdrawn_off = {}  # job -> when the last of its tasks left a machine after that
+        self.cancelled_told = {}
+        self.cancelled_off = {}  # job -> when the last of its tasks left a machine after that
         self.starts_after_cancel = 0
         self.asked_abort = set()
         self.final = {}
@@ -63,9 +63,9 @@
         """When a user was first told that a job before this one is cancelled; None: nobody was."""
         return min(
             (
-                self.withdrawn_told[need]
+                self.cancelled_told[need]
                 for need in self.needs(job_id)
-                if need in self.withdrawn_told
+                if need in self.cancelled_told
             ),
             default=None,
         )
@@ -109,7 +109,7 @@
         )
         if limit and use > limit + 1e-9:
             self.breach("quota", f"{job['crew']} uses {use} of {limit}")
-        told = self.withdrawn_told.get(job_id)
+        told = self.cancelled_told.get(job_id)
         self.starts_after_cancel += told is not None
         if told is not None and self.world.now > told + self.cancel_s:
             self.breach(
@@ -120,8 +120,8 @@
     def left(self, name, machine):
         self.on.get(name, {}).pop(machine, None)
         job_id = name.rpartition("/")[0]
-        if job_id in self.withdrawn_told:
-            self.withdrawn_off[job_id] = self.world.now
+        if job_id in self.cancelled_told:
+            self.cancelled_off[job_id] = self.world.now
 
     def completed(self, name):
         job_id, _, number = name.rpartition("/")
@@ -133,7 +133,7 @@
             self.job_ended(job_id)
 
     def sweep(self):
-        for job_id, told in self.withdrawn_told.items():
+        for job_id, told in self.cancelled_told.items():
             if self.world.now > told + self.cancel_s:
                 for name, places in self.on.items():
                     if places and name.rpartition("/")[0] == job_id:
@@ -257,14 +257,14 @@
                     f"{job_id} is called {glow}; a job before it was cancelled at {since:.1f}",
                 )
             if glow == "withdrawn" and not self.is_called_off(job_id):
-                self.breach("went_back", f"{job_id} is called withdrawn; nobody asked")
+                self.breach("went_back", f"{job_id} is called cancelled; nobody asked")
             before = self.final.get(job_id)
             if before is not None and glow != before[0] and asked > before[1]:
                 self.breach("went_back", f"{job_id} was {before[0]}, is {glow}")
             if glow in ("done", "withdrawn"):
                 self.final.setdefault(job_id, (glow, self.world.now))
                 if glow == "withdrawn":
-                    self.withdrawn_told.setdefault(job_id, self.world.now)
+                    self.cancelled_told.setdefault(job_id, self.world.now)
             self.accepted.setdefault(job_id, self.world.now)
         elif job_id in self.accepted:
             if status in (404, 400, 422):
