--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -6,7 +6,7 @@
 from ..actors import tell
 from ..fleet.taints import Taints
 from ..jobs.record import KEEP, Part, Spec, read_part_key
-from ..placement import read_types
+from ..placement import read_machine_types
 from . import wire
 
 log = logging.getLogger("emberglade.agents")
@@ -32,7 +32,7 @@
         self.spec, self.cancelled, self.cancelled_at, self.parts = spec, False, 0, {}
         self.generation = generation
 
-    def bound(self):
+    def bindings(self):
         """(task, row as kept) of all bound tasks."""
         for rows in self.parts.values():
             yield from rows.items()
@@ -43,14 +43,14 @@
 
     def __init__(self):
         self.jobs = {}  # job -> Entry
-        self.bound = {}  # machine -> {(job, task): Wanted}
+        self.bindings = {}  # machine -> {(job, task): Wanted}
         # Machines whose bindings or taint changed since their last report here.
         self.touched = set()
         self.fresh = []  # bindings and stops that came with the change at hand
         self.loose = {}  # parts seen before their job, or of another layout than its own
         self.taints = Taints()
         self.holders = {}  # shard -> node
-        self.types = {}
+        self.machine_types = {}
         self.nodes = set()  # controllers whose keys are there
         self.revision = -1
 
@@ -121,7 +121,7 @@
             for update in wire.read_task_updates(rows):
                 tell(self.job_manager.on_task_update, update)
         elif key == "catalog" and data is not None:
-            self.types = read_types(data)
+            self.machine_types = read_machine_types(data)
 
     def absorb_part(self, key, data, stamp):
         job_id, generation, number = read_part_key(key)
@@ -147,14 +147,14 @@
 
     def change_layout(self, job_id, entry, data, stamp):
         """The record names other parts. The tasks that both show bound stay so, in one step."""
-        old = dict(entry.bound())
+        old = dict(entry.bindings())
         parts = {
-            number: Part.bound_rows(part)
+            number: Part.binding_rows(part)
             for number, (part, _) in self.take_loose(job_id, data["g"]).items()
         }
-        parts[0] = Part.bound_rows(data.get("p", {}))
+        parts[0] = Part.binding_rows(data.get("p", {}))
         entry.generation, entry.parts = data["g"], parts
-        self.rebind(job_id, old, dict(entry.bound()), stamp)
+        self.rebind(job_id, old, dict(entry.bindings()), stamp)
 
     def drop_job(self, job_id):
         entry = self.jobs.pop(job_id, None)
@@ -166,7 +166,7 @@
 
     def put_part(self, job_id, entry, number, data, stamp):
         """Takes over one part; costs little for the tasks whose binding is the same as before."""
-        old, new = entry.parts.get(number, {}), Part.bound_rows(data)
+        old, new = entry.parts.get(number, {}), Part.binding_rows(data)
         self.rebind(job_id, old, new, stamp)
         entry.parts[number] = new
 
@@ -174,10 +174,10 @@
         """Makes the bound tasks `old` of a job `new`; only differences cost anything."""
         for task, row in old.items():
             if new.get(task) != row:
-                here = self.bound[row[1]]
+                here = self.bindings[row[1]]
                 before = here.pop((job_id, task))
                 if not here:
-                    del self.bound[row[1]]
+                    del self.bindings[row[1]]
                 self.touched.add(row[1])
                 if task in new and new[task][0] == row[0]:
                     # The same attempt: a stop counts from when it was first seen.
@@ -192,5 +192,5 @@
     def want(self, job_id, task, row, since):
         attempt, machine, agent_epoch, *stop = row
         wanted = Wanted(attempt, stop[0] if stop else KEEP, since, agent_epoch)
-        self.bound.setdefault(machine, {})[(job_id, task)] = wanted
+        self.bindings.setdefault(machine, {})[(job_id, task)] = wanted
         self.touched.add(row[1])
--- a/emberglade/agents/cancellations.py
+++ b/emberglade/agents/cancellations.py
@@ -39,7 +39,7 @@
 
     def see_cancellation(self, job_id, entry, revision):
         entry.cancelled, entry.cancelled_at = True, revision
-        self.touched.update(row[1] for _, row in entry.bound())
+        self.touched.update(row[1] for _, row in entry.bindings())
         self.cancelled.setdefault(
             job_id, self.now() + LATER_HEARTBEATS * self.settings.agent_heartbeat_s
         )
@@ -116,7 +116,7 @@
         if entry is None:
             return
         off = self.seen_off.setdefault(job_id, set())
-        for task, (attempt, machine, agent_epoch, *_) in entry.bound():
+        for task, (attempt, machine, agent_epoch, *_) in entry.bindings():
             if (task, attempt) not in off:
                 machines.setdefault((machine, agent_epoch), []).append((task, attempt))
         for machine, agent_epoch in machines:
@@ -146,7 +146,7 @@
         its way however long, is accepted afterwards.
         """
         commands = []
-        for (job_id, task), want in self.bound.get(machine, {}).items():
+        for (job_id, task), want in self.bindings.get(machine, {}).items():
             if job_id in self.cancelled and want.agent_epoch == agent_epoch:
                 fencing_token = max(fencing_token, self.cancelled_revision(job_id))
                 commands.append(wire.halt(f"{job_id}/{task}", want.attempt, 0))
@@ -181,7 +181,7 @@
             # It has seen a newer token. Halts of what is cancelled are true at any time.
             self.send_halts(machine, agent_epoch, addr, heartbeat.fencing_token)
             return
-        for (job_id, task), want in self.bound.get(machine, {}).items():
+        for (job_id, task), want in self.bindings.get(machine, {}).items():
             seen = tasks.get((job_id, task))
             if job_id in self.cancelled and (
                 heartbeat.agent_epoch > want.agent_epoch
--- a/emberglade/agents/commands.py
+++ b/emberglade/agents/commands.py
@@ -19,11 +19,11 @@
         """(token, commands, what more a sync would allow: nothing, a clear, or a start)."""
         heartbeat, tasks = known.heartbeat, known.tasks
         fencing_token, commands, more = max(heartbeat.fencing_token, known.probe or 0), [], None
-        bound = self.bound.get(heartbeat.machine, {})
+        bindings = self.bindings.get(heartbeat.machine, {})
         tainted = heartbeat.machine in self.taints
         for key, seen in tasks.items():
             name = task_name(*key)
-            want = bound.get(key)
+            want = bindings.get(key)
             if want is not None and want.attempt == seen.attempt:
                 if seen.state == "exited":
                     continue  # the holder is told; cleared once that is written
@@ -52,7 +52,7 @@
                     heartbeat.machine,
                 )
                 commands.append(wire.halt(name, seen.attempt, 0))
-        for key, want in bound.items():
+        for key, want in bindings.items():
             seen = tasks.get(key)
             if (
                 seen is not None and seen.attempt == want.attempt
@@ -74,7 +74,7 @@
 
     @staticmethod
     def grace(entry, stop):
-        return entry.spec.save_s * 1.5 + 1 if stop == SAVE else 0
+        return entry.spec.checkpoint_save_s * 1.5 + 1 if stop == SAVE else 0
 
     def stop_of(self, key, want):
         entry = self.jobs[key[0]]
@@ -98,7 +98,7 @@
             entry = self.jobs.get(job_id)
             # Once broken: the binding and its stop came in one change, and the start went out all
             # the same, with a token above the stop's (rules/stopped_in_one_change.txt).
-            want = self.bound.get(machine, {}).get((job_id, task))
+            want = self.bindings.get(machine, {}).get((job_id, task))
             if (
                 want is None
                 or want.attempt != attempt
--- a/emberglade/agents/exchange.py
+++ b/emberglade/agents/exchange.py
@@ -39,7 +39,7 @@
             self.settings.peer_exchange_s,
         )
         lost = [
-            name for name, taint in self.taints.items() if taint == "lost" and name in self.bound
+            name for name, taint in self.taints.items() if taint == "lost" and name in self.bindings
         ]
         tell_after(often if lost else interval, self.on_ask_peers)
         whole = now - self.asked_whole >= interval - often / 2
@@ -222,7 +222,7 @@
         inventory = {}
         for name, last_seen in self.evidence.view.items():
             row = last_seen.row
-            if row.type in self.types:
+            if row.type in self.machine_types:
                 usable = (
                     now - last_seen.heard < fresh and not row.spot_notice and not row.unreachable
                 )
@@ -230,10 +230,15 @@
                 if (
                     old is None
                     or (old.agent_epoch, old.open) != (row.agent_epoch, usable)
-                    or old.type is not self.types[row.type]
+                    or old.type is not self.machine_types[row.type]
                 ):
                     old = Machine(
-                        name, self.types[row.type], row.zone, row.spot, row.agent_epoch, usable
+                        name,
+                        self.machine_types[row.type],
+                        row.zone,
+                        row.spot,
+                        row.agent_epoch,
+                        usable,
                     )
                 inventory[name] = old
         self.inventory, self.inventory_told = inventory, now
@@ -252,7 +257,7 @@
         for name in sorted(
             set(self.taints)
             if tainted
-            else set(self.evidence.view) | set(self.bound) | set(self.taints)
+            else set(self.evidence.view) | set(self.bindings) | set(self.taints)
         ):
             last_seen, known, taint = (
                 self.evidence.view.get(name),
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -49,7 +49,7 @@
     def on_table_demand(self, demand, shortage):
         """Counts, and machines if they are needed, in as many values as they take."""
         now = self.now()
-        types = sorted(self.types)
+        machine_types = sorted(self.machine_types)
         # The lease's number and a count: no two tables of a node share it.
         self.table_number += 1
         number = f"{self.incarnation}-{self.table_number}"
@@ -62,7 +62,7 @@
             "up": now - self.born,
             "contact": min(1e6, now - self.contact),
             "rev": self.revision,
-            "types": types,
+            "types": machine_types,
             "m": {},
         }
         most = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
@@ -70,11 +70,11 @@
         # A table that lacks further values is never taken for a statement about machines.
         places = [{}]
         if self.rows_in_table:
-            places = self.pack_rows(types, now, most, most - len(orjson.dumps(first)))
+            places = self.pack_rows(machine_types, now, most, most - len(orjson.dumps(first)))
             first["parts"], first["m"] = len(places) - 1, places[0]
         tell(self.member.on_table, first, [{"t": number, "m": rows} for rows in places[1:]])
 
-    def pack_rows(self, types, now, most, first_room):
+    def pack_rows(self, machine_types, now, most, first_room):
         """The machines' rows in dictionaries of at most `most` bytes each, the first of them
         `first_room`.
         """
@@ -92,7 +92,7 @@
         ) in self.rows(now, 2 * self.settings.lease_s).items():
             short = [
                 age_s,
-                types.index(kind) if kind in types else kind,
+                machine_types.index(kind) if kind in machine_types else kind,
                 zones.index(zone) if zone in zones else zone,
                 int(spot),
                 agent_epoch,
@@ -115,7 +115,7 @@
             return
         table = first["table"]
         try:
-            types, zones = table["types"], self.settings.zones
+            machine_types, zones = table["types"], self.settings.zones
             values = [
                 table,
                 *(
@@ -132,7 +132,7 @@
                 for name, (age_s, kind, zone, *rest) in data["m"].items():
                     rows[name] = [
                         age_s,
-                        types[kind] if isinstance(kind, int) else kind,
+                        machine_types[kind] if isinstance(kind, int) else kind,
                         zones[zone] if isinstance(zone, int) else zone,
                         *rest,
                     ]
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -33,7 +33,7 @@
         """Passes on what the report proves; True if anything was."""
         updates = [
             update
-            for key, want in self.bound.get(heartbeat.machine, {}).items()
+            for key, want in self.bindings.get(heartbeat.machine, {}).items()
             if (update := self.proven_update(heartbeat, key, want, tasks.get(key))) is not None
         ]
         for update in updates:
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -40,7 +40,7 @@
     """An aim on starting or finishing the jobs of a class."""
 
     kind: str
-    breed: str
+    job_class: str
     within_s: float | None
     share: float
 
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -11,7 +11,7 @@
 
 from ..actors import callback, tell, tell_after
 from ..membership import FORMAT_KEY, is_raised
-from ..placement import read_types, write_types
+from ..placement import read_machine_types, write_machine_types
 from ..sizing import Sizer, family
 from ..state import LIVE, Follower
 from ..state import wire as state_wire
@@ -34,7 +34,7 @@
         self.lead = None
         self.leading = False
         self.format_raised = False  # whether every controller reads the new record format
-        self.types = {}
+        self.machine_types = {}
         self.catalog_asked = -1e9
         self.taints = Taints()
         self.tables = {}
@@ -77,7 +77,7 @@
             elif key == "lead":
                 self.lead = None if data is None else (data.get("node"), data.get("inc"), stamp)
             elif key == "catalog" and data is not None:
-                self.types = read_types(data)
+                self.machine_types = read_machine_types(data)
             elif key == FORMAT_KEY:
                 self.format_raised = self.format_raised or is_raised(data)
             elif key.startswith("n/"):
@@ -111,7 +111,7 @@
         self.ticks = max(0, int(self.operators.cost_round_s) - 3)
         # What every controller knows of silent machines is the new leader's account of them.
         tell(self.agents.on_silence, callback(self.on_silent), True)
-        if not self.types:
+        if not self.machine_types:
             # Until somebody has, no submission can be judged.
             self.ask_catalog()
 
@@ -126,9 +126,9 @@
             return
         now = self.now()
         self.ticks += 1
-        if now - self.catalog_asked > (30 if self.types else 2):
+        if now - self.catalog_asked > (30 if self.machine_types else 2):
             self.ask_catalog()
-        if not self.types:
+        if not self.machine_types:
             return
         if not self.listing and now - self.list_asked > self.list_interval():
             self.list_asked, self.listing, self.list_found = now, True, []
@@ -155,7 +155,7 @@
             for name, spot, count in table.get("d", ()):
                 total[(name, spot)] = total.get((name, spot), 0.0) + count
         for pool in total:
-            if pool[0] in self.types and pool not in self.sizers:
+            if pool[0] in self.machine_types and pool not in self.sizers:
                 self.sizers[pool] = Sizer(
                     self.experts,
                     self.operators.epsilon,
@@ -166,7 +166,7 @@
                     random.Random(f"{self.operators.seed} {pool}"),
                 )
         for pool, sizer in self.sizers.items():
-            machine_type = self.types.get(pool[0])
+            machine_type = self.machine_types.get(pool[0])
             if machine_type is not None:
                 sizer.record(
                     total.get(pool, 0.0), machine_type.spot_price if pool[1] else machine_type.price
@@ -179,20 +179,23 @@
         self.cloud.call("GET", "/catalog", None, 3.0, callback(self.on_catalog))
 
     def on_catalog(self, status, body):
-        types = wire.read_catalog(body) if status == 200 else None
-        if types is None:
+        machine_types = wire.read_catalog(body) if status == 200 else None
+        if machine_types is None:
             log.info("the catalog can't be had now (%s); asking again", status or "no answer")
             self.catalog_asked = self.now() - 28
             return
-        if self.leading and types != self.types:
-            self.commit([state_wire.put(LIVE + "catalog", write_types(types))], lambda *_: None)
+        if self.leading and machine_types != self.machine_types:
+            self.commit(
+                [state_wire.put(LIVE + "catalog", write_machine_types(machine_types))],
+                lambda *_: None,
+            )
 
     # --- the round: draw, rent, return
 
     def round(self, now, total):
         young = now - self.since < 300
         for pool, sizer in self.sizers.items():
-            machine_type = self.types.get(pool[0])
+            machine_type = self.machine_types.get(pool[0])
             if machine_type is None or not sizer.history:
                 continue
             number, target = sizer.round(machine_type.boot_s or self.operators.boot_guess_s)
@@ -210,7 +213,7 @@
                 total.get(pool, 0.0),
             )
             self.targets[pool] = target
-        for name, machine_type in self.types.items():
+        for name, machine_type in self.machine_types.items():
             self.balance(now, name, machine_type)
             self.serve_zones(now, name, machine_type)
             self.consolidate(name)
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -154,7 +154,7 @@
             if machine.name in self.returning or taint == "gone":
                 continue
             boot = (
-                self.types[machine.type].boot_s if machine.type in self.types else 0
+                self.machine_types[machine.type].boot_s if machine.type in self.machine_types else 0
             ) or self.operators.boot_guess_s
             if taint == "drain":
                 if machine.name not in self.occupied:
--- a/emberglade/fleet/rentals.py
+++ b/emberglade/fleet/rentals.py
@@ -108,7 +108,11 @@
         surplus = ordinary - self.targets.get((name, False), 0) - max(0, short)
         idle = sum(m.idle_since is not None and not m.spot for m in there)
         tell(self.job_manager.on_replicas, callback(self.on_replicas))
-        if surplus > idle and self.moves >= 1 and self.types[name].boot_s < self.now() - self.since:
+        if (
+            surplus > idle
+            and self.moves >= 1
+            and self.machine_types[name].boot_s < self.now() - self.since
+        ):
             tell(self.job_manager.on_thin_machine, name, int(self.moves), callback(self.on_thin))
 
     def on_replicas(self, total):
--- a/emberglade/fleet/wire.py
+++ b/emberglade/fleet/wire.py
@@ -27,10 +27,10 @@
 def read_catalog(body):
     """{name: MachineType}, or None when the answer is odd."""
     try:
-        types = {}
+        machine_types = {}
         for row in body["hearth_kinds"]:
             price = _amount(row["price"])
-            types[row["label"]] = MachineType(
+            machine_types[row["label"]] = MachineType(
                 row["label"],
                 _amount(row["cpus"]),
                 _amount(row.get("cards") or 0),
@@ -44,7 +44,7 @@
             )
     except (KeyError, TypeError, ValueError):
         return None
-    return types or None
+    return machine_types or None
 
 
 def rent(request, machine_type, zone, spot, count):
--- a/emberglade/frontdoor/api.py
+++ b/emberglade/frontdoor/api.py
@@ -11,7 +11,7 @@
 from ..actors import callback, tell, tell_inline
 from ..jobs.record import Job, final_key, job_key, part_size_for, read_part_key
 from ..membership import FORMAT_KEY, is_raised
-from ..placement import fits_some_type, read_types
+from ..placement import fits_some_type, read_machine_types
 from ..state import FINAL, LIVE, Follower
 from ..state import wire as state_wire
 from ..state.store import DECISIONS, SUBMISSIONS
@@ -32,7 +32,7 @@
         AwaitedJobs.__init__(self)
         self.settings = settings
         self.store, self.agents = store, agents
-        self.types = {}
+        self.machine_types = {}
         self.live = {}  # job -> (its key's value, stamp, {(generation, part): value}) as committed
         self.final = OrderedDict()  # job -> (glow, done, tasks): final states never change
         self.open_submissions = 0
@@ -64,7 +64,7 @@
                 if job_id in self.live:
                     self.live[job_id][2][(generation, number)] = data or {}
             elif key == "catalog" and data is not None:
-                self.types = read_types(data)
+                self.machine_types = read_machine_types(data)
             elif key == FORMAT_KEY:
                 self.format_raised = self.format_raised or is_raised(data)
         self.graph.apply(events, whole)
@@ -156,7 +156,7 @@
             # A job accepted earlier is not refused now, whatever has changed since.
             self.look_up(spec.id, callback(self.on_refusal, reason, reply))
             return
-        if not self.types:
+        if not self.machine_types:
             self.later(reply, "the machine types are not known yet")
             return
         if self.memory_short:
@@ -201,9 +201,9 @@
         team = self.settings.teams.get(spec.team)
         if team is None:
             return f"crew {spec.team} is not known"
-        if self.types and not fits_some_type(spec, self.types):
+        if self.machine_types and not fits_some_type(spec, self.machine_types):
             return "a task fits no allowed machine type"
-        count = spec.tasks if spec.service or spec.together else 1
+        count = spec.tasks if spec.service or spec.gang else 1
         for limit, need, what in (
             (team.cpus_max, spec.cpus, "cpus"),
             (team.gpus_max, spec.gpus, "cards"),
@@ -238,7 +238,7 @@
                 spec.id,
                 spec.tasks,
                 spec.cpus,
-                spec.rank,
+                spec.priority,
                 spec.team,
                 "never" if spec.deadline_s is None else f"in {spec.deadline_s:g} s",
             )
--- a/emberglade/frontdoor/wire.py
+++ b/emberglade/frontdoor/wire.py
@@ -3,7 +3,7 @@
 import math
 import re
 
-from ..jobs.record import RANKS, Spec
+from ..jobs.record import PRIORITIES, Spec
 
 JOB_ID = re.compile(r"job-[0-9A-Za-z_-]{1,64}\Z", re.ASCII)
 MAX_TASKS = 100_000
@@ -51,7 +51,7 @@
     return job_id if isinstance(job_id, str) and JOB_ID.match(job_id) else None
 
 
-def read_submission(data, submitted):
+def read_submission(data, submitted_at):
     """A Spec, or Malformed."""
     if not isinstance(data, dict):
         raise Malformed("the body is not a JSON object")
@@ -62,41 +62,43 @@
     # `group` is not in PROTOCOL, but in what platforms send (docs/questions.md).
     if shape not in ("sweep", "standing", "group"):
         raise Malformed("shape: sweep, standing or group is needed")
-    rank = data.get("rank")
-    if rank not in RANKS:
-        raise Malformed(f"rank: one of {', '.join(RANKS)} is needed")
+    priority = data.get("rank")
+    if priority not in PRIORITIES:
+        raise Malformed(f"rank: one of {', '.join(PRIORITIES)} is needed")
     tasks = data.get("embers")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
         raise Malformed(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
-    types = data.get("hearth_kinds")
-    if types is not None and (
-        not isinstance(types, list) or not types or not all(isinstance(t, str) and t for t in types)
+    machine_types = data.get("hearth_kinds")
+    if machine_types is not None and (
+        not isinstance(machine_types, list)
+        or not machine_types
+        or not all(isinstance(t, str) and t for t in machine_types)
     ):
         raise Malformed("hearth_kinds: a list of machine types or null is needed")
     due = None if data.get("due_s") is None else _amount(data, "due_s")
     return Spec(
         id=job_id,
-        breed=_text(data, "breed"),
+        job_class=_text(data, "breed"),
         team=_text(data, "crew"),
         service=shape == "standing",
-        rank=RANKS.index(rank),
+        priority=PRIORITIES.index(priority),
         tasks=tasks,
         cpus=_amount(data, "cpus"),
         gpus=_amount(data, "cards"),
-        ram=_amount(data, "ram_gb"),
+        ram_gb=_amount(data, "ram_gb"),
         image=_text(data, "kindling"),
         image_gb=_amount(data, "image_gb"),
-        types=tuple(types) if types is not None else None,
+        allowed_types=tuple(machine_types) if machine_types is not None else None,
         zone=_or_null(data, "glade"),
-        one_zone=_flag(data, "one_zone"),
-        scatter=_flag(data, "scatter"),
+        single_zone=_flag(data, "one_zone"),
+        zone_spread=_flag(data, "scatter"),
         spot=_flag(data, "driftwood"),
-        estimate_s=_amount(data, "burn_s"),
-        checkpoint_s=_amount(data, "bank_s"),
-        save_s=_amount(data, "banking_s"),
+        estimated_run_s=_amount(data, "burn_s"),
+        checkpoint_interval_s=_amount(data, "bank_s"),
+        checkpoint_save_s=_amount(data, "banking_s"),
         deadline_s=due,
-        submitted=round(submitted, 3),
-        together=shape == "group",
+        submitted_at=round(submitted_at, 3),
+        gang=shape == "group",
     )
 
 
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -117,7 +117,7 @@
                         LIVE + key, job.encode() if key.startswith("j/") else part.encode()
                     )
                 )
-                size += 400 + 48 * len(part.bound)
+                size += 400 + 48 * len(part.bindings)
             keys[key] = part
             self.dirty.pop(key)
         if not writes:
@@ -143,7 +143,7 @@
         """
         job = self.jobs.get(key.split("/")[1])
         return self.dirty[key] + (
-            job.spec.rank if job is not None else 0
+            job.spec.priority if job is not None else 0
         ) * self.settings.agent_heartbeat_s / 4, key
 
     def on_flushed(self, ends, status, revision, failed):
@@ -158,7 +158,7 @@
                     "%s is %s after %.1f s",
                     job_id,
                     glow,
-                    self.system.wall() - job.spec.submitted if job else 0,
+                    self.system.wall() - job.spec.submitted_at if job else 0,
                 )
                 if job is not None:
                     self.drop(job_id)
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -7,7 +7,7 @@
 from ..membership import FORMAT_KEY, is_raised, shard_count
 from ..state import LIVE
 from .record import (
-    Bound,
+    Binding,
     Job,
     job_key,
     read_part_key,
@@ -31,7 +31,7 @@
         self.holders = {}  # shard -> (node, incarnation, stamp)
         self.taints = Taints()
         self.fresh_taints = set()  # machines whose taints came with the change at hand
-        self.types = {}
+        self.machine_types = {}
 
     def on_changed(self, events, revision, whole):
         self.loaded = True
@@ -80,7 +80,7 @@
         elif key.startswith("m/"):
             self.fresh_taints.update(self.taints.apply(key, data, stamp, self.now()))
         elif key == "catalog" and data is not None:
-            self.types = placement.read_types(data)
+            self.machine_types = placement.read_machine_types(data)
         elif key == FORMAT_KEY:
             self.format_raised = self.format_raised or is_raised(data)
 
@@ -118,7 +118,7 @@
 
     def change_layout(self, job, data):
         """The job's record names another layout of its parts; they were written before it."""
-        since = {task: bound.since for task, bound in job.bound()}
+        since = {task: binding.since for task, binding in job.bindings()}
         loose = self.loose_parts.setdefault(job.id, {})
         for task in list(since):
             self.unbind(job, task)
@@ -129,43 +129,43 @@
         job.size, job.generation, job.parts = data["z"], data.get("g", ""), {}
         self.adopt_parts(job)
         self.merge(job, 0, data.get("p", {}), 0)
-        for task, bound in job.bound():
-            bound.since = since.get(task, bound.since)
+        for task, binding in job.bindings():
+            binding.since = since.get(task, binding.since)
 
     def merge(self, job, number, data, stamp):
         """Makes one part of the view what was committed; only differences cost anything."""
         part = job.part(number * job.size)
-        rows = part.bound_rows(data)
-        for task in [task for task in part.bound if task not in rows]:
+        rows = part.binding_rows(data)
+        for task in [task for task in part.bindings if task not in rows]:
             self.unbind(job, task)
         for task, row in rows.items():
-            bound = part.bound.get(task)
-            if bound is None or bound.row() != row:
-                if bound is not None:
+            binding = part.bindings.get(task)
+            if binding is None or binding.row() != row:
+                if binding is not None:
                     self.unbind(job, task)
-                self.bind(job, task, Bound(*row))
+                self.bind(job, task, Binding(*row))
         part.take_over(data, stamp)
 
-    def bind(self, job, task, bound):
-        bound.since = job.last_bound = self.now()
-        job.part(task).bound[task] = bound
-        self.room.add(job, task, bound)
-        machine = self.inventory.get(bound.machine)
+    def bind(self, job, task, binding):
+        binding.since = job.last_bound_at = self.now()
+        job.part(task).bindings[task] = binding
+        self.room.add(job, task, binding)
+        machine = self.inventory.get(binding.machine)
         if machine is not None:
             self.images.note(
-                bound.machine, job.spec.image, job.spec.image_gb, machine.type.cache_gb
+                binding.machine, job.spec.image, job.spec.image_gb, machine.type.cache_gb
             )
 
     def unbind(self, job, task):
-        bound = job.part(task).bound.pop(task)
-        self.room.remove(job, task, bound)
-        return bound
+        binding = job.part(task).bindings.pop(task)
+        self.room.remove(job, task, binding)
+        return binding
 
     def drop(self, job_id):
         job = self.jobs.pop(job_id, None)
         self.errors.pop(job_id, None)
         if job is not None:
-            for task, _ in list(job.bound()):
+            for task, _ in list(job.bindings()):
                 self.unbind(job, task)
 
     def holder(self, job):
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -30,14 +30,14 @@
     is due.
     """
 
-    rank: int
+    priority: int
     due: float
 
     def most(self, other):
         """The more urgent of both, each by its own measure."""
         if other is None:
             return self
-        return Urgency(min(self.rank, other.rank), min(self.due, other.due))
+        return Urgency(min(self.priority, other.priority), min(self.due, other.due))
 
 
 @dataclass
@@ -53,11 +53,11 @@
 
     def own_urgency(self):
         due = (
-            self.spec.submitted + self.spec.deadline_s
+            self.spec.submitted_at + self.spec.deadline_s
             if self.spec.deadline_s is not None
             else float("inf")
         )
-        return Urgency(self.spec.rank, due)
+        return Urgency(self.spec.priority, due)
 
 
 class DependencyGraph:
@@ -252,7 +252,7 @@
         """What a waiting job lends to each of its needs: time for its own tasks is to be left."""
         job = self.waiting[job_id]
         urgency = job.own_urgency().most(self.urgency.get(job_id))
-        return Urgency(urgency.rank, urgency.due - job.spec.estimate_s)
+        return Urgency(urgency.priority, urgency.due - job.spec.estimated_run_s)
 
     def _lend(self, job_id):
         """Spreads the urgency of a waiting job that grew more urgent to all that it needs."""
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -74,20 +74,26 @@
         job = self.jobs.get(update.job_id)
         if job is None or not self.decides(job) or not 0 <= update.task < job.spec.tasks:
             return
-        bound = job.part(update.task).bound.get(update.task)
+        binding = job.part(update.task).bindings.get(update.task)
         match update:
             case TaskExited():
-                self.task_exited(job, bound, update)
+                self.task_exited(job, binding, update)
             case TaskGone():
                 self.release(job, update.task, update.attempt, update.machine)
                 self.settle(job)
             case StopWanted():
-                if bound is not None and (bound.attempt, bound.stop) == (update.attempt, KEEP):
+                if binding is not None and (binding.attempt, binding.stop) == (
+                    update.attempt,
+                    KEEP,
+                ):
                     self.stop(job, update.task, update.mode, update.reason)
 
-    def task_exited(self, job, bound, update):
+    def task_exited(self, job, binding, update):
         """Records the end of an attempt, unless another attempt is bound by now."""
-        if bound is None or (bound.attempt, bound.machine) != (update.attempt, update.machine):
+        if binding is None or (binding.attempt, binding.machine) != (
+            update.attempt,
+            update.machine,
+        ):
             return
         task, part = update.task, job.part(update.task)
         self.unbind(job, task)
@@ -134,8 +140,8 @@
 
     def release(self, job, task, attempt, machine):
         part = job.part(task)
-        bound = part.bound.get(task)
-        if bound is not None and (bound.attempt, bound.machine) == (attempt, machine):
+        binding = part.bindings.get(task)
+        if binding is not None and (binding.attempt, binding.machine) == (attempt, machine):
             self.unbind(job, task)
             part.tried[task] = attempt
             self.touch(job, task)
@@ -147,14 +153,14 @@
         moved = {}
         for machine in machines:
             taint = self.taints.get(machine)
-            for (_, task), (job, bound) in list(self.room.on.get(machine, {}).items()):
+            for (_, task), (job, binding) in list(self.room.on.get(machine, {}).items()):
                 if not self.decides(job):
                     continue
                 if taint in ("ended", "gone"):
                     moved.setdefault(machine, []).append(task_name(job.id, task))
-                    self.release(job, task, bound.attempt, machine)
+                    self.release(job, task, binding.attempt, machine)
                     self.settle(job)
-                elif taint == "drain" and bound.stop == KEEP:
+                elif taint == "drain" and binding.stop == KEEP:
                     self.stop(job, task, SAVE, "its machine is drained")
         if moved:
             log.info(
@@ -168,9 +174,9 @@
             )
 
     def stop(self, job, task, how, reason):
-        bound = job.part(task).bound[task]
-        log.info("stopping %s on %s: %s", task_name(job.id, task), bound.machine, reason)
-        bound.stop = SAVE if how == SAVE and job.spec.checkpoint_s > 0 else STOP
+        binding = job.part(task).bindings[task]
+        log.info("stopping %s on %s: %s", task_name(job.id, task), binding.machine, reason)
+        binding.stop = SAVE if how == SAVE and job.spec.checkpoint_interval_s > 0 else STOP
         self.touch(job, task)
 
     # --- now and then
@@ -208,12 +214,14 @@
         reply(
             placement.demand(
                 own,
-                placement.headroom(own, self.settings.objectives, self.types, self.system.wall()),
-                self.types,
+                placement.headroom(
+                    own, self.settings.objectives, self.machine_types, self.system.wall()
+                ),
+                self.machine_types,
                 self.settings.teams,
             ),
             placement.zone_shortage(
-                own, self.room, self.open_machines.difference(self.taints.of), self.types
+                own, self.room, self.open_machines.difference(self.taints.of), self.machine_types
             ),
         )
 
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -20,27 +20,27 @@
     def __init__(self):
         self.asked = {}  # (job, task, attempt) -> when its holder was asked to stop it
 
-    def late_start(self, job, bound, now):
+    def late_start(self, job, binding, now):
         """Whether a task is the first sign of a job that waited that long: it is left alone for a
         while.
 
         Once broken: what had its turn was stopped for a higher rank before it began, had its turn
         again, and so on; neither ran (meetings/turn_and_stop.txt).
         """
-        age = self.system.wall() - job.spec.submitted - (now - bound.since)
-        return now - bound.since < 4 * self.settings.lease_s < age / 2 and not job.done_count()
+        age = self.system.wall() - job.spec.submitted_at - (now - binding.since)
+        return now - binding.since < 4 * self.settings.lease_s < age / 2 and not job.done_count()
 
     def pressing(self, job, now):
         """Whether a waiting job may have others stopped now: a deadline allows patience."""
         spec = job.spec
-        age = self.system.wall() - spec.submitted
+        age = self.system.wall() - spec.submitted_at
         if spec.service:
             return age > 2 * self.settings.agent_heartbeat_s / 10
         if job.id in self.guaranteed and age > self.settings.agent_heartbeat_s:
             return True
         if spec.deadline_s is not None:
-            return spec.deadline_s - age < spec.estimate_s * 1.5 + self.settings.lease_s
-        return spec.rank < 2 and age > self.settings.lease_s
+            return spec.deadline_s - age < spec.estimated_run_s * 1.5 + self.settings.lease_s
+        return spec.priority < 2 and age > self.settings.lease_s
 
     def preempt(self, now, waiting, placing_round):
         """Stops what the pressing ones among the waiting jobs need to find room."""
@@ -71,7 +71,7 @@
         running = {
             placement.preempt.stop_class(job.spec): job.spec
             for job in self.jobs.values()
-            if job.bound_count()
+            if job.binding_count()
         }
         return [
             job
@@ -82,23 +82,25 @@
     def count_stopping_as_room(self, placing_round):
         """What is being stopped already will be room; it is not stopped for twice."""
         for job in self.jobs.values():
-            for bound in [bound for _, bound in job.bound() if bound.stop or job.cancelled]:
-                placing_round.give(job.spec, bound.machine)
+            for binding in [
+                binding for _, binding in job.bindings() if binding.stop or job.cancelled
+            ]:
+                placing_round.give(job.spec, binding.machine)
         for job_id, task, attempt in self.asked:
             job = self.jobs.get(job_id)
-            bound = job.part(task).bound.get(task) if job is not None else None
+            binding = job.part(task).bindings.get(task) if job is not None else None
             if (
-                bound is not None
-                and bound.attempt == attempt
-                and not bound.stop
+                binding is not None
+                and binding.attempt == attempt
+                and not binding.stop
                 and not job.cancelled
             ):
-                placing_round.give(job.spec, bound.machine)
+                placing_round.give(job.spec, binding.machine)
 
     def stoppable_rows(self, now, pressing):
         """{machine: [(job, task, bound)]} of what may be stopped there, the cheapest first."""
         rules = placement.preempt.StopRules(self.room, self.settings.teams)
-        kinds = list({(job.spec.rank, job.spec.team): job.spec for job in pressing}.values())
+        kinds = list({(job.spec.priority, job.spec.team): job.spec for job in pressing}.values())
         rows = {}
         for job in self.jobs.values():
             if (
@@ -107,13 +109,13 @@
                 or not any(rules.may_stop(spec, job.spec) for spec in kinds)
             ):
                 continue
-            for task, bound in job.bound():
+            for task, binding in job.bindings():
                 if (
-                    not bound.stop
-                    and (job.id, task, bound.attempt) not in self.asked
-                    and not self.late_start(job, bound, now)
+                    not binding.stop
+                    and (job.id, task, binding.attempt) not in self.asked
+                    and not self.late_start(job, binding, now)
                 ):
-                    rows.setdefault(bound.machine, []).append((job, task, bound))
+                    rows.setdefault(binding.machine, []).append((job, task, binding))
         for there in rows.values():
             there.sort(key=lambda row: placement.preempt.turn_to_go(row, self.is_fresh(row, now)))
         return rows
@@ -158,10 +160,10 @@
         return placement.preempt.for_room(job, rows, placing_round, teams, fresh)
 
     def ask_stop(self, now, row, reason):
-        job, task, bound = row
+        job, task, binding = row
         if self.mine(job):
             self.stop(job, task, SAVE, reason)
         else:
-            self.asked[(job.id, task, bound.attempt)] = now
-            update = StopWanted(job.id, task, bound.attempt, SAVE, reason)
+            self.asked[(job.id, task, binding.attempt)] = now
+            update = StopWanted(job.id, task, binding.attempt, SAVE, reason)
             tell(self.agents.on_ask_stop, update)
--- a/emberglade/jobs/record.py
+++ b/emberglade/jobs/record.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-BOUND_BYTES = 48  # upper bound of one bound task in a record
+BINDING_BYTES = 48  # upper bound of one bound task in a record
 RECORD_BYTES = 128  # upper bound of a record's field names, flags and generation
-RANKS = ("critical", "urgent", "normal", "idle")
+PRIORITIES = ("critical", "urgent", "normal", "idle")
 
 # How a bound task is to be stopped; 0: not at all.
 KEEP, STOP, SAVE = 0, 1, 2
@@ -52,7 +52,7 @@
 
 def part_size(value_bytes):
     """Tasks of a part: three quarters of a value for tasks, the rest for the description."""
-    return max(1, value_bytes * 3 // 4 // BOUND_BYTES)
+    return max(1, value_bytes * 3 // 4 // BINDING_BYTES)
 
 
 def part_size_for(spec, value_bytes):
@@ -60,11 +60,11 @@
     description does.
     """
     free = value_bytes - len(orjson.dumps(spec.encode())) - RECORD_BYTES
-    return max(0, min(part_size(value_bytes), free // BOUND_BYTES))
+    return max(0, min(part_size(value_bytes), free // BINDING_BYTES))
 
 
 @dataclass
-class Bound:
+class Binding:
     """A task that may be on a machine: attempt, machine, its session, and how it is to be stopped.
 
     An attempt belongs to one session: started again in a later one, a report of the earlier that
@@ -90,7 +90,7 @@
     """The tasks of a part: done, bound, and tried before."""
 
     done: set = field(default_factory=set)
-    bound: dict = field(default_factory=dict)
+    bindings: dict = field(default_factory=dict)
     tried: dict = field(
         default_factory=dict
     )  # task -> last attempt, for tasks neither bound nor done
@@ -100,14 +100,14 @@
         data = {}
         if self.done:
             data["d"] = to_ranges(self.done)
-        if self.bound:
-            data["b"] = {str(n): b.row() for n, b in self.bound.items()}
+        if self.bindings:
+            data["b"] = {str(n): b.row() for n, b in self.bindings.items()}
         if self.tried:
             data["t"] = {str(n): attempt for n, attempt in self.tried.items()}
         return data
 
     @staticmethod
-    def bound_rows(data):
+    def binding_rows(data):
         """{task: row as kept} of an encoded part."""
         return {int(n): row for n, row in data.get("b", {}).items()}
 
@@ -142,51 +142,51 @@
     """What the user asked for, in this project's own words."""
 
     id: str
-    breed: str
+    job_class: str
     team: str
     service: bool
-    rank: int
+    priority: int
     tasks: int
     cpus: float
     gpus: float
-    ram: float
+    ram_gb: float
     image: str
     image_gb: float
-    types: tuple | None
+    allowed_types: tuple | None
     zone: str | None
-    one_zone: bool
-    scatter: bool
+    single_zone: bool
+    zone_spread: bool
     spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
+    estimated_run_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
     deadline_s: float | None
-    submitted: float  # time of day
-    together: bool = False  # tasks run only all at once
+    submitted_at: float  # time of day
+    gang: bool = False  # tasks run only all at once
 
     def encode(self):
         return [
-            self.breed,
+            self.job_class,
             self.team,
             int(self.service),
-            self.rank,
+            self.priority,
             self.tasks,
             self.cpus,
             self.gpus,
-            self.ram,
+            self.ram_gb,
             self.image,
             self.image_gb,
-            list(self.types) if self.types is not None else None,
+            list(self.allowed_types) if self.allowed_types is not None else None,
             self.zone,
-            int(self.one_zone),
-            int(self.scatter),
+            int(self.single_zone),
+            int(self.zone_spread),
             int(self.spot),
-            self.estimate_s,
-            self.checkpoint_s,
-            self.save_s,
+            self.estimated_run_s,
+            self.checkpoint_interval_s,
+            self.checkpoint_save_s,
             self.deadline_s,
-            self.submitted,
-            int(self.together),
+            self.submitted_at,
+            int(self.gang),
         ]
 
     @classmethod
@@ -216,7 +216,8 @@
         self.fitting_size = None  # tasks of a part that fits a value, once that was worked out
         self.cancelled = cancelled
         self.parts = {}
-        self.last_bound = float("-inf")  # when this node last saw a task of it bound; not durable
+        # When this controller last saw a task of it bound; not durable.
+        self.last_bound_at = float("-inf")
         self.not_before = {}  # task -> earliest next try; not durable
 
     @property
@@ -231,12 +232,12 @@
         if urgency is None:
             self.spec = own
             return
-        within = urgency.due - own.submitted
+        within = urgency.due - own.submitted_at
         if own.deadline_s is not None:
             within = min(within, own.deadline_s)
         self.spec = replace(
             own,
-            rank=min(own.rank, urgency.rank),
+            priority=min(own.priority, urgency.priority),
             deadline_s=within if within < float("inf") else None,
         )
 
@@ -254,14 +255,14 @@
     def stamp(self):
         return self.parts[0].stamp if 0 in self.parts else 0
 
-    def bound(self):
+    def bindings(self):
         for part in self.parts.values():
-            yield from part.bound.items()
+            yield from part.bindings.items()
 
-    def bound_count(self):
+    def binding_count(self):
         count = 0
         for part in self.parts.values():
-            count += len(part.bound)
+            count += len(part.bindings)
         return count
 
     def done_count(self):
@@ -276,7 +277,7 @@
 
     def over(self):
         """Done, or cancelled with nothing left on any machine."""
-        return self.finished() or (self.cancelled and not self.bound_count())
+        return self.finished() or (self.cancelled and not self.binding_count())
 
     def waiting(self, now, most):
         """Up to `most` tasks that are neither bound, done nor held back, lowest first."""
@@ -284,12 +285,12 @@
         for number in range((self.spec.tasks + self.size - 1) // self.size):
             part = self.parts.get(number)
             first = number * self.size
-            if part is not None and len(part.done) + len(part.bound) >= min(
+            if part is not None and len(part.done) + len(part.bindings) >= min(
                 self.size, self.spec.tasks - first
             ):
                 continue
             for task in range(first, min(first + self.size, self.spec.tasks)):
-                if part is not None and (task in part.bound or task in part.done):
+                if part is not None and (task in part.bindings or task in part.done):
                     continue
                 if self.not_before and self.not_before.get(task, 0) > now:
                     continue
@@ -301,7 +302,7 @@
     def waiting_count(self):
         count = self.spec.tasks
         for part in self.parts.values():
-            count -= len(part.done) + len(part.bound)
+            count -= len(part.done) + len(part.bindings)
         return count
 
     def encode(self):
--- a/emberglade/jobs/relayout.py
+++ b/emberglade/jobs/relayout.py
@@ -69,7 +69,7 @@
         ]
         if not own:
             return
-        job = max(own, key=lambda job: (job.id in urgent, job.bound_count(), job.id))
+        job = max(own, key=lambda job: (job.id in urgent, job.binding_count(), job.id))
         self.layout_changes += 1
         self.layout_change = LayoutChange(job.id, f"{self.incarnation}-{self.layout_changes}")
         keys = [job.part_key(number) for number in {0, *job.parts}]
@@ -190,8 +190,8 @@
     for old in job.parts.values():
         for task in old.done:
             part_of(task).done.add(task)
-        for task, bound in old.bound.items():
-            part_of(task).bound[task] = bound
+        for task, binding in old.bindings.items():
+            part_of(task).bindings[task] = binding
         for task, attempt in old.tried.items():
             part_of(task).tried[task] = attempt
     return parts
--- a/emberglade/jobs/releases.py
+++ b/emberglade/jobs/releases.py
@@ -80,7 +80,7 @@
         ready = sorted(
             self.own_waiting(graph.ready),
             key=lambda job_id: (
-                graph.waiting[job_id].own_urgency().most(graph.urgency.get(job_id)).rank,
+                graph.waiting[job_id].own_urgency().most(graph.urgency.get(job_id)).priority,
                 job_id,
             ),
         )
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -5,7 +5,7 @@
 
 from .. import placement
 from ..actors import tell_after
-from .record import Bound
+from .record import Binding
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -41,7 +41,7 @@
             return  # played already, before a flush
         self.place_due = False
         now = self.now()
-        if not self.loaded or not self.types or self.flight is not None:
+        if not self.loaded or not self.machine_types or self.flight is not None:
             return
         waiting = [
             job
@@ -80,7 +80,9 @@
             self.guaranteed = placement.preempt.guaranteed(
                 (job for job in self.jobs.values() if not job.cancelled), teams
             )
-        ahead = placement.headroom(self.jobs.values(), self.settings.objectives, self.types, wall)
+        ahead = placement.headroom(
+            self.jobs.values(), self.settings.objectives, self.machine_types, wall
+        )
         budget = self.settings.txn_ops * 4 * self.size
         played = {}  # other holders' jobs -> tasks that room was taken for
         # First what each team is guaranteed: that is not to wait for what others run beyond theirs.
@@ -88,11 +90,11 @@
             (True, False) if any(team.cpus or team.gpus for team in teams.values()) else (False,)
         ):
             for job in waiting:
-                for row in [row for row in ahead if row[0].spec.rank < job.spec.rank]:
+                for row in [row for row in ahead if row[0].spec.priority < job.spec.priority]:
                     ahead.remove(row)
                     placing_round.fill(row[0], math.ceil(row[1]))
                 most = min(job.waiting_count(), placing_round.most(job.spec), 256)
-                if within and job.spec.rank:
+                if within and job.spec.priority:
                     most = min(most, self.room.more_within_guarantee(job.spec))
                 if job.id in starving:
                     # Enough to begin; the rest takes its place in the ordinary order.
@@ -105,7 +107,7 @@
                     # away, and made for them again and again
                     # (rules/random_meetings_small_values.txt, 39).
                     past = played.get(job.id, 0)
-                    hopeful = job.bound_count() or job.done_count()
+                    hopeful = job.binding_count() or job.done_count()
                     tasks = [
                         task
                         for task in job.waiting(now, most + past)
@@ -126,7 +128,7 @@
         found = placing_round.fill(job, len(tasks))
         placing_round.forget(len(found))
         if not found or (
-            job.spec.together and not job.bound_count() and len(found) < job.waiting_count()
+            job.spec.gang and not job.binding_count() and len(found) < job.waiting_count()
         ):
             return 0
         missing = 0
@@ -136,14 +138,14 @@
             self.bind(
                 job,
                 task,
-                Bound(part.tried.pop(task, 0) + 1, machine, self.inventory[machine].agent_epoch),
+                Binding(part.tried.pop(task, 0) + 1, machine, self.inventory[machine].agent_epoch),
             )
             self.touch(job, task)
         log.info(
             "placing %d tasks of %s after %.1f s on %s%s",
             len(found),
             job.id,
-            wall - job.spec.submitted,
+            wall - job.spec.submitted_at,
             " ".join(sorted(set(found))),
             f", image {job.spec.image} not cached for {missing}" if missing else "",
         )
@@ -156,10 +158,10 @@
         more keeps coming than can be served.
         """
         return (
-            wall - job.spec.submitted > 8 * self.settings.lease_s
-            and not job.bound_count()
+            wall - job.spec.submitted_at > 8 * self.settings.lease_s
+            and not job.binding_count()
             and not job.done_count()
-            and self.now() - job.last_bound > 8 * self.settings.lease_s
+            and self.now() - job.last_bound_at > 8 * self.settings.lease_s
         )
 
     def on_thin_machine(self, type_name, most, reply):
@@ -177,8 +179,8 @@
                 and name not in self.taints
                 and 0 < len(on) <= most
                 and all(
-                    job.spec.service and not bound.stop and not job.cancelled
-                    for job, bound in on.values()
+                    job.spec.service and not binding.stop and not job.cancelled
+                    for job, binding in on.values()
                 )
             ):
                 rows.append((len(on), name))
--- a/emberglade/jobs/waiting.py
+++ b/emberglade/jobs/waiting.py
@@ -91,6 +91,6 @@
     was.
     """
     if spec.deadline_s is None:
-        return replace(spec, submitted=round(now, 3))
-    left = spec.submitted + spec.deadline_s - now
-    return replace(spec, submitted=round(now, 3), deadline_s=round(max(0.0, left), 3))
+        return replace(spec, submitted_at=round(now, 3))
+    left = spec.submitted_at + spec.deadline_s - now
+    return replace(spec, submitted_at=round(now, 3), deadline_s=round(max(0.0, left), 3))
--- a/emberglade/placement/__init__.py
+++ b/emberglade/placement/__init__.py
@@ -4,8 +4,8 @@
 from .demand import demand, zone_shortage
 from .headroom import headroom
 from .images import ImageCaches
+from .machine_types import MachineType, fits_some_type, read_machine_types, write_machine_types
 from .room import Machine, Room, Round, order
-from .types import MachineType, fits_some_type, read_types, write_types
 
 __all__ = [
     "ImageCaches",
@@ -18,7 +18,7 @@
     "headroom",
     "order",
     "preempt",
-    "read_types",
-    "write_types",
+    "read_machine_types",
+    "write_machine_types",
     "zone_shortage",
 ]
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -4,16 +4,16 @@
 and spot machines can't serve everyone.
 """
 
-from .types import SLACK
+from .machine_types import SLACK
 
 
-def demand(jobs, spare, types, teams):
+def demand(jobs, spare, machine_types, teams):
     """{(type, spot): fraction of machines, not rounded, so that nodes' parts can be summed}."""
     counts: dict[tuple, float] = {}
     used: dict[str, list[float]] = {}
     rows = [
         (job.spec, job.spec.tasks - job.done_count())
-        for job in sorted(jobs, key=lambda job: (job.spec.rank, job.spec.submitted))
+        for job in sorted(jobs, key=lambda job: (job.spec.priority, job.spec.submitted_at))
     ]
     rows += [(job.spec, tasks) for job, tasks in spare]
     for spec, tasks in rows:
@@ -27,7 +27,7 @@
             taken = used.setdefault(spec.team, [0.0, 0.0])
             taken[0] += tasks * spec.cpus
             taken[1] += tasks * spec.gpus
-        fitting = [t for t in types.values() if t.allows(spec)]
+        fitting = [t for t in machine_types.values() if t.allows(spec)]
         if not fitting or not tasks:
             continue
         chosen = min(
@@ -36,7 +36,7 @@
         )
         share = max(
             spec.cpus / chosen.cpus if chosen.cpus else 0,
-            spec.ram / chosen.ram if chosen.ram else 0,
+            spec.ram_gb / chosen.ram_gb if chosen.ram_gb else 0,
             spec.gpus / chosen.gpus if chosen.gpus else 0,
         )
         key = (chosen.name, spec.spot)
@@ -44,7 +44,7 @@
     return counts
 
 
-def zone_shortage(jobs, room, usable, types):
+def zone_shortage(jobs, room, usable, machine_types):
     """{(type, spot, zone): machines} for tasks that can run in one zone only and find no room
     there.
 
@@ -54,7 +54,7 @@
     for job in jobs:
         spec, zone = job.spec, job.spec.zone
         waiting = min(job.waiting_count(), room.more_within_limit(spec))
-        if zone is None and spec.one_zone and waiting:
+        if zone is None and spec.single_zone and waiting:
             zone = next(iter(room.zones_of(job)[0]), None)
         if zone is None or not waiting:
             continue
@@ -63,7 +63,7 @@
             if (
                 machine.zone == zone
                 and (spec.spot or not machine.spot)
-                and (spec.types is None or machine.type.name in spec.types)
+                and (spec.allowed_types is None or machine.type.name in spec.allowed_types)
             ):
                 free = room.free[name]
                 waiting -= int(
@@ -71,7 +71,7 @@
                         (
                             have / need
                             for have, need in zip(
-                                free, (spec.cpus, spec.gpus, spec.ram), strict=True
+                                free, (spec.cpus, spec.gpus, spec.ram_gb), strict=True
                             )
                             if need > 0
                         ),
@@ -81,7 +81,7 @@
                 )
                 if waiting <= 0:
                     break
-        fitting = [t for t in types.values() if t.allows(spec) and zone in t.zones]
+        fitting = [t for t in machine_types.values() if t.allows(spec) and zone in t.zones]
         if waiting > 0 and fitting:
             chosen = min(
                 fitting,
--- a/emberglade/placement/preempt.py
+++ b/emberglade/placement/preempt.py
@@ -7,14 +7,14 @@
 they go.
 """
 
-from .types import SLACK
+from .machine_types import SLACK
 
 
 def guaranteed(jobs, teams):
     """The jobs that fit into their team's guarantee together with the team's earlier ones."""
     used: dict[str, list[float]] = {}
     found = set()
-    for job in sorted(jobs, key=lambda job: (job.spec.submitted, job.id)):
+    for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
         spec = job.spec
         team = teams.get(spec.team)
         if team is None or not (team.cpus or team.gpus):
@@ -30,7 +30,7 @@
 
 def cost(spec, fresh):
     """Order of victims: the lowest rank first, work that saves itself first, fresh starts last."""
-    return -spec.rank, spec.checkpoint_s <= 0, fresh
+    return -spec.priority, spec.checkpoint_interval_s <= 0, fresh
 
 
 def turn_to_go(row, fresh):
@@ -40,7 +40,7 @@
 
 def may_stop(spec, victim, room, teams):
     """Whether PROTOCOL allows stopping a task of `victim` to make room for one of `spec`."""
-    if victim.rank > spec.rank:
+    if victim.priority > spec.priority:
         return True
     mine, theirs = teams.get(spec.team), teams.get(victim.team)
     if mine is None or theirs is None or spec.team == victim.team or not mine.cpus:
@@ -57,7 +57,7 @@
 
 def stop_class(spec):
     """All of a job that `may_stop` looks at: jobs of one class are alike to it."""
-    return spec.rank, spec.team, spec.cpus, spec.gpus
+    return spec.priority, spec.team, spec.cpus, spec.gpus
 
 
 class StopRules:
@@ -92,7 +92,7 @@
             row
             for there in rows.values()
             for row in there
-            if row[0].spec.team == spec.team and row[0].spec.rank > spec.rank
+            if row[0].spec.team == spec.team and row[0].spec.priority > spec.priority
         ),
         key=lambda row: turn_to_go(row, fresh(row)),
     )
@@ -114,12 +114,12 @@
     """
     spec, room = job.spec, placing_round.room
     zones, known = room.zones_of(job)
-    if not known and (spec.one_zone or spec.scatter):
+    if not known and (spec.single_zone or spec.zone_spread):
         return False
     freed: dict[str, list[float]] = {}
-    for other, _, bound in victims:
-        free = freed.setdefault(bound.machine, [0.0, 0.0, 0.0])
-        for slot, amount in enumerate((other.spec.cpus, other.spec.gpus, other.spec.ram)):
+    for other, _, binding in victims:
+        free = freed.setdefault(binding.machine, [0.0, 0.0, 0.0])
+        for slot, amount in enumerate((other.spec.cpus, other.spec.gpus, other.spec.ram_gb)):
             free[slot] += amount
     return any(
         room.fits(
@@ -140,8 +140,8 @@
 def in_zone(spec, zones, zone):
     """Whether one more task may be in this zone, given how many are in which."""
     return not (
-        (spec.one_zone and zones and zone not in zones)
-        or (spec.scatter and zones.get(zone, 0) >= (spec.tasks + 1) // 2)
+        (spec.single_zone and zones and zone not in zones)
+        or (spec.zone_spread and zones.get(zone, 0) >= (spec.tasks + 1) // 2)
     )
 
 
@@ -149,7 +149,7 @@
     """The cheapest victims on one machine whose end makes room for one task, or None."""
     spec, room = job.spec, placing_round.room
     zones, known = room.zones_of(job)
-    if not known and (spec.one_zone or spec.scatter):
+    if not known and (spec.single_zone or spec.zone_spread):
         return None
     best = None
     stoppable: dict = {}
@@ -173,7 +173,7 @@
             victims.append(row)
             free[0] += victim.spec.cpus
             free[1] += victim.spec.gpus
-            free[2] += victim.spec.ram
+            free[2] += victim.spec.ram_gb
         if not victims or not room.fits(spec, free):
             continue
         score = (
--- a/emberglade/placement/room.py
+++ b/emberglade/placement/room.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from .types import SLACK, MachineType
+from .machine_types import SLACK, MachineType
 
 MIN_ESTIMATE_SHARE = 0.6  # estimates are often wrong by half
 
@@ -31,13 +31,13 @@
             (
                 o.within_s
                 for o in objectives
-                if o.kind == "finished" and o.breed == spec.breed and o.within_s
+                if o.kind == "finished" and o.job_class == spec.job_class and o.within_s
             ),
             default=None,
         )
-    due = spec.submitted + within if within is not None else float("inf")
-    late = due - wall < spec.estimate_s * MIN_ESTIMATE_SHARE
-    return spec.rank, late, due, spec.submitted, spec.id
+    due = spec.submitted_at + within if within is not None else float("inf")
+    late = due - wall < spec.estimated_run_s * MIN_ESTIMATE_SHARE
+    return spec.priority, late, due, spec.submitted_at, spec.id
 
 
 class Room:
@@ -58,7 +58,7 @@
             before = self.machines.get(name)
             if before is None or before.type is not machine.type:
                 self.zones[name] = machine.zone
-                free = self.free[name] = [machine.type.cpus, machine.type.gpus, machine.type.ram]
+                free = self.free[name] = [machine.type.cpus, machine.type.gpus, machine.type.ram_gb]
                 self.replicas[name] = 0
                 for job, _ in self.on.get(name, {}).values():
                     self._take(job.spec, name, free)
@@ -71,7 +71,7 @@
     def _take(self, spec, name, free):
         free[0] -= spec.cpus
         free[1] -= spec.gpus
-        free[2] -= spec.ram
+        free[2] -= spec.ram_gb
         self.replicas[name] += spec.service
 
     def count(self, spec, name, sign=1):
@@ -85,21 +85,21 @@
         if free is not None:
             free[0] -= sign * spec.cpus
             free[1] -= sign * spec.gpus
-            free[2] -= sign * spec.ram
+            free[2] -= sign * spec.ram_gb
             self.replicas[name] += sign * spec.service
 
-    def add(self, job, task, bound):
-        self.on.setdefault(bound.machine, {})[(job.id, task)] = (job, bound)
-        self.count(job.spec, bound.machine)
+    def add(self, job, task, binding):
+        self.on.setdefault(binding.machine, {})[(job.id, task)] = (job, binding)
+        self.count(job.spec, binding.machine)
 
-    def remove(self, job, task, bound):
-        here = self.on[bound.machine]
+    def remove(self, job, task, binding):
+        here = self.on[binding.machine]
         del here[(job.id, task)]
         if not here:
-            del self.on[bound.machine]
-            if bound.machine not in self.machines:
-                self.zones.pop(bound.machine, None)
-        self.count(job.spec, bound.machine, -1)
+            del self.on[binding.machine]
+            if binding.machine not in self.machines:
+                self.zones.pop(binding.machine, None)
+        self.count(job.spec, binding.machine, -1)
 
     def more_within_limit(self, spec):
         """How many more tasks like this the team's limit allows."""
@@ -127,7 +127,7 @@
     def fits(spec, free):
         return (
             free[0] + SLACK >= spec.cpus
-            and free[2] + SLACK >= spec.ram
+            and free[2] + SLACK >= spec.ram_gb
             and free[1] + SLACK >= spec.gpus
         )
 
@@ -135,8 +135,8 @@
         """({zone: bound tasks}, whether every task's zone is known)."""
         zones: dict[str, int] = {}
         known = True
-        for _, bound in job.bound():
-            zone = self.zones.get(bound.machine)
+        for _, binding in job.bindings():
+            zone = self.zones.get(binding.machine)
             # A machine that is not known any more may be in any zone: the job has to wait for it
             # where zones matter.
             if zone is None:
@@ -164,7 +164,7 @@
         machine = self.room.machines[name]
         return (
             (spec.spot or not machine.spot)
-            and (spec.types is None or machine.type.name in spec.types)
+            and (spec.allowed_types is None or machine.type.name in spec.allowed_types)
             and (spec.zone is None or machine.zone == spec.zone)
         )
 
@@ -183,11 +183,11 @@
 
     @staticmethod
     def needs(spec):
-        return spec.cpus, spec.gpus, spec.ram, spec.spot, spec.types, spec.zone
+        return spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.allowed_types, spec.zone
 
     def most(self, spec):
         """At most so many tasks may find room: a cheap look that saves most jobs a dear one."""
-        if not (spec.one_zone or spec.scatter) and self.needs(spec) in self.full:
+        if not (spec.single_zone or spec.zone_spread) and self.needs(spec) in self.full:
             return 0
         return self.room.more_within_limit(spec)
 
@@ -196,13 +196,13 @@
 
         `Room.fits` in place: looking over all machines is most of what a round costs.
         """
-        cpus, gpus, ram = spec.cpus - SLACK, spec.gpus - SLACK, spec.ram - SLACK
+        cpus, gpus, ram_gb = spec.cpus - SLACK, spec.gpus - SLACK, spec.ram_gb - SLACK
         free = self.room.free
         return [
             name
             for name in self.roomy
             if (left := free[name])[0] >= cpus
-            and left[2] >= ram
+            and left[2] >= ram_gb
             and left[1] >= gpus
             and self.allowed(spec, name)
         ]
@@ -213,7 +213,7 @@
         count = min(count, self.most(spec))
         if count <= 0:
             return []
-        zoned = spec.one_zone or spec.scatter
+        zoned = spec.single_zone or spec.zone_spread
         zones, known = room.zones_of(job) if zoned else ({}, True)
         if not known:
             return []
@@ -233,8 +233,8 @@
                     if not fits(spec, free[name]) or (
                         zoned
                         and (
-                            (spec.one_zone and zones and zone not in zones)
-                            or (spec.scatter and zones.get(zone, 0) >= most)
+                            (spec.single_zone and zones and zone not in zones)
+                            or (spec.zone_spread and zones.get(zone, 0) >= most)
                         )
                     ):
                         break
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -256,14 +256,14 @@
 
     # --- single requests
 
-    def on_commit(self, rank, conditions, writes, reply):
-        """Handles `commit(rank, conditions, writes, reply)`: one compare-and-swap transaction.
+    def on_commit(self, priority, conditions, writes, reply):
+        """Handles `commit(priority, conditions, writes, reply)`: one compare-and-swap transaction.
 
         Keys are full names. `reply(status, revision, failed)`; `failed` holds the keys whose
         conditions failed, or what was wrong.
         """
         self.send(
-            rank,
+            priority,
             len(writes),
             "POST",
             wire.TRANSACTION_PATH,
@@ -271,8 +271,8 @@
             lambda status, body: reply(status, wire.revision(body), wire.failure(body)),
         )
 
-    def on_read(self, rank, key, reply):
-        """Handles `read(rank, key, reply)`: one key from the state service.
+    def on_read(self, priority, key, reply):
+        """Handles `read(priority, key, reply)`: one key from the state service.
 
         `reply(status, data, stamp)`; data and stamp are None unless the status is 200.
         """
@@ -284,7 +284,7 @@
             else:
                 reply(status, *found)
 
-        self.send(rank, 0, "GET", wire.get_path(key), None, answer)
+        self.send(priority, 0, "GET", wire.get_path(key), None, answer)
 
     def on_read_replica(self, keys, reply):
         """Handles `read_replica(keys, reply)`: `reply({key: (data, stamp) or None})`."""
@@ -315,15 +315,15 @@
             lambda status, body: reply(status),
         )
 
-    def send(self, rank, writes, method, path, body, reply):
-        """Queues one request at `rank`; `writes` is how many writes it holds.
+    def send(self, priority, writes, method, path, body, reply):
+        """Queues one request at `priority`; `writes` is how many writes it holds.
 
         `reply(status, body)` comes from the state service, or 429 at once if the queue is full.
         """
-        if len(self.queue[rank]) > 200:
+        if len(self.queue[priority]) > 200:
             reply(429, None)
             return
-        self.queue[rank].append((self.now(), writes, method, path, body, reply))
+        self.queue[priority].append((self.now(), writes, method, path, body, reply))
         self.pump()
 
     def on_tick(self):
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -32,10 +32,10 @@
     def on_tick(self):
         for job in list(self.jobs.values()):
             if self.mine(job):
-                for task, bound in list(job.bound()):
-                    machine = self.inventory.get(bound.machine)
+                for task, binding in list(job.bindings()):
+                    machine = self.inventory.get(binding.machine)
                     if machine is not None and not machine.open:
-                        self.release(job, task, bound.attempt, bound.machine)
+                        self.release(job, task, binding.attempt, binding.machine)
         original(self)
 
     patch.setattr(JobManager, "on_tick", on_tick)
@@ -160,10 +160,10 @@
     """An exit counts for whichever attempt is bound now."""
     original = JobManager.task_exited
 
-    def task_exited(self, job, bound, update):
-        if bound is not None:
-            update = replace(update, attempt=bound.attempt, machine=bound.machine)
-        original(self, job, bound, update)
+    def task_exited(self, job, binding, update):
+        if binding is not None:
+            update = replace(update, attempt=binding.attempt, machine=binding.machine)
+        original(self, job, binding, update)
 
     patch.setattr(JobManager, "task_exited", task_exited)
 
@@ -181,10 +181,10 @@
     """Commits of jobs hang on nothing: not on the shard's epoch, nor on what the record was."""
     original = Store.on_commit
 
-    def on_commit(self, rank, conditions, writes, reply):
+    def on_commit(self, priority, conditions, writes, reply):
         original(
             self,
-            rank,
+            priority,
             [
                 c
                 for c in conditions
@@ -216,10 +216,10 @@
 
     def inventory(self, machines):
         gone = [
-            (job, task, bound)
+            (job, task, binding)
             for name, rows in self.on.items()
             if name not in machines or not machines[name].open
-            for (_, task), (job, bound) in rows.items()
+            for (_, task), (job, binding) in rows.items()
         ]
         for job, _, _ in gone:
             use = self.team_use.get(job.spec.team)
@@ -261,18 +261,18 @@
     def on_submit(self, body, reply):
         data = orjson.loads(body)
         whole = {
-            "breed": "b",
+            "job_class": "b",
             "crew": "core",
             "shape": "sweep",
-            "rank": "normal",
+            "priority": "normal",
             "embers": 1,
             "cpus": 1.0,
             "cards": 0.0,
             "ram_gb": 1.0,
             "kindling": "img",
             "image_gb": 0.0,
-            "one_zone": False,
-            "scatter": False,
+            "single_zone": False,
+            "zone_spread": False,
             "driftwood": False,
             "burn_s": 1.0,
             "bank_s": 0.0,
--- a/tests/scenario_kinds/cluster_expectations.py
+++ b/tests/scenario_kinds/cluster_expectations.py
@@ -231,7 +231,7 @@
 
     def expect_accepted(self, job_id, seconds):
         observer = self.cluster.observer
-        assert observer.accepted[job_id] - observer.submitted[job_id] <= float(seconds), (
+        assert observer.accepted[job_id] - observer.submitted_at[job_id] <= float(seconds), (
             observer.accepted[job_id]
         )
 
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -228,7 +228,7 @@
             self.world.at(0.3, lambda: self.submit(job_id, real_s, **fields))
             return
         self.observer.jobs[job_id] = job
-        self.observer.submitted[job_id] = self.world.now
+        self.observer.submitted_at[job_id] = self.world.now
         self.attempt(job, self.world.now)
 
     def attempt(self, job, since):
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -20,7 +20,7 @@
         self.failing = {}  # job -> polls have failed since
         self.quiet_since = None  # when the last trouble was over, once that is known
         self.begun = {}  # job -> when its first task started
-        self.submitted = {}
+        self.submitted_at = {}
         self.ended = {}  # array -> when its last task completed
         self.job_ended = lambda job_id: None  # called when an array's last task has completed
         self.machines = {}  # the cloud's, set by the cluster
@@ -215,12 +215,12 @@
                 continue
             groups.setdefault(("class", job["breed"]), []).append(job_id in self.begun)
             groups.setdefault(("team", job["crew"]), []).append(job_id in self.begun)
-        for breed in {name for kind, name in groups if kind == "class"}:
+        for job_class in {name for kind, name in groups if kind == "class"}:
             own = sorted(
                 (
                     j
                     for j in self.accepted
-                    if self.jobs[j]["breed"] == breed and not self.is_called_off(j)
+                    if self.jobs[j]["breed"] == job_class and not self.is_called_off(j)
                 ),
                 key=lambda j: -self.jobs[j]["embers"],
             )
@@ -228,7 +228,7 @@
                 waited = self.begun.get(job_id, self.world.now) - self.accepted[job_id]
                 if waited <= 240 and job_id not in self.begun:
                     continue  # its time is not up yet
-                groups.setdefault(("largest", breed), []).append(waited <= 240)
+                groups.setdefault(("largest", job_class), []).append(waited <= 240)
         return {group: sum(rows) / len(rows) for group, rows in groups.items()}
 
     # --- users
