--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -62,10 +62,10 @@
             self.nodes = set()
             self.taints.forget()
         tables = set()
-        for key, data, stamp in events:
-            self.absorb(key, data, stamp, tables)
+        for key, data, mod_revision in events:
+            self.absorb(key, data, mod_revision, tables)
         self.revision = max(self.revision, revision)
-        self.evidence.compare_copies(self.revision)
+        self.evidence.compare_replicas(self.revision)
         if tables or whole:
             self.evidence.nodes(self.nodes, self.now())
         for node in tables:
@@ -74,7 +74,7 @@
         if not whole:
             self.command_directly(fresh)
 
-    def absorb(self, key, data, stamp, tables):
+    def absorb(self, key, data, mod_revision, tables):
         if key.startswith("j/"):
             job_id = key[2:]
             if data is None:
@@ -86,17 +86,19 @@
                 entry = self.jobs[job_id] = Entry(Spec.decode(job_id, data["s"]), generation)
                 if job_id in self.heard_cancelled:
                     self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
-                for number, (part, part_stamp) in self.take_loose(job_id, generation).items():
-                    self.put_part(job_id, entry, number, part, part_stamp)
+                for number, (part, part_mod_revision) in self.take_loose(
+                    job_id, generation
+                ).items():
+                    self.put_part(job_id, entry, number, part, part_mod_revision)
             elif generation != entry.generation:
-                self.change_layout(job_id, entry, data, stamp)
+                self.change_layout(job_id, entry, data, mod_revision)
             if data.get("w") and not entry.cancelled:
-                self.see_cancellation(job_id, entry, stamp)
-            self.put_part(job_id, entry, 0, data.get("p", {}), stamp)
+                self.see_cancellation(job_id, entry, mod_revision)
+            self.put_part(job_id, entry, 0, data.get("p", {}), mod_revision)
         elif key.startswith("t/"):
-            self.absorb_part(key, data, stamp)
+            self.absorb_part(key, data, mod_revision)
         elif key.startswith("m/"):
-            self.touched.update(self.taints.apply(key, data, stamp, self.now()))
+            self.touched.update(self.taints.apply(key, data, mod_revision, self.now()))
         elif key.startswith("s/"):
             if data is not None:
                 self.holders[int(key[2:])] = data.get("node")
@@ -123,13 +125,13 @@
         elif key == "catalog" and data is not None:
             self.machine_types = read_machine_types(data)
 
-    def absorb_part(self, key, data, stamp):
+    def absorb_part(self, key, data, mod_revision):
         job_id, generation, number = read_part_key(key)
         entry = self.jobs.get(job_id)
         if entry is not None and generation == entry.generation:
-            self.put_part(job_id, entry, number, data or {}, stamp)
+            self.put_part(job_id, entry, number, data or {}, mod_revision)
         elif data is not None:
-            self.loose.setdefault(job_id, {})[(generation, number)] = (data, stamp)
+            self.loose.setdefault(job_id, {})[(generation, number)] = (data, mod_revision)
         else:
             self.loose.get(job_id, {}).pop((generation, number), None)
             if not self.loose.get(job_id, True):
@@ -145,7 +147,7 @@
             self.loose.pop(job_id, None)
         return taken
 
-    def change_layout(self, job_id, entry, data, stamp):
+    def change_layout(self, job_id, entry, data, mod_revision):
         """The record names other parts. The tasks that both show bound stay so, in one step."""
         old = dict(entry.bindings())
         parts = {
@@ -154,7 +156,7 @@
         }
         parts[0] = Part.binding_rows(data.get("p", {}))
         entry.generation, entry.parts = data["g"], parts
-        self.rebind(job_id, old, dict(entry.bindings()), stamp)
+        self.rebind(job_id, old, dict(entry.bindings()), mod_revision)
 
     def drop_job(self, job_id):
         entry = self.jobs.pop(job_id, None)
@@ -164,13 +166,13 @@
             for number in list(entry.parts):
                 self.put_part(job_id, entry, number, {}, 0)
 
-    def put_part(self, job_id, entry, number, data, stamp):
+    def put_part(self, job_id, entry, number, data, mod_revision):
         """Takes over one part; costs little for the tasks whose binding is the same as before."""
         old, new = entry.parts.get(number, {}), Part.binding_rows(data)
-        self.rebind(job_id, old, new, stamp)
+        self.rebind(job_id, old, new, mod_revision)
         entry.parts[number] = new
 
-    def rebind(self, job_id, old, new, stamp):
+    def rebind(self, job_id, old, new, mod_revision):
         """Makes the bound tasks `old` of a job `new`; only differences cost anything."""
         for task, row in old.items():
             if new.get(task) != row:
@@ -181,12 +183,14 @@
                 self.touched.add(row[1])
                 if task in new and new[task][0] == row[0]:
                     # The same attempt: a stop counts from when it was first seen.
-                    self.want(job_id, task, new[task], before.stop_seen if before.stop else stamp)
+                    self.want(
+                        job_id, task, new[task], before.stop_seen if before.stop else mod_revision
+                    )
                     self.fresh.append((job_id, task, *new[task][:3]))
         for task, row in new.items():
             before = old.get(task)
             if before is None or before[0] != row[0]:
-                self.want(job_id, task, row, stamp)
+                self.want(job_id, task, row, mod_revision)
                 self.fresh.append((job_id, task, *row[:3]))
 
     def want(self, job_id, task, row, since):
--- a/emberglade/agents/exchange.py
+++ b/emberglade/agents/exchange.py
@@ -134,7 +134,7 @@
         needs at once (meetings/gap_silent.txt).
         """
         self.asked_by[question.asker] = self.now()
-        if self.now() - self.contact > self.settings.lease_s / 4:
+        if self.now() - self.last_contact > self.settings.lease_s / 4:
             self.on_heard_synced(question.only, reply, None)
             return
         tell(self.store.on_sync, callback(self.on_heard_synced, question.only, reply))
@@ -145,7 +145,7 @@
             200,
             wire.statement(
                 now - self.born,
-                min(1e6, now - self.contact),
+                min(1e6, now - self.last_contact),
                 revision,
                 self.revision,
                 self.rows(now, 2 * self.settings.lease_s, only),
@@ -157,10 +157,10 @@
         if status == 200 and not self.evidence.hear(name, asked, self.now(), body, only):
             log.info("%s made an odd statement; it is asked again", name)
         elif status == 200 and only is None:
-            self.evidence.compare_copies(self.revision)
+            self.evidence.compare_replicas(self.revision)
             if (
-                self.evidence.told[name].copy_revision > self.revision >= 0
-                and self.now() - self.contact > self.settings.agent_heartbeat_s / 2
+                self.evidence.told[name].replica_revision > self.revision >= 0
+                and self.now() - self.last_contact > self.settings.agent_heartbeat_s / 2
             ):
                 # The state service is out of reach here. What it committed may be had from this
                 # peer.
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..state import DRIFT
+from ..state import CLOCK_DRIFT
 from . import wire
 
 MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
@@ -33,10 +33,10 @@
     asked: float
     got: float
     up_s: float
-    contact_s: float
+    contact_age_s: float
     revision: int | None
     known: dict
-    copy_revision: int = -1  # of the peer's copy when it was made; -1: it had none
+    replica_revision: int = -1  # of the peer's copy when it was made; -1: it had none
     hearing: int = 0  # machines that had reported to that node just before
 
     def last_heard(self, machine):
@@ -63,7 +63,7 @@
         self.moments = deque(maxlen=400)  # (a sync was sent, the revision it brought)
         self.absent = {}  # peer -> since when its key is missing
         self.level = {}  # peer -> when it was last asked and had no newer copy than ours
-        self.contact = float("-inf")
+        self.last_contact = float("-inf")
 
     def see(self, machine, row, heard):
         """Notes what a source tells; True if it is newer than all that was known."""
@@ -94,13 +94,13 @@
             self.see(machine, row, got - row.age_s)
         return True
 
-    def compare_copies(self, revision):
+    def compare_replicas(self, revision):
         """Notes which peers' copies were not newer than ours, now that ours is at `revision`.
 
         A peer without a copy says nothing about what its former process may have told.
         """
         for peer, said in self.told.items():
-            if 0 <= said.copy_revision <= revision:
+            if 0 <= said.replica_revision <= revision:
                 self.level[peer] = max(self.level.get(peer, said.asked), said.asked)
 
     def level_since(self):
@@ -120,7 +120,7 @@
             self.see(machine, row, got - row.age_s - max(0.0, age_s))
 
     def synced(self, sent, revision):
-        self.contact = max(self.contact, sent)
+        self.last_contact = max(self.last_contact, sent)
         if not self.moments or revision > self.moments[-1][1]:
             self.moments.append((sent, revision))
 
@@ -153,7 +153,7 @@
         for name in [name for name, s in self.view.items() if s.heard < oldest]:
             del self.view[name]
 
-    def proven_over(self, machine, own_heard, taint_stamp, taint_seen, now):
+    def proven_over(self, machine, own_heard, taint_revision, taint_seen, now):
         """Whether every lease that a node may have renewed for this machine has run out.
 
         Each node states, from a copy that shows the taint, when it last heard or answered the
@@ -161,7 +161,7 @@
         in its copy, it does not answer this machine, and with an older copy it answers nobody for
         longer than `max_staleness_s` (docs/safety.md, 7).
         """
-        limit = self.settings.lease_s * DRIFT + MARGIN_S
+        limit = self.settings.lease_s * CLOCK_DRIFT + MARGIN_S
         last, covered = own_heard, now
         for peer in self.settings.peers:
             # (the latest moment at which this node may have answered, up to when that is known)
@@ -173,14 +173,17 @@
                     self.written.get(peer.name),
                     brief if machine in only else None,
                 )
-                if s is not None and s.revision is not None and s.revision >= taint_stamp
+                if s is not None and s.revision is not None and s.revision >= taint_revision
             ]
             gone = self.absent.get(peer.name)
             if gone is not None:
                 # Once broken: this node was left out of the account, though a worker that it had
                 # kept alive could go to a node whose statement was older (rules/fence.txt).
                 said.append(
-                    (max(gone, taint_seen) + self.settings.max_staleness_s * DRIFT, self.contact)
+                    (
+                        max(gone, taint_seen) + self.settings.max_staleness_s * CLOCK_DRIFT,
+                        self.last_contact,
+                    )
                 )
             if not said:
                 return False
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -7,7 +7,7 @@
 import logging
 
 from ..actors import callback, tell, tell_after
-from ..state import Follower
+from ..state import ReplicaSubscriber
 from . import wire
 from .bindings import CommittedBindings
 from .cancellations import Cancellations
@@ -41,7 +41,7 @@
     PeerExchange,
     Tables,
     Cancellations,
-    Follower,
+    ReplicaSubscriber,
 ):
     """Answers workers' reports and commands their machines, out of the committed copy."""
 
@@ -58,7 +58,7 @@
         Tables.__init__(self)
         Cancellations.__init__(self, settings)
         self.known = {}  # machine -> Known
-        self.contact = float("-inf")  # when the last sync that was answered was sent
+        self.last_contact = float("-inf")  # when the last sync that was answered was sent
         self.waiting = {}  # reports that wait for a sync: number -> (known, report, reply, since)
         self.waited = 0
 
@@ -71,7 +71,7 @@
         tell_after(self.settings.agent_heartbeat_s, self.on_press_halts)
 
     def on_contact(self, when, revision):
-        self.contact = max(self.contact, when)
+        self.last_contact = max(self.last_contact, when)
         self.evidence.synced(when, revision)
 
     # --- reports
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -26,19 +26,19 @@
             return False
         max_staleness_s = self.settings.max_staleness_s
         return (
-            now - self.contact <= max_staleness_s
+            now - self.last_contact <= max_staleness_s
             or now - self.evidence.level_since() <= max_staleness_s
         )
 
     def better_node(self, now):
         """A node that can follow the state service while this one can't."""
         quarter = self.settings.lease_s / 4
-        if now - self.contact < quarter:
+        if now - self.last_contact < quarter:
             return None
         for name, said in self.evidence.told.items():
             if (
                 now - said.got < 2 * self.settings.agent_heartbeat_s
-                and said.contact_s + now - said.got < quarter
+                and said.contact_age_s + now - said.got < quarter
             ):
                 return name
         return None
@@ -67,7 +67,7 @@
                 and peer.name not in self.suspected
                 and said is not None
                 and now - said.got < 2 * settings.agent_heartbeat_s
-                and said.contact_s + now - said.got < settings.lease_s / 4
+                and said.contact_age_s + now - said.got < settings.lease_s / 4
                 # It hears workers, or is to show by one now and then that it does.
                 and (
                     said.hearing
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -60,7 +60,7 @@
             "wall": self.system.wall(),
             "z": [[*pool, round(count, 4)] for pool, count in shortage.items()],
             "up": now - self.born,
-            "contact": min(1e6, now - self.contact),
+            "contact": min(1e6, now - self.last_contact),
             "rev": self.revision,
             "types": machine_types,
             "m": {},
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -8,7 +8,7 @@
 from ..jobs.record import KEEP, SAVE, shard_of
 from ..jobs.task_updates import StopWanted, TaskExited, TaskGone
 from ..membership import shard_count
-from ..state import LIVE
+from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
@@ -123,6 +123,6 @@
                 self.store.on_commit,
                 DECISIONS,
                 [],
-                [state_wire.put(f"{LIVE}f/{self.settings.node}", {"to": rows})],
+                [state_wire.put(f"{LIVE_PREFIX}f/{self.settings.node}", {"to": rows})],
                 lambda status, revision, failed: None,
             )
--- a/emberglade/agents/wire.py
+++ b/emberglade/agents/wire.py
@@ -186,11 +186,17 @@
     addr: str
 
 
-def statement(up_s, contact_s, revision, copy_revision, rows):
+def statement(up_s, contact_age_s, revision, replica_revision, rows):
     """`revision` is that of a sync asked for by the question, None if there was none;
-    `copy_revision` that of the copy.
+    `replica_revision` that of the copy.
     """
-    return {"up": up_s, "contact": contact_s, "rev": revision, "copy": copy_revision, "known": rows}
+    return {
+        "up": up_s,
+        "contact": contact_age_s,
+        "rev": revision,
+        "copy": replica_revision,
+        "known": rows,
+    }
 
 
 def cancellation(job_id, revision):
@@ -216,13 +222,13 @@
     The last is -1 if the peer has no copy yet, or does not say.
     """
     try:
-        up_s, contact_s, revision = float(data["up"]), float(data["contact"]), data["rev"]
+        up_s, contact_age_s, revision = float(data["up"]), float(data["contact"]), data["rev"]
         copy = data.get("copy", -1)
         if (revision is not None and type(revision) is not int) or type(copy) is not int:
             return None
         return (
             up_s,
-            contact_s,
+            contact_age_s,
             revision,
             {name: Row(*row) for name, row in data["known"].items()},
             copy,
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -17,15 +17,15 @@
 
     def __init__(self, heartbeat_s):
         self.heartbeat_s = heartbeat_s
-        self.stamps = {}
+        self.mod_revisions = {}
         self.written_at = {}
 
     def note(self, claims, now):
         """Takes in the claims as they are, {name: Holder}; what was there at first is old."""
         for name, holder in claims.items():
-            if self.stamps.get(name, holder.stamp) != holder.stamp:
+            if self.mod_revisions.get(name, holder.mod_revision) != holder.mod_revision:
                 self.written_at[name] = now
-            self.stamps[name] = holder.stamp
+            self.mod_revisions[name] = holder.mod_revision
 
     def is_fresh(self, name, now):
         """Whether the claim was written less than a heartbeat's interval ago."""
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..actors import callback, tell_after
-from ..state import Follower
+from ..state import ReplicaSubscriber
 from ..transport import NO_ANSWER, REFUSED, Reply
 from .detector import PeerDetector
 from .messages import (
@@ -27,7 +27,7 @@
 )
 
 
-class PeerProbing(Follower):
+class PeerProbing(ReplicaSubscriber):
     """The part of `PeerMonitor` that pings peers and answers and sends probes.
 
     It is an actor's part: its handlers are told by the links' answers and by its own timers.
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -13,7 +13,7 @@
 from ..membership import FORMAT_KEY, is_raised
 from ..placement import read_machine_types, write_machine_types
 from ..sizing import Sizer, family
-from ..state import LIVE, Follower
+from ..state import LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
@@ -25,13 +25,13 @@
 log = logging.getLogger("emberglade.fleet")
 
 
-class Autoscaler(MachineWatch, TaintWriter, Rentals, Follower):
+class Autoscaler(MachineWatch, TaintWriter, Rentals, ReplicaSubscriber):
     """Sizes the fleet while this controller leads; otherwise only follows what the leader wrote."""
 
     def __init__(self, settings, operators, store, job_manager, agents, cloud):
         self.settings, self.operators = settings, operators
         self.store, self.job_manager, self.agents, self.cloud = store, job_manager, agents, cloud
-        self.lead = None
+        self.leader = None
         self.leading = False
         self.format_raised = False  # whether every controller reads the new record format
         self.machine_types = {}
@@ -69,13 +69,15 @@
     def on_changed(self, events, revision, whole):
         self.loaded = True
         if whole:
-            self.lead = None
+            self.leader = None
             self.taints.forget()
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key.startswith("m/"):
-                self.taints.apply(key, data, stamp, self.now())
+                self.taints.apply(key, data, mod_revision, self.now())
             elif key == "lead":
-                self.lead = None if data is None else (data.get("node"), data.get("inc"), stamp)
+                self.leader = (
+                    None if data is None else (data.get("node"), data.get("inc"), mod_revision)
+                )
             elif key == "catalog" and data is not None:
                 self.machine_types = read_machine_types(data)
             elif key == FORMAT_KEY:
@@ -86,17 +88,17 @@
                 elif data.get("table"):
                     self.tables[key[2:]] = data["table"]
         leading = (
-            self.lead is not None
+            self.leader is not None
             and self.incarnation is not None
-            and self.lead[:2] == (self.settings.node, self.incarnation)
+            and self.leader[:2] == (self.settings.node, self.incarnation)
         )
         if leading and not self.leading:
-            self.begin_lead()
+            self.begin_leadership()
         elif self.leading and not leading:
             log.info("no longer leading")
         self.leading = leading
 
-    def begin_lead(self):
+    def begin_leadership(self):
         log.info("leading: the demand history and the weights start anew")
         self.since = self.now()
         self.machines, self.sizers, self.targets = {}, {}, {}
@@ -116,7 +118,9 @@
             self.ask_catalog()
 
     def commit(self, writes, reply):
-        tell(self.store.on_commit, DECISIONS, [(LIVE + "lead", self.lead[2])], writes, reply)
+        tell(
+            self.store.on_commit, DECISIONS, [(LIVE_PREFIX + "lead", self.leader[2])], writes, reply
+        )
 
     # --- every second
 
@@ -186,7 +190,7 @@
             return
         if self.leading and machine_types != self.machine_types:
             self.commit(
-                [state_wire.put(LIVE + "catalog", write_machine_types(machine_types))],
+                [state_wire.put(LIVE_PREFIX + "catalog", write_machine_types(machine_types))],
                 lambda *_: None,
             )
 
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -3,7 +3,7 @@
 import logging
 
 from ..actors import callback, tell, tell_after
-from ..state import LIVE
+from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 
@@ -37,27 +37,27 @@
             return
         for name in self.tainting:
             del self.wishes[name]
-        conditions = [(LIVE + "lead", self.lead[2])] + [
-            (LIVE + key, stamp) for key, (stamp, _) in values.items()
+        conditions = [(LIVE_PREFIX + "lead", self.leader[2])] + [
+            (LIVE_PREFIX + key, mod_revision) for key, (mod_revision, _) in values.items()
         ]
-        writes = [state_wire.put(LIVE + key, taints) for key, (_, taints) in values.items()]
+        writes = [state_wire.put(LIVE_PREFIX + key, taints) for key, (_, taints) in values.items()]
         tell(
             self.store.on_commit,
             DECISIONS,
             conditions,
             writes,
-            callback(self.on_tainted, self.lead),
+            callback(self.on_tainted, self.leader),
         )
 
-    def on_tainted(self, lead, status, revision, failed):
-        tell(self.store.on_sync, callback(self.on_taint_seen, lead, status))
+    def on_tainted(self, leader, status, revision, failed):
+        tell(self.store.on_sync, callback(self.on_taint_seen, leader, status))
 
-    def on_taint_seen(self, lead, status, revision):
-        if self.lead != lead:
+    def on_taint_seen(self, leader, status, revision):
+        if self.leader != leader:
             return
         if revision is None:
             # The copy may not show what was written; the next taints are worked out from it.
-            tell_after(0.5, self.on_tainted, lead, status, None, None)
+            tell_after(0.5, self.on_tainted, leader, status, None, None)
             return
         tainting, self.tainting = self.tainting, {}
         if status != 200:
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -29,15 +29,15 @@
         self.of = {}  # machine -> (taint, revision of it, when it was seen here)
         self.keys = {}  # key -> (stamp, {machine: taint})
 
-    def apply(self, key, data, stamp, now):
+    def apply(self, key, data, mod_revision, now):
         """Takes over one key; returns the machines whose taints changed."""
         old, new = self.keys.get(key, (0, {}))[1], data or {}
         changed = [machine for machine, taint in old.items() if new.get(machine) != taint]
         changed += [machine for machine in new if machine not in old]
-        self.keys[key] = (stamp if data is not None else 0, new)
+        self.keys[key] = (mod_revision if data is not None else 0, new)
         for machine in changed:
             if machine in new:
-                self.of[machine] = (new[machine], stamp, now)
+                self.of[machine] = (new[machine], mod_revision, now)
             elif self.key_holding(machine) is None:
                 # Else it was moved to another key, and that one was seen first.
                 self.of.pop(machine, None)
--- a/emberglade/frontdoor/api.py
+++ b/emberglade/frontdoor/api.py
@@ -12,7 +12,7 @@
 from ..jobs.record import Job, final_key, job_key, part_size_for, read_part_key
 from ..membership import FORMAT_KEY, is_raised
 from ..placement import fits_some_type, read_machine_types
-from ..state import FINAL, LIVE, Follower
+from ..state import FINAL_PREFIX, LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS, SUBMISSIONS
 from . import wire
@@ -25,7 +25,7 @@
 MIN_OPEN_SUBMISSIONS = 8  # that may be open at the same time, however small the write budget is
 
 
-class Api(AwaitedJobs, Follower):
+class Api(AwaitedJobs, ReplicaSubscriber):
     """Users' submissions, questions and cancellations."""
 
     def __init__(self, settings, store, agents):
@@ -47,7 +47,7 @@
     def on_changed(self, events, revision, whole):
         if whole:
             self.live = {}
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key.startswith("j/"):
                 job_id = key[2:]
                 if data is None:
@@ -55,7 +55,7 @@
                 else:
                     self.live[job_id] = (
                         data,
-                        stamp,
+                        mod_revision,
                         self.live[job_id][2] if job_id in self.live else {},
                     )
             elif key.startswith("t/"):
@@ -181,7 +181,7 @@
             self.store.on_commit,
             SUBMISSIONS,
             self.absent(spec.id),
-            [state_wire.put(LIVE + job_key(spec.id), job.encode())],
+            [state_wire.put(LIVE_PREFIX + job_key(spec.id), job.encode())],
             callback(self.on_submitted, spec, reply),
         )
 
@@ -286,7 +286,7 @@
             tell(
                 self.store.on_read,
                 DECISIONS,
-                FINAL + final_key(job_id),
+                FINAL_PREFIX + final_key(job_id),
                 callback(self.on_look_read, job_id, reply),
             )
             return
@@ -308,7 +308,7 @@
             ),
         )
 
-    def on_look_read(self, job_id, reply, status, data, stamp):
+    def on_look_read(self, job_id, reply, status, data, mod_revision):
         if status == 200 and isinstance(data, dict) and data.get("glow") in ("done", "withdrawn"):
             self.final[job_id] = (data["glow"], data.get("d", 0), data.get("n", 0))
             if len(self.final) > MAX_FINAL_STATES:
@@ -363,7 +363,7 @@
         if row is None:
             self.look_up(job_id, callback(self.on_polled, reply))
             return
-        data, stamp, _ = row
+        data, mod_revision, _ = row
         if data.get("w"):
             tell(self.agents.on_confirm_cancellation, job_id)
             reply(200, wire.state(job_id, "withdrawn"))
@@ -371,8 +371,8 @@
         tell(
             self.store.on_commit,
             DECISIONS,
-            [(LIVE + job_key(job_id), stamp)],
-            [state_wire.put(LIVE + job_key(job_id), {**data, "w": 1})],
+            [(LIVE_PREFIX + job_key(job_id), mod_revision)],
+            [state_wire.put(LIVE_PREFIX + job_key(job_id), {**data, "w": 1})],
             callback(self.on_aborted, job_id, reply, tries),
         )
 
--- a/emberglade/frontdoor/awaited.py
+++ b/emberglade/frontdoor/awaited.py
@@ -12,7 +12,7 @@
 from ..jobs.record import Spec, final_key, job_key
 from ..jobs.releases import read_outcome
 from ..jobs.waiting import lay_out, piece_key, waiting_key
-from ..state import FINAL, LIVE
+from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS, SUBMISSIONS
 from . import wire
@@ -71,11 +71,11 @@
             tell(
                 self.store.on_read,
                 DECISIONS,
-                FINAL + final_key(need),
+                FINAL_PREFIX + final_key(need),
                 callback(self.on_need_read, need),
             )
 
-    def on_need_read(self, need, status, data, stamp):
+    def on_need_read(self, need, status, data, mod_revision):
         outcome = read_outcome(status, data)
         if outcome is not None:
             self.graph.resolve(need, outcome)
@@ -160,20 +160,20 @@
         ]
         self.write_pieces(submission, None)
 
-    def write_pieces(self, submission, first_stamp):
+    def write_pieces(self, submission, first_mod_revision):
         """Writes what is left of the list, the first piece last, and then the job itself, which
         hangs on that one.
         """
         if not submission.pieces:
-            self.write_waiting(submission, first_stamp)
+            self.write_waiting(submission, first_mod_revision)
             return
         most = min(self.settings.txn_ops, max(1, TRANSACTION_BYTES // self.settings.value_bytes))
         some, submission.pieces = submission.pieces[-most:], submission.pieces[:-most]
         tell(
             self.store.on_commit,
             SUBMISSIONS,
-            [(LIVE + key, 0) for key, _ in some],
-            [state_wire.put(LIVE + key, ids) for key, ids in some],
+            [(LIVE_PREFIX + key, 0) for key, _ in some],
+            [state_wire.put(LIVE_PREFIX + key, ids) for key, ids in some],
             callback(self.on_pieces_written, submission),
         )
 
@@ -183,16 +183,18 @@
         else:
             self.give_up(submission)
 
-    def write_waiting(self, submission, first_stamp):
+    def write_waiting(self, submission, first_mod_revision):
         spec, record = submission.spec, submission.record
         conditions = self.absent(spec.id)
         if record.pieces:
-            conditions.append((LIVE + piece_key(spec.id, record.list_id, 0), first_stamp))
+            conditions.append(
+                (LIVE_PREFIX + piece_key(spec.id, record.list_id, 0), first_mod_revision)
+            )
         tell(
             self.store.on_commit,
             SUBMISSIONS,
             conditions,
-            [state_wire.put(LIVE + waiting_key(spec.id), record.encode())],
+            [state_wire.put(LIVE_PREFIX + waiting_key(spec.id), record.encode())],
             callback(self.on_dependent_submitted, submission),
         )
 
@@ -217,9 +219,9 @@
     def absent(job_id):
         """The conditions that a job was never accepted."""
         return [
-            (LIVE + job_key(job_id), 0),
-            (LIVE + waiting_key(job_id), 0),
-            (FINAL + final_key(job_id), 0),
+            (LIVE_PREFIX + job_key(job_id), 0),
+            (LIVE_PREFIX + waiting_key(job_id), 0),
+            (FINAL_PREFIX + final_key(job_id), 0),
         ]
 
     # --- questions and cancellations
@@ -251,10 +253,10 @@
         tell(
             self.store.on_commit,
             DECISIONS,
-            [(LIVE + waiting_key(job_id), waiting.stamp)],
+            [(LIVE_PREFIX + waiting_key(job_id), waiting.mod_revision)],
             [
-                state_wire.put(FINAL + final_key(job_id), end),
-                state_wire.remove(LIVE + waiting_key(job_id)),
+                state_wire.put(FINAL_PREFIX + final_key(job_id), end),
+                state_wire.remove(LIVE_PREFIX + waiting_key(job_id)),
             ],
             callback(self.on_aborted, job_id, reply, tries),
         )
--- a/emberglade/jobs/cleanup.py
+++ b/emberglade/jobs/cleanup.py
@@ -3,7 +3,7 @@
 import logging
 
 from ..actors import callback, tell
-from ..state import LIVE
+from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from .record import (
@@ -25,14 +25,19 @@
     def drop_remains(self):
         """Removes parts that nobody needs any more, a few at a time."""
         some = {key: self.remains.pop(key) for key in list(self.remains)[: self.most_writes]}
-        some = {key: stamp for key, stamp in some.items() if self.is_unused(read_part_key(key))}
+        some = {
+            key: mod_revision
+            for key, mod_revision in some.items()
+            if self.is_unused(read_part_key(key))
+        }
         if some:
             owners = {self.parts_unused_condition(key.split("/")[1]) for key in some}
             tell(
                 self.store.on_commit,
                 DECISIONS,
-                [(LIVE + key, stamp) for key, stamp in some.items()] + sorted(owners),
-                [state_wire.remove(LIVE + key) for key in some],
+                [(LIVE_PREFIX + key, mod_revision) for key, mod_revision in some.items()]
+                + sorted(owners),
+                [state_wire.remove(LIVE_PREFIX + key) for key in some],
                 callback(self.on_remains_dropped, some),
             )
 
@@ -49,7 +54,7 @@
         """
         job = self.jobs.get(job_id)
         if job is None:
-            return LIVE + job_key(job_id), 0
+            return LIVE_PREFIX + job_key(job_id), 0
         return self.epoch_of(job.request)
 
     def on_remains_dropped(self, some, status, revision, failed):
@@ -64,8 +69,8 @@
             job = self.jobs.get(job_id)
             if job is not None and self.mine(job) and not self.is_laid_out_anew(job_id):
                 self.remains.update(
-                    (part_key(job_id, number, generation), stamp)
-                    for (generation, number), (_, stamp) in loose.items()
+                    (part_key(job_id, number, generation), mod_revision)
+                    for (generation, number), (_, mod_revision) in loose.items()
                 )
 
     def sweep(self):
@@ -81,6 +86,6 @@
         for job_id, since in self.loose_since.items():
             if now - since > 2 * self.settings.lease_s:
                 self.remains.update(
-                    (part_key(job_id, number, generation), stamp)
-                    for (generation, number), (_, stamp) in self.loose_parts[job_id].items()
+                    (part_key(job_id, number, generation), mod_revision)
+                    for (generation, number), (_, mod_revision) in self.loose_parts[job_id].items()
                 )
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -4,7 +4,7 @@
 import math
 
 from ..actors import callback, tell, tell_after
-from ..state import FINAL, LIVE
+from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from ..transport import status_text
@@ -96,9 +96,9 @@
             if writes and (len(writes) + (2 if ended else 1) > self.most_writes or size > 40_000):
                 break
             part = job.part(0) if key.startswith("j/") else job.parts[read_part_key(key).number]
-            epoch, stamp = self.epoch_of(job.spec)
-            conditions[epoch] = stamp
-            conditions[LIVE + key] = part.stamp
+            epoch, mod_revision = self.epoch_of(job.spec)
+            conditions[epoch] = mod_revision
+            conditions[LIVE_PREFIX + key] = part.mod_revision
             if ended:
                 # The final state outlives the job: polls and retries may come at any time.
                 end = {
@@ -107,14 +107,14 @@
                     "d": job.done_count(),
                 }
                 writes += [
-                    state_wire.put(FINAL + final_key(job_id), end),
-                    state_wire.remove(LIVE + key),
+                    state_wire.put(FINAL_PREFIX + final_key(job_id), end),
+                    state_wire.remove(LIVE_PREFIX + key),
                 ]
                 ends.append((job_id, end["glow"]))
             else:
                 writes.append(
                     state_wire.put(
-                        LIVE + key, job.encode() if key.startswith("j/") else part.encode()
+                        LIVE_PREFIX + key, job.encode() if key.startswith("j/") else part.encode()
                     )
                 )
                 size += 400 + 48 * len(part.bindings)
@@ -126,7 +126,7 @@
         self.write_rate(now, len(writes))
         self.flight = keys
         self.flight_shards = {
-            int(key.rpartition("/")[2]) for key in conditions if key.startswith(LIVE + "s/")
+            int(key.rpartition("/")[2]) for key in conditions if key.startswith(LIVE_PREFIX + "s/")
         }
         self.deferred = {key: [] for key in keys}
         tell(
@@ -151,7 +151,7 @@
             self.most_writes = min(self.settings.txn_ops, 2 * self.most_writes)
             keys, self.flight = self.flight, None
             for part in keys.values():
-                part.stamp = revision
+                part.mod_revision = revision
             for job_id, glow in ends:
                 job = self.jobs.get(job_id)
                 log.info(
@@ -163,7 +163,7 @@
                 if job is not None:
                     self.drop(job_id)
                     self.remains.update(
-                        (job.part_key(number), part.stamp)
+                        (job.part_key(number), part.mod_revision)
                         for number, part in job.parts.items()
                         if number
                     )
@@ -234,10 +234,10 @@
         tell(
             self.store.on_commit,
             DECISIONS,
-            [(f"{LIVE}s/{shard}", stamp) for shard, stamp in sorted(epochs)],
+            [(f"{LIVE_PREFIX}s/{shard}", mod_revision) for shard, mod_revision in sorted(epochs)],
             [
                 state_wire.put(
-                    f"{LIVE}s/{shard}", {"node": self.settings.node, "inc": self.incarnation}
+                    f"{LIVE_PREFIX}s/{shard}", {"node": self.settings.node, "inc": self.incarnation}
                 )
                 for shard, _ in sorted(epochs)
             ],
@@ -264,7 +264,7 @@
         keys, self.flight = self.flight, None
         self.deferred = {}
         for part in keys.values():
-            part.stamp = -1
+            part.mod_revision = -1
         self.forget_wishes(found)
         self.soon_relayout()
         self.soon_place()
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -5,7 +5,7 @@
 from .. import placement
 from ..fleet.taints import Taints
 from ..membership import FORMAT_KEY, is_raised, shard_count
-from ..state import LIVE
+from ..state import LIVE_PREFIX
 from .record import (
     Binding,
     Job,
@@ -51,14 +51,14 @@
             self.obey_taints(machines)
         self.soon_place()
 
-    def absorb(self, key, data, stamp):
+    def absorb(self, key, data, mod_revision):
         if key.startswith("j/"):
             job_id = key[2:]
             job = self.jobs.get(job_id)
             if data is None:
                 self.drop(job_id)
                 return
-            if job is not None and job.stamp() >= stamp:
+            if job is not None and job.mod_revision() >= mod_revision:
                 return
             if job is None:
                 job = self.jobs[job_id] = Job.decode(job_id, data)
@@ -68,51 +68,51 @@
                 self.change_layout(job, data)
             job.cancelled = bool(data.get("w"))
             self.dirty.pop(key, None)
-            self.merge(job, 0, data.get("p", {}), stamp)
+            self.merge(job, 0, data.get("p", {}), mod_revision)
             self.settle(job)
         elif key.startswith("t/"):
-            self.absorb_part(key, data, stamp)
+            self.absorb_part(key, data, mod_revision)
         elif key.startswith("s/"):
             if data is None:
                 self.holders.pop(int(key[2:]), None)
             else:
-                self.holders[int(key[2:])] = (data.get("node"), data.get("inc"), stamp)
+                self.holders[int(key[2:])] = (data.get("node"), data.get("inc"), mod_revision)
         elif key.startswith("m/"):
-            self.fresh_taints.update(self.taints.apply(key, data, stamp, self.now()))
+            self.fresh_taints.update(self.taints.apply(key, data, mod_revision, self.now()))
         elif key == "catalog" and data is not None:
             self.machine_types = placement.read_machine_types(data)
         elif key == FORMAT_KEY:
             self.format_raised = self.format_raised or is_raised(data)
 
-    def absorb_part(self, key, data, stamp):
+    def absorb_part(self, key, data, mod_revision):
         job_id, generation, number = read_part_key(key)
         job = self.jobs.get(job_id)
         if job is None or generation != job.generation:
             loose = self.loose_parts.setdefault(job_id, {})
             if data is not None:
-                loose[(generation, number)] = (data, stamp)
+                loose[(generation, number)] = (data, mod_revision)
             else:
                 loose.pop((generation, number), None)
                 self.remains.pop(key, None)
             if not loose:
                 del self.loose_parts[job_id]
         elif data is None:
-            self.merge(job, number, {}, stamp)
+            self.merge(job, number, {}, mod_revision)
             job.parts.pop(number, None)
-        elif number not in job.parts or job.parts[number].stamp < stamp:
+        elif number not in job.parts or job.parts[number].mod_revision < mod_revision:
             self.dirty.pop(key, None)
-            self.merge(job, number, data, stamp)
+            self.merge(job, number, data, mod_revision)
             self.settle(job)
 
     def adopt_parts(self, job):
         """Takes over the parts of the job's layout that were seen before its record named them."""
         loose = self.loose_parts.pop(job.id, {})
         others = {}
-        for (generation, number), (data, stamp) in loose.items():
+        for (generation, number), (data, mod_revision) in loose.items():
             if generation == job.generation:
-                self.merge(job, number, data, stamp)
+                self.merge(job, number, data, mod_revision)
             else:
-                others[(generation, number)] = (data, stamp)
+                others[(generation, number)] = (data, mod_revision)
         if others:
             self.loose_parts[job.id] = others
 
@@ -125,14 +125,14 @@
         for number, part in job.parts.items():
             self.dirty.pop(job.part_key(number), None)
             if number:
-                loose[(job.generation, number)] = ({}, part.stamp)
+                loose[(job.generation, number)] = ({}, part.mod_revision)
         job.size, job.generation, job.parts = data["z"], data.get("g", ""), {}
         self.adopt_parts(job)
         self.merge(job, 0, data.get("p", {}), 0)
         for task, binding in job.bindings():
             binding.since = since.get(task, binding.since)
 
-    def merge(self, job, number, data, stamp):
+    def merge(self, job, number, data, mod_revision):
         """Makes one part of the view what was committed; only differences cost anything."""
         part = job.part(number * job.size)
         rows = part.binding_rows(data)
@@ -144,12 +144,12 @@
                 if binding is not None:
                     self.unbind(job, task)
                 self.bind(job, task, Binding(*row))
-        part.take_over(data, stamp)
+        part.take_over(data, mod_revision)
 
     def bind(self, job, task, binding):
         binding.since = job.last_bound_at = self.now()
         job.part(task).bindings[task] = binding
-        self.room.add(job, task, binding)
+        self.capacity.add(job, task, binding)
         machine = self.inventory.get(binding.machine)
         if machine is not None:
             self.images.note(
@@ -158,7 +158,7 @@
 
     def unbind(self, job, task):
         binding = job.part(task).bindings.pop(task)
-        self.room.remove(job, task, binding)
+        self.capacity.remove(job, task, binding)
         return binding
 
     def drop(self, job_id):
@@ -186,7 +186,7 @@
     def epoch_of(self, spec):
         """The condition that this controller still holds a job's shard: (key, stamp)."""
         shard = shard_of(spec, self.settings.teams, self.shards)
-        return f"{LIVE}s/{shard}", self.holders[shard][2]
+        return f"{LIVE_PREFIX}s/{shard}", self.holders[shard][2]
 
     def holds_first_shard(self):
         """Whether this controller is the one that removes what others left behind."""
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -46,7 +46,7 @@
 
     spec: Spec
     needs: tuple
-    stamp: int
+    mod_revision: int
     list_id: str = ""  # of the pieces that its needs are kept in, if they are
     open_needs: int = 0  # needs that are not known to be done
     cancelled: bool = False
@@ -82,15 +82,15 @@
         if whole:
             self._forget()
         # The order of keys puts a job before the pieces of its list.
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key.startswith("x/"):
-                self._apply_piece(key, data, stamp)
+                self._apply_piece(key, data, mod_revision)
         touched = set()
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key.startswith("j/"):
                 self._apply_live(key[2:], data, whole, touched)
             elif key.startswith("w/"):
-                self._apply_waiting(key[2:], data, stamp, touched)
+                self._apply_waiting(key[2:], data, mod_revision, touched)
         for job_id in touched:
             self._look_for_outcome(job_id)
 
@@ -100,11 +100,11 @@
         self.waiting, self.dependents, self.live, self.pieces, self.urgency = {}, {}, {}, {}, {}
         self.ready, self.cancelled, self.unresolved = set(), set(), set()
 
-    def _apply_piece(self, key, data, stamp):
+    def _apply_piece(self, key, data, mod_revision):
         piece = read_piece_key(key)
         pieces = self.pieces.setdefault((piece.job_id, piece.list_id), {})
         if data is not None:
-            pieces[piece.number] = (data, stamp)
+            pieces[piece.number] = (data, mod_revision)
             return
         pieces.pop(piece.number, None)
         if not pieces:
@@ -127,23 +127,23 @@
         # it ended.
         self.resolve(job_id, Outcome.CANCELLED if before else Outcome.DONE)
 
-    def _apply_waiting(self, job_id, data, stamp, touched):
+    def _apply_waiting(self, job_id, data, mod_revision, touched):
         if data is None:
             gone = self._remove(job_id)
             if gone is not None and gone.cancelled:
                 self.resolve(job_id, Outcome.CANCELLED)
             touched.add(job_id)  # released, or cancelled by its own user
         elif job_id not in self.waiting:
-            self._add(job_id, WaitingRecord.decode(job_id, data), stamp)
+            self._add(job_id, WaitingRecord.decode(job_id, data), mod_revision)
             touched.add(job_id)
             touched.update(self.waiting[job_id].needs)
 
-    def _add(self, job_id, record, stamp):
+    def _add(self, job_id, record, mod_revision):
         needs = record.needs
         if record.pieces:
             pieces = self.pieces.get((job_id, record.list_id), {})
             needs = tuple(need for number in sorted(pieces) for need in pieces[number][0])
-        job = self.waiting[job_id] = WaitingJob(record.spec, needs, stamp, record.list_id)
+        job = self.waiting[job_id] = WaitingJob(record.spec, needs, mod_revision, record.list_id)
         cancelled = False
         for need in needs:
             self.dependents.setdefault(need, set()).add(job_id)
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -8,7 +8,7 @@
 
 from .. import placement
 from ..actors import tell_after
-from ..state import Follower
+from ..state import ReplicaSubscriber
 from .cleanup import Cleanup
 from .commits import Commits
 from .committed import CommittedJobs
@@ -34,7 +34,7 @@
 
 
 class JobManager(
-    CommittedJobs, Scheduler, Preemption, Commits, Releases, Relayout, Cleanup, Follower
+    CommittedJobs, Scheduler, Preemption, Commits, Releases, Relayout, Cleanup, ReplicaSubscriber
 ):
     """Every controller's view of all live jobs, and the decisions on those that it holds."""
 
@@ -61,7 +61,7 @@
     def on_inventory(self, machines):
         self.inventory = machines
         self.open_machines = {name for name, machine in machines.items() if machine.open}
-        self.room.inventory(machines)
+        self.capacity.inventory(machines)
         self.images.keep_only(machines)
         self.soon_place()
 
@@ -153,7 +153,7 @@
         moved = {}
         for machine in machines:
             taint = self.taints.get(machine)
-            for (_, task), (job, binding) in list(self.room.on.get(machine, {}).items()):
+            for (_, task), (job, binding) in list(self.capacity.on.get(machine, {}).items()):
                 if not self.decides(job):
                     continue
                 if taint in ("ended", "gone"):
@@ -192,7 +192,7 @@
             [
                 machine
                 for machine, taint in self.taints.items()
-                if taint in ("ended", "gone", "drain") and machine in self.room.on
+                if taint in ("ended", "gone", "drain") and machine in self.capacity.on
             ]
         )
         self.sweep()
@@ -214,20 +214,23 @@
         reply(
             placement.demand(
                 own,
-                placement.headroom(
+                placement.capacity_buffer(
                     own, self.settings.objectives, self.machine_types, self.system.wall()
                 ),
                 self.machine_types,
                 self.settings.teams,
             ),
             placement.zone_shortage(
-                own, self.room, self.open_machines.difference(self.taints.of), self.machine_types
+                own,
+                self.capacity,
+                self.open_machines.difference(self.taints.of),
+                self.machine_types,
             ),
         )
 
     def on_occupied(self, reply):
         """`reply(machines that any bound task names)`."""
-        reply(set(self.room.on))
+        reply(set(self.capacity.on))
 
     def on_replicas(self, reply):
-        reply(sum(self.room.replicas.values()))
+        reply(sum(self.capacity.replicas.values()))
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -42,11 +42,11 @@
             return spec.deadline_s - age < spec.estimated_run_s * 1.5 + self.settings.lease_s
         return spec.priority < 2 and age > self.settings.lease_s
 
-    def preempt(self, now, waiting, placing_round):
+    def preempt(self, now, waiting, placement_round):
         """Stops what the pressing ones among the waiting jobs need to find room."""
         if now - self.preempted_at < self.settings.agent_heartbeat_s / 5:
             return
-        pressing = self.jobs_to_make_room_for(now, waiting)
+        pressing = self.jobs_worth_preempting_for(now, waiting)
         if not pressing:
             return
         self.preempted_at = now
@@ -55,10 +55,10 @@
             for key, at in self.asked.items()
             if now - at < 2 * self.settings.agent_heartbeat_s
         }
-        self.count_stopping_as_room(placing_round)
-        self.make_room(now, pressing, self.stoppable_rows(now, pressing), placing_round)
+        self.count_stopping_as_free(placement_round)
+        self.preempt_for(now, pressing, self.stoppable_rows(now, pressing), placement_round)
 
-    def jobs_to_make_room_for(self, now, waiting):
+    def jobs_worth_preempting_for(self, now, waiting):
         """Own pressing jobs for which some running job may be stopped at all."""
         pressing = [
             job
@@ -67,7 +67,7 @@
         ]
         if not pressing:
             return []
-        rules = placement.preempt.StopRules(self.room, self.settings.teams)
+        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
         running = {
             placement.preempt.stop_class(job.spec): job.spec
             for job in self.jobs.values()
@@ -79,13 +79,13 @@
             if any(rules.may_stop(job.spec, victim) for victim in running.values())
         ]
 
-    def count_stopping_as_room(self, placing_round):
+    def count_stopping_as_free(self, placement_round):
         """What is being stopped already will be room; it is not stopped for twice."""
         for job in self.jobs.values():
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
             ]:
-                placing_round.give(job.spec, binding.machine)
+                placement_round.give(job.spec, binding.machine)
         for job_id, task, attempt in self.asked:
             job = self.jobs.get(job_id)
             binding = job.part(task).bindings.get(task) if job is not None else None
@@ -95,11 +95,11 @@
                 and not binding.stop
                 and not job.cancelled
             ):
-                placing_round.give(job.spec, binding.machine)
+                placement_round.give(job.spec, binding.machine)
 
     def stoppable_rows(self, now, pressing):
         """{machine: [(job, task, bound)]} of what may be stopped there, the cheapest first."""
-        rules = placement.preempt.StopRules(self.room, self.settings.teams)
+        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
         kinds = list({(job.spec.priority, job.spec.team): job.spec for job in pressing}.values())
         rows = {}
         for job in self.jobs.values():
@@ -125,39 +125,39 @@
         """Whether a task has been bound too lately to count as a start once it is stopped."""
         return now - row[2].since < FRESH_START_S
 
-    def make_room(self, now, pressing, rows, placing_round):
+    def preempt_for(self, now, pressing, rows, placement_round):
         """Picks victims for one task after the other, and asks for their stop."""
         stops_left = MAX_STOPS
         for job in pressing:
             for _ in range(min(job.waiting_count(), MAX_STOPS_FOR_JOB)):
-                victims = self.victims_for(now, job, rows, placing_round)
+                victims = self.victims_for(now, job, rows, placement_round)
                 if victims is None:
                     break
                 if not victims:
                     continue
                 for row in victims:
                     rows[row[2].machine].remove(row)
-                    placing_round.give(row[0].spec, row[2].machine)
+                    placement_round.give(row[0].spec, row[2].machine)
                     self.ask_stop(now, row, f"room for {job.id}")
-                placing_round.fill(job, 1)
+                placement_round.fill(job, 1)
                 stops_left -= 1
                 if stops_left <= 0:
                     return
 
-    def victims_for(self, now, job, rows, placing_round):
+    def victims_for(self, now, job, rows, placement_round):
         """What to stop for one more task: nothing if it has found room; None if nothing helps."""
-        room, teams = self.room, self.settings.teams
+        capacity, teams = self.capacity, self.settings.teams
 
         def fresh(row):
             return self.is_fresh(row, now)
 
-        if not room.more_within_limit(job.spec):
-            victims = placement.preempt.for_limit(job.spec, rows, room, teams, fresh)
-            helps = victims and placement.preempt.finds_place(job, victims, placing_round)
+        if not capacity.tasks_within_quota(job.spec):
+            victims = placement.preempt.victims_for_quota(job.spec, rows, capacity, teams, fresh)
+            helps = victims and placement.preempt.has_fit(job, victims, placement_round)
             return victims if helps else None
-        if placing_round.fill(job, 1):
+        if placement_round.fill(job, 1):
             return []
-        return placement.preempt.for_room(job, rows, placing_round, teams, fresh)
+        return placement.preempt.victims_for_capacity(job, rows, placement_round, teams, fresh)
 
     def ask_stop(self, now, row, reason):
         job, task, binding = row
--- a/emberglade/jobs/record.py
+++ b/emberglade/jobs/record.py
@@ -94,7 +94,7 @@
     tried: dict = field(
         default_factory=dict
     )  # task -> last attempt, for tasks neither bound nor done
-    stamp: int = 0
+    mod_revision: int = 0
 
     def encode(self):
         data = {}
@@ -111,11 +111,11 @@
         """{task: row as kept} of an encoded part."""
         return {int(n): row for n, row in data.get("b", {}).items()}
 
-    def take_over(self, data, stamp):
+    def take_over(self, data, mod_revision):
         """Becomes what was committed, but for the bound tasks, which the caller compares."""
         self.done = from_ranges(data.get("d", ()))
         self.tried = {int(n): attempt for n, attempt in data.get("t", {}).items()}
-        self.stamp = stamp
+        self.mod_revision = mod_revision
 
 
 def to_ranges(numbers):
@@ -252,8 +252,8 @@
             found = self.parts[number] = Part()
         return found
 
-    def stamp(self):
-        return self.parts[0].stamp if 0 in self.parts else 0
+    def mod_revision(self):
+        return self.parts[0].mod_revision if 0 in self.parts else 0
 
     def bindings(self):
         for part in self.parts.values():
--- a/emberglade/jobs/relayout.py
+++ b/emberglade/jobs/relayout.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from ..actors import callback, tell, tell_after
-from ..state import LIVE
+from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from ..transport import status_text
@@ -27,7 +27,7 @@
 
     job_id: str
     generation: str
-    stamp: int = 0  # of the record that the new parts were made from
+    mod_revision: int = 0  # of the record that the new parts were made from
     record: dict | None = None
     parts: list = None  # (key, value) of those that are still to be written
 
@@ -82,13 +82,13 @@
             self.end_layout_change()
             return
         for part in job.parts.values():
-            part.stamp = -1
+            part.mod_revision = -1
         self.forget_wishes(found)
         size = job.fitting_size
         parts = split_parts(job, size)
         laid_out = Job(job.request, size, job.cancelled, change.generation)
         laid_out.parts = {0: parts.pop(0, Part())}
-        change.stamp, change.record = job.stamp(), laid_out.encode()
+        change.mod_revision, change.record = job.mod_revision(), laid_out.encode()
         change.parts = [
             (part_key(job.id, number, change.generation), part.encode())
             for number, part in sorted(parts.items())
@@ -98,15 +98,15 @@
     def write_layout(self, change):
         """Writes the next of the new parts, or switches to them when all are there."""
         job = self.jobs.get(change.job_id)
-        if job is None or not self.mine(job) or job.stamp() != change.stamp:
+        if job is None or not self.mine(job) or job.mod_revision() != change.mod_revision:
             self.end_layout_change()
             return
         if not change.parts:
             self.switch_layout(job, change)
             return
         some = change.parts[: self.most_writes]
-        conditions = [self.epoch_of(job.request), *((LIVE + key, 0) for key, _ in some)]
-        writes = [state_wire.put(LIVE + key, value) for key, value in some]
+        conditions = [self.epoch_of(job.request), *((LIVE_PREFIX + key, 0) for key, _ in some)]
+        writes = [state_wire.put(LIVE_PREFIX + key, value) for key, value in some]
         tell(
             self.store.on_commit,
             DECISIONS,
@@ -137,15 +137,15 @@
         if self.flight is not None:
             tell_after(self.settings.agent_heartbeat_s / 40, self.on_write_layout_again, change)
             return
-        key, (epoch, stamp) = job_key(job.id), self.epoch_of(job.request)
+        key, (epoch, mod_revision) = job_key(job.id), self.epoch_of(job.request)
         self.flight = {key: job.part(0)}
         self.flight_shards = {shard_of(job.request, self.settings.teams, self.shards)}
         self.deferred = {key: []}
         tell(
             self.store.on_commit,
             DECISIONS,
-            [(epoch, stamp), (LIVE + key, change.stamp)],
-            [state_wire.put(LIVE + key, change.record)],
+            [(epoch, mod_revision), (LIVE_PREFIX + key, change.mod_revision)],
+            [state_wire.put(LIVE_PREFIX + key, change.record)],
             callback(self.on_layout_switched, change),
         )
 
--- a/emberglade/jobs/releases.py
+++ b/emberglade/jobs/releases.py
@@ -8,7 +8,7 @@
 import logging
 
 from ..actors import callback, tell, tell_after
-from ..state import FINAL, LIVE
+from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from .dependencies import DependencyGraph, Outcome
@@ -53,11 +53,11 @@
                 tell(
                     self.store.on_read,
                     DECISIONS,
-                    FINAL + final_key(need),
+                    FINAL_PREFIX + final_key(need),
                     callback(self.on_need_read, need),
                 )
 
-    def on_need_read(self, need, status, data, stamp):
+    def on_need_read(self, need, status, data, mod_revision):
         self.needs_read.discard(need)
         outcome = read_outcome(status, data)
         if outcome is not None:
@@ -93,13 +93,13 @@
         for job_id in ready + ends:
             job = graph.waiting[job_id]
             conditions.add(self.epoch_of(job.spec))
-            conditions.add((LIVE + waiting_key(job_id), job.stamp))
+            conditions.add((LIVE_PREFIX + waiting_key(job_id), job.mod_revision))
             if job_id in graph.ready:
-                writes.append(state_wire.put(LIVE + job_key(job_id), self.live_record(job)))
+                writes.append(state_wire.put(LIVE_PREFIX + job_key(job_id), self.live_record(job)))
             else:
                 end = {"glow": Outcome.CANCELLED.value, "n": job.spec.tasks, "d": 0}
-                writes.append(state_wire.put(FINAL + final_key(job_id), end))
-            writes.append(state_wire.remove(LIVE + waiting_key(job_id)))
+                writes.append(state_wire.put(FINAL_PREFIX + final_key(job_id), end))
+            writes.append(state_wire.remove(LIVE_PREFIX + waiting_key(job_id)))
         self.release_busy = True
         self.write_rate(self.now(), len(writes))
         tell(
@@ -167,10 +167,13 @@
 
     def remove_pieces(self, job_id, list_id):
         rows = sorted(self.graph.pieces[(job_id, list_id)].items())[: self.most_writes]
-        keys = [(LIVE + piece_key(job_id, list_id, number), stamp) for number, (_, stamp) in rows]
+        keys = [
+            (LIVE_PREFIX + piece_key(job_id, list_id, number), mod_revision)
+            for number, (_, mod_revision) in rows
+        ]
         waiting = self.graph.waiting.get(job_id)
         conditions = [
-            (LIVE + waiting_key(job_id), waiting.stamp if waiting is not None else 0),
+            (LIVE_PREFIX + waiting_key(job_id), waiting.mod_revision if waiting is not None else 0),
             *keys,
         ]
         tell(
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -19,7 +19,7 @@
     placed_at = float("-inf")
 
     def __init__(self, settings):
-        self.room = placement.Room(settings.teams)
+        self.capacity = placement.ClusterCapacity(settings.teams)
         self.images = placement.ImageCaches()
         self.open_machines = set()
         self.guaranteed = (
@@ -54,13 +54,13 @@
         usable.difference_update(
             [name for name, (until, _) in self.suspects.items() if until > now]
         )
-        placing_round = placement.Round(self.room, usable, self.images)
+        placement_round = placement.PlacementRound(self.capacity, usable, self.images)
         try:
-            self.play(now, waiting, placing_round)
+            self.play(now, waiting, placement_round)
         finally:
-            placing_round.undo()
+            placement_round.undo()
 
-    def play(self, now, waiting, placing_round):
+    def play(self, now, waiting, placement_round):
         """One round: takes room for everybody's waiting tasks in order, and binds its own.
 
         Every holder plays the round through for all jobs, in the same order: room that a free
@@ -72,7 +72,7 @@
         waiting.sort(
             key=lambda job: (
                 job.id not in starving,
-                placement.order(job.spec, self.settings.objectives, wall),
+                placement.placement_order(job.spec, self.settings.objectives, wall),
             )
         )
         if now - self.guaranteed_at > self.settings.agent_heartbeat_s / 5:
@@ -80,7 +80,7 @@
             self.guaranteed = placement.preempt.guaranteed(
                 (job for job in self.jobs.values() if not job.cancelled), teams
             )
-        ahead = placement.headroom(
+        ahead = placement.capacity_buffer(
             self.jobs.values(), self.settings.objectives, self.machine_types, wall
         )
         budget = self.settings.txn_ops * 4 * self.size
@@ -92,10 +92,10 @@
             for job in waiting:
                 for row in [row for row in ahead if row[0].spec.priority < job.spec.priority]:
                     ahead.remove(row)
-                    placing_round.fill(row[0], math.ceil(row[1]))
-                most = min(job.waiting_count(), placing_round.most(job.spec), 256)
+                    placement_round.fill(row[0], math.ceil(row[1]))
+                most = min(job.waiting_count(), placement_round.most(job.spec), 256)
                 if within and job.spec.priority:
-                    most = min(most, self.room.more_within_guarantee(job.spec))
+                    most = min(most, self.capacity.tasks_within_guarantee(job.spec))
                 if job.id in starving:
                     # Enough to begin; the rest takes its place in the ordinary order.
                     most = min(most, math.ceil(job.spec.tasks / 8))
@@ -113,20 +113,20 @@
                         for task in job.waiting(now, most + past)
                         if hopeful or job.part(task).tried.get(task, 0) <= 3
                     ]
-                    played[job.id] = past + len(placing_round.fill(job, len(tasks) - past))
+                    played[job.id] = past + len(placement_round.fill(job, len(tasks) - past))
                 elif budget > 0:
-                    budget -= self.place(job, job.waiting(now, most), placing_round, wall)
-        self.preempt(now, waiting, placing_round)
+                    budget -= self.place(job, job.waiting(now, most), placement_round, wall)
+        self.preempt(now, waiting, placement_round)
         # A round costs more the more there is; so that rounds leave time for reports, the next one
         # comes no sooner than a few times what this one took, and a tenth of a report interval.
         self.placed_at = self.now() + max(
             3 * (self.now() - now), self.settings.agent_heartbeat_s / 10
         )
 
-    def place(self, job, tasks, placing_round, wall):
+    def place(self, job, tasks, placement_round, wall):
         """Binds as many of the tasks as find room; returns how many."""
-        found = placing_round.fill(job, len(tasks))
-        placing_round.forget(len(found))
+        found = placement_round.fill(job, len(tasks))
+        placement_round.forget(len(found))
         if not found or (
             job.spec.gang and not job.binding_count() and len(found) < job.waiting_count()
         ):
@@ -168,10 +168,10 @@
         """`reply(machine, count)`: one that only holds up to `most` replicas, all of which would
         find room with their image on other machines in use; `reply(None, 0)` if there is none.
         """
-        replicas = self.room.replicas
+        replicas = self.capacity.replicas
         rows = []
         for name, machine in self.inventory.items():
-            on = self.room.on.get(name, {})
+            on = self.capacity.on.get(name, {})
             if (
                 machine.type.name == type_name
                 and not machine.spot
@@ -190,14 +190,14 @@
             if machine.open and name not in self.taints and replicas.get(name)
         }
         for count, name in sorted(rows)[:8]:
-            placing_round = placement.Round(self.room, usable - {name}, self.images)
+            placement_round = placement.PlacementRound(self.capacity, usable - {name}, self.images)
             fits = True
-            for job, _ in self.room.on[name].values():
-                found = placing_round.fill(job, 1)
+            for job, _ in self.capacity.on[name].values():
+                found = placement_round.fill(job, 1)
                 if not found or not self.images.has(found[0], job.spec.image):
                     fits = False
                     break
-            placing_round.undo()
+            placement_round.undo()
             if fits:
                 reply(name, count)
                 return
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -9,7 +9,7 @@
 import logging
 
 from ..actors import callback, tell, tell_after
-from ..state import LIVE, Follower
+from ..state import LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
@@ -29,13 +29,13 @@
     return isinstance(data, dict) and wire.read_format(data) >= NEW_FORMAT
 
 
-class FormatUpgrade(Follower):
+class FormatUpgrade(ReplicaSubscriber):
     """States that this controller reads the new format, and raises the cluster's when all do."""
 
     def __init__(self, settings, store):
         self.settings, self.store = settings, store
         self.raised = False
-        self.format_stamp = 0
+        self.format_mod_revision = 0
         self.processes = {}  # controller -> (incarnation of its live process, stamp of its key)
         self.readers = {}  # controller -> (incarnation that reads the new format, stamp of its key)
         self.busy = False
@@ -53,17 +53,17 @@
         """
         if whole:
             self.processes, self.readers = {}, {}
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key == FORMAT_KEY:
-                self.raised, self.format_stamp = self.raised or is_raised(data), stamp
+                self.raised, self.format_mod_revision = self.raised or is_raised(data), mod_revision
             elif key.startswith(wire.NODE_PREFIX):
-                self._note(self.processes, key, wire.NODE_PREFIX, data, stamp)
+                self._note(self.processes, key, wire.NODE_PREFIX, data, mod_revision)
             elif key.startswith(wire.READER_PREFIX):
-                self._note(self.readers, key, wire.READER_PREFIX, data, stamp)
+                self._note(self.readers, key, wire.READER_PREFIX, data, mod_revision)
         self.advance()
 
     @staticmethod
-    def _note(rows, key, prefix, data, stamp):
+    def _note(rows, key, prefix, data, mod_revision):
         """Notes the incarnation and stamp of `key` (`prefix` and a node's name) in `rows` by node.
 
         Raises:
@@ -75,7 +75,7 @@
         elif not isinstance(data, dict):
             raise RecordError(f"the key {key!r} holds {data!r}, not a JSON object")
         else:
-            rows[node] = (wire.read_incarnation(data), stamp)
+            rows[node] = (wire.read_incarnation(data), mod_revision)
 
     def on_tick(self):
         """Handles `tick`, sent to itself every 0.5 s: takes the next step, if one is due."""
@@ -94,7 +94,8 @@
             return
         if self.readers.get(node, (None,))[0] != self.incarnation:
             write = state_wire.put(
-                LIVE + wire.reader_key(node), wire.reader_record(self.incarnation, NEW_FORMAT)
+                LIVE_PREFIX + wire.reader_key(node),
+                wire.reader_record(self.incarnation, NEW_FORMAT),
             )
             self.commit([], write)
         elif all(self.reads_new_format(name) for name in self.settings.names):
@@ -103,7 +104,7 @@
             )
             self.commit(
                 self.raise_conditions(),
-                state_wire.put(LIVE + FORMAT_KEY, wire.format_record(NEW_FORMAT)),
+                state_wire.put(LIVE_PREFIX + FORMAT_KEY, wire.format_record(NEW_FORMAT)),
             )
 
     def reads_new_format(self, name):
@@ -112,16 +113,18 @@
         return process is not None and reader is not None and process[0] == reader[0]
 
     def raise_conditions(self):
-        """The conditions `[(full key, stamp)]` that the raise hangs on.
+        """The conditions `[(full key, mod_revision)]` that the raise hangs on.
 
         Those of the processes' keys, rewritten every few seconds, only where there is room.
         """
-        conditions = [(LIVE + FORMAT_KEY, self.format_stamp)]
+        conditions = [(LIVE_PREFIX + FORMAT_KEY, self.format_mod_revision)]
         conditions += [
-            (LIVE + wire.reader_key(name), self.readers[name][1]) for name in self.settings.names
+            (LIVE_PREFIX + wire.reader_key(name), self.readers[name][1])
+            for name in self.settings.names
         ]
         processes = [
-            (LIVE + wire.node_key(name), self.processes[name][1]) for name in self.settings.names
+            (LIVE_PREFIX + wire.node_key(name), self.processes[name][1])
+            for name in self.settings.names
         ]
         if len(conditions) + len(processes) <= 4 * self.settings.txn_ops:
             conditions += processes
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -5,7 +5,7 @@
 import orjson
 
 from ..actors import callback, tell, tell_after
-from ..state import LIVE, Follower
+from ..state import LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
@@ -16,7 +16,7 @@
 TRANSACTION_BYTES = 48 * 1024  # PROTOCOL's 64 KiB, less keys, names of fields and some room
 
 
-class Member(Ownership, Follower):
+class Member(Ownership, ReplicaSubscriber):
     """Keeps this controller's lease and key alive, and takes shards and leadership."""
 
     def __init__(self, settings, store, listeners):
@@ -118,13 +118,13 @@
         self.overflow_left = list(enumerate(self.overflow))
         writes = [
             state_wire.put(
-                LIVE + wire.node_key(self.settings.node),
+                LIVE_PREFIX + wire.node_key(self.settings.node),
                 wire.node_record(self.incarnation, self.table),
                 self.lease,
             )
         ]
         writes += [
-            state_wire.remove(LIVE + wire.overflow_key(self.settings.node, n))
+            state_wire.remove(LIVE_PREFIX + wire.overflow_key(self.settings.node, n))
             for n in range(len(self.overflow), len(self.overflow) + spare)
         ][: self.settings.txn_ops - 1]
         self.write_batch(
@@ -134,7 +134,7 @@
     def overflow_writes(self, batch):
         """The writes of `batch` (`[(number, value)]`) as keys of overflow values."""
         return [
-            state_wire.put(LIVE + wire.overflow_key(self.settings.node, n), data, self.lease)
+            state_wire.put(LIVE_PREFIX + wire.overflow_key(self.settings.node, n), data, self.lease)
             for n, data in batch
         ]
 
@@ -185,14 +185,14 @@
             self.nodes = {}
             self.forget_owners()
         touched = False
-        for key, data, stamp in events:
+        for key, data, mod_revision in events:
             if key.startswith(wire.NODE_PREFIX):
                 node = key[len(wire.NODE_PREFIX) :]
                 if data is None:
                     self.nodes.pop(node, None)
                 else:
                     self.nodes[node] = wire.read_incarnation(data)
-            elif not self.note_owner(key, data, stamp):
+            elif not self.note_owner(key, data, mod_revision):
                 continue
             touched = True
         changed = ownership_revision(events, revision, whole)
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from ..actors import callback, tell
-from ..state import LIVE, Follower
+from ..state import LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
@@ -30,7 +30,7 @@
 
     node: str | None
     incarnation: int | None
-    stamp: int
+    mod_revision: int
 
 
 NOBODY = Holder(None, None, 0)
@@ -42,15 +42,15 @@
         return revision
     return max(
         (
-            stamp
-            for key, _, stamp in events
+            mod_revision
+            for key, _, mod_revision in events
             if key == wire.LEADER_KEY or key.startswith((wire.NODE_PREFIX, wire.SHARD_PREFIX))
         ),
         default=None,
     )
 
 
-class Ownership(Follower):
+class Ownership(ReplicaSubscriber):
     """The part of the member that takes shards and leadership.
 
     Without a view of peers (failure detection off), the nodes' keys alone say who is alive.
@@ -83,11 +83,11 @@
         """Forgets all holders, before the whole replica is told anew."""
         self.shards, self.leader = {}, None
 
-    def note_owner(self, key, data, stamp):
+    def note_owner(self, key, data, mod_revision):
         """Notes a change of a shard's or the leader's key; False if the key is neither."""
         if key != wire.LEADER_KEY and not key.startswith(wire.SHARD_PREFIX):
             return False
-        holder = None if data is None else Holder(*wire.read_holder(data), stamp)
+        holder = None if data is None else Holder(*wire.read_holder(data), mod_revision)
         if key == wire.LEADER_KEY:
             self.leader = holder
         elif holder is None:
@@ -163,14 +163,16 @@
                 self.take_shards(take)
         if not self.taking_leadership and self.should_take_leadership():
             self.taking_leadership = True
-            stamp = 0 if self.leader is None else self.leader.stamp
+            mod_revision = 0 if self.leader is None else self.leader.mod_revision
             tell(
                 self.store.on_commit,
                 DECISIONS,
-                [(LIVE + wire.LEADER_KEY, stamp)],
+                [(LIVE_PREFIX + wire.LEADER_KEY, mod_revision)],
                 [
                     state_wire.put(
-                        LIVE + wire.LEADER_KEY, wire.holder_record(me, self.incarnation), self.lease
+                        LIVE_PREFIX + wire.LEADER_KEY,
+                        wire.holder_record(me, self.incarnation),
+                        self.lease,
                     )
                 ],
                 callback(self.on_leader_written, self.lease),
@@ -180,11 +182,12 @@
         """Takes `take` (shard numbers) in one compare-and-swap on their keys' stamps."""
         self.taking_shards = True
         conditions = [
-            (LIVE + wire.shard_key(shard), self.shards.get(shard, NOBODY).stamp) for shard in take
+            (LIVE_PREFIX + wire.shard_key(shard), self.shards.get(shard, NOBODY).mod_revision)
+            for shard in take
         ]
         writes = [
             state_wire.put(
-                LIVE + wire.shard_key(shard),
+                LIVE_PREFIX + wire.shard_key(shard),
                 wire.holder_record(self.settings.node, self.incarnation),
             )
             for shard in take
--- a/emberglade/placement/room.py
+++ b/emberglade/placement/capacity.py
@@ -19,7 +19,7 @@
     open: bool  # heard of lately, hears us, and not about to be taken
 
 
-def order(spec, objectives, wall):
+def placement_order(spec, objectives, wall):
     """The order in which jobs are served: rank, then what is due first, then age.
 
     Due is a job's own deadline or its class's aim on finishing; within a rank, what can't be in
@@ -40,7 +40,7 @@
     return spec.priority, late, due, spec.submitted_at, spec.id
 
 
-class Room:
+class ClusterCapacity:
     """What every bound task takes: per machine, per team. Changed only by `add` and `remove`."""
 
     def __init__(self, teams):
@@ -101,12 +101,12 @@
                 self.zones.pop(binding.machine, None)
         self.count(job.spec, binding.machine, -1)
 
-    def more_within_limit(self, spec):
+    def tasks_within_quota(self, spec):
         """How many more tasks like this the team's limit allows."""
         team = self.teams.get(spec.team)
         return 0 if team is None else self._more(spec, team.cpus_max, team.gpus_max)
 
-    def more_within_guarantee(self, spec):
+    def tasks_within_guarantee(self, spec):
         """How many more tasks like this the team is guaranteed."""
         team = self.teams.get(spec.team)
         return (
@@ -146,22 +146,24 @@
         return zones, known
 
 
-class Round:
+class PlacementRound:
     """One round of placing: what it takes is taken back by `undo`, unless it was bound since."""
 
-    def __init__(self, room, usable, images):
-        self.room, self.images = room, images
+    def __init__(self, capacity, usable, images):
+        self.capacity, self.images = capacity, images
         self.usable = usable
         # Most machines are full most of the time; only the others are looked at for every job.
-        self.roomy = [
-            name for name in usable if room.free[name][0] > SLACK and room.free[name][2] > SLACK
+        self.with_capacity = [
+            name
+            for name in usable
+            if capacity.free[name][0] > SLACK and capacity.free[name][2] > SLACK
         ]
         self.taken = []
         self.full = set()  # needs for which no room was left; room only shrinks within a round
 
     def allowed(self, spec, name):
         """Whether kind, type and zone of the machine suit the job, its other tasks apart."""
-        machine = self.room.machines[name]
+        machine = self.capacity.machines[name]
         return (
             (spec.spot or not machine.spot)
             and (spec.allowed_types is None or machine.type.name in spec.allowed_types)
@@ -169,17 +171,17 @@
         )
 
     def score(self, spec, name):
-        room = self.room
+        capacity = self.capacity
         missing = spec.image_gb > 0 and not self.images.has(name, spec.image)
         # Cheap machines first for what may use them, so that ordinary room stays free; and the same
         # machines first at all times, so that the others fall idle and go back.
-        last = room.machines[name].spot != spec.spot, name
+        last = capacity.machines[name].spot != spec.spot, name
         if spec.service:
             # Replicas live long: on few machines they keep few from going back.
-            return missing, -room.replicas[name], *last
+            return missing, -capacity.replicas[name], *last
         # Where replicas are, their images are: that room is for more of them, who can't wait for
         # one.
-        return room.replicas[name] > 0, missing, *last
+        return capacity.replicas[name] > 0, missing, *last
 
     @staticmethod
     def needs(spec):
@@ -189,18 +191,18 @@
         """At most so many tasks may find room: a cheap look that saves most jobs a dear one."""
         if not (spec.single_zone or spec.zone_spread) and self.needs(spec) in self.full:
             return 0
-        return self.room.more_within_limit(spec)
+        return self.capacity.tasks_within_quota(spec)
 
     def fitting(self, spec):
         """The machines on which one more task like this fits now, zones apart.
 
-        `Room.fits` in place: looking over all machines is most of what a round costs.
+        `ClusterCapacity.fits` in place: looking over all machines is most of what a round costs.
         """
         cpus, gpus, ram_gb = spec.cpus - SLACK, spec.gpus - SLACK, spec.ram_gb - SLACK
-        free = self.room.free
+        free = self.capacity.free
         return [
             name
-            for name in self.roomy
+            for name in self.with_capacity
             if (left := free[name])[0] >= cpus
             and left[2] >= ram_gb
             and left[1] >= gpus
@@ -209,15 +211,15 @@
 
     def fill(self, job, count):
         """Takes room for up to `count` tasks and returns the machines, one a task."""
-        spec, room = job.spec, self.room
+        spec, capacity = job.spec, self.capacity
         count = min(count, self.most(spec))
         if count <= 0:
             return []
         zoned = spec.single_zone or spec.zone_spread
-        zones, known = room.zones_of(job) if zoned else ({}, True)
+        zones, known = capacity.zones_of(job) if zoned else ({}, True)
         if not known:
             return []
-        free, fits = room.free, room.fits
+        free, fits = capacity.free, capacity.fits
         found: list[str] = []
         fitting = self.fitting(spec)
         most = (spec.tasks + 1) // 2
@@ -228,7 +230,7 @@
         while ordered and len(found) < count:
             again = []
             for name in ordered:
-                zone = room.machines[name].zone
+                zone = capacity.machines[name].zone
                 for _ in range(min(at_once, count - len(found))):
                     if not fits(spec, free[name]) or (
                         zoned
@@ -239,7 +241,7 @@
                     ):
                         break
                     zones[zone] = zones.get(zone, 0) + 1
-                    room.count(spec, name)
+                    capacity.count(spec, name)
                     found.append(name)
                 else:
                     again.append(name)
@@ -253,19 +255,19 @@
 
     def give(self, spec, name):
         """Counts a task as gone until `undo`; its zone stays taken until it really is."""
-        self.room.count(spec, name, -1)
+        self.capacity.count(spec, name, -1)
         self.taken.append((spec, name, -1))
         self.full.clear()
-        if name in self.usable and name not in self.roomy:
-            self.roomy.append(name)
+        if name in self.usable and name not in self.with_capacity:
+            self.with_capacity.append(name)
 
     def forget(self, count):
         """Takes the last `count` of what `fill` took back at once."""
         for _ in range(count):
             spec, name = self.taken.pop()
-            self.room.count(spec, name, -1)
+            self.capacity.count(spec, name, -1)
 
     def undo(self):
         for row in self.taken:
-            self.room.count(row[0], row[1], -row[2] if len(row) > 2 else -1)
+            self.capacity.count(row[0], row[1], -row[2] if len(row) > 2 else -1)
         self.taken = []
--- a/emberglade/placement/headroom.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -4,7 +4,7 @@
 """
 
 
-def headroom(jobs, objectives, machine_types, wall):
+def capacity_buffer(jobs, objectives, machine_types, wall):
     """[(a job, tasks like it expected within a boot time)], by image, for classes with a `wait`
     aim.
 
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -44,7 +44,7 @@
     return counts
 
 
-def zone_shortage(jobs, room, usable, machine_types):
+def zone_shortage(jobs, capacity, usable, machine_types):
     """{(type, spot, zone): machines} for tasks that can run in one zone only and find no room
     there.
 
@@ -53,19 +53,19 @@
     counts: dict[tuple, float] = {}
     for job in jobs:
         spec, zone = job.spec, job.spec.zone
-        waiting = min(job.waiting_count(), room.more_within_limit(spec))
+        waiting = min(job.waiting_count(), capacity.tasks_within_quota(spec))
         if zone is None and spec.single_zone and waiting:
-            zone = next(iter(room.zones_of(job)[0]), None)
+            zone = next(iter(capacity.zones_of(job)[0]), None)
         if zone is None or not waiting:
             continue
         for name in usable:
-            machine = room.machines[name]
+            machine = capacity.machines[name]
             if (
                 machine.zone == zone
                 and (spec.spot or not machine.spot)
                 and (spec.allowed_types is None or machine.type.name in spec.allowed_types)
             ):
-                free = room.free[name]
+                free = capacity.free[name]
                 waiting -= int(
                     min(
                         (
--- a/emberglade/placement/preempt.py
+++ b/emberglade/placement/preempt.py
@@ -38,7 +38,7 @@
     return cost(row[0].spec, fresh), row[0].id, row[1]
 
 
-def may_stop(spec, victim, room, teams):
+def may_stop(spec, victim, capacity, teams):
     """Whether PROTOCOL allows stopping a task of `victim` to make room for one of `spec`."""
     if victim.priority > spec.priority:
         return True
@@ -46,8 +46,8 @@
     if mine is None or theirs is None or spec.team == victim.team or not mine.cpus:
         return False
     used, over = (
-        room.team_use.get(spec.team, (0.0, 0.0)),
-        room.team_use.get(victim.team, (0.0, 0.0)),
+        capacity.team_use.get(spec.team, (0.0, 0.0)),
+        capacity.team_use.get(victim.team, (0.0, 0.0)),
     )
     within = used[0] + spec.cpus <= mine.cpus + SLACK and used[1] + spec.gpus <= mine.gpus + SLACK
     return within and (
@@ -66,8 +66,8 @@
     They hold as long as no task is bound or unbound.
     """
 
-    def __init__(self, room, teams):
-        self.room, self.teams = room, teams
+    def __init__(self, capacity, teams):
+        self.capacity, self.teams = capacity, teams
         self.known = {}
 
     def may_stop(self, spec, victim):
@@ -75,14 +75,14 @@
         key = stop_class(spec), stop_class(victim)
         allowed = self.known.get(key)
         if allowed is None:
-            allowed = self.known[key] = may_stop(spec, victim, self.room, self.teams)
+            allowed = self.known[key] = may_stop(spec, victim, self.capacity, self.teams)
         return allowed
 
 
-def for_limit(spec, rows, room, teams, fresh):
+def victims_for_quota(spec, rows, capacity, teams, fresh):
     """Victims of the same team whose end brings one task of `spec` within its limit."""
     team = teams[spec.team]
-    use = room.team_use.get(spec.team, (0.0, 0.0))
+    use = capacity.team_use.get(spec.team, (0.0, 0.0))
     need = [
         max(0.0, use[slot] + amount - limit) if limit > 0 else 0.0
         for slot, amount, limit in ((0, spec.cpus, team.cpus_max), (1, spec.gpus, team.gpus_max))
@@ -106,14 +106,14 @@
     return victims
 
 
-def finds_place(job, victims, placing_round):
+def has_fit(job, victims, placement_round):
     """Whether a machine has room for one task once the victims are gone.
 
     Once broken: others of the team were stopped for a task that no machine could take, were placed
     again, and stopped again (meetings/preempts_in_vain.txt).
     """
-    spec, room = job.spec, placing_round.room
-    zones, known = room.zones_of(job)
+    spec, capacity = job.spec, placement_round.capacity
+    zones, known = capacity.zones_of(job)
     if not known and (spec.single_zone or spec.zone_spread):
         return False
     freed: dict[str, list[float]] = {}
@@ -122,18 +122,18 @@
         for slot, amount in enumerate((other.spec.cpus, other.spec.gpus, other.spec.ram_gb)):
             free[slot] += amount
     return any(
-        room.fits(
+        capacity.fits(
             spec,
             [
                 have + more
                 for have, more in zip(
-                    room.free[name], freed.get(name, (0.0, 0.0, 0.0)), strict=True
+                    capacity.free[name], freed.get(name, (0.0, 0.0, 0.0)), strict=True
                 )
             ],
         )
-        and placing_round.allowed(spec, name)
-        and in_zone(spec, zones, room.machines[name].zone)
-        for name in placing_round.usable
+        and placement_round.allowed(spec, name)
+        and in_zone(spec, zones, capacity.machines[name].zone)
+        for name in placement_round.usable
     )
 
 
@@ -145,28 +145,28 @@
     )
 
 
-def for_room(job, rows, placing_round, teams, fresh):
+def victims_for_capacity(job, rows, placement_round, teams, fresh):
     """The cheapest victims on one machine whose end makes room for one task, or None."""
-    spec, room = job.spec, placing_round.room
-    zones, known = room.zones_of(job)
+    spec, capacity = job.spec, placement_round.capacity
+    zones, known = capacity.zones_of(job)
     if not known and (spec.single_zone or spec.zone_spread):
         return None
     best = None
     stoppable: dict = {}
     for name, there in rows.items():
-        if name not in placing_round.usable or not placing_round.allowed(spec, name):
+        if name not in placement_round.usable or not placement_round.allowed(spec, name):
             continue
-        if not in_zone(spec, zones, room.machines[name].zone):
+        if not in_zone(spec, zones, capacity.machines[name].zone):
             continue
-        free, victims = list(room.free[name]), []
+        free, victims = list(capacity.free[name]), []
         for row in there:
-            if room.fits(spec, free):
+            if capacity.fits(spec, free):
                 break
             victim = row[0]
             allowed = stoppable.get(victim.id)
             if allowed is None:
                 allowed = stoppable[victim.id] = victim is not job and may_stop(
-                    spec, victim.spec, room, teams
+                    spec, victim.spec, capacity, teams
                 )
             if not allowed:
                 continue
@@ -174,10 +174,10 @@
             free[0] += victim.spec.cpus
             free[1] += victim.spec.gpus
             free[2] += victim.spec.ram_gb
-        if not victims or not room.fits(spec, free):
+        if not victims or not capacity.fits(spec, free):
             continue
         score = (
-            spec.image_gb > 0 and not placing_round.images.has(name, spec.image),
+            spec.image_gb > 0 and not placement_round.images.has(name, spec.image),
             cost(victims[-1][0].spec, fresh(victims[-1])),
             len(victims),
             name,
--- a/emberglade/state/follower.py
+++ b/emberglade/state/replica_subscriber.py
@@ -8,11 +8,11 @@
     from .store import Store
 
 
-class Follower(Actor):
+class ReplicaSubscriber(Actor):
     """Told `changed(events, revision, whole)` by the store; subclasses set `store`.
 
-    `events` are `(key without LIVE, data or None, stamp)`; `whole` is True when they are the
-    whole replica, read anew.
+    `events` are `(key without LIVE_PREFIX, data or None, mod_revision)`; `whole` is True when
+    they are the whole replica, read anew.
     """
 
     store: "Store"
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -15,8 +15,8 @@
 
 log = logging.getLogger("emberglade.state")
 
-LIVE = "eg/l/"  # keys that every controller follows
-FINAL = "eg/o/"  # final states of jobs: read one by one, never followed
+LIVE_PREFIX = "eg/l/"  # keys that every controller follows
+FINAL_PREFIX = "eg/o/"  # final states of jobs: read one by one, never followed
 
 # Ranks of work, served in this order: heartbeats (and the store's own reads, syncs and leases),
 # decisions of controllers, users' submissions.
@@ -31,7 +31,7 @@
         self.client = client
         self.replica = {}  # key without LIVE -> (data, stamp: the revision that last wrote it)
         self.revision = -1  # -1: not read yet
-        self.contact = float("-inf")  # when the last sync that was answered was sent
+        self.last_contact = float("-inf")  # when the last sync that was answered was sent
         self.subscribers = []
         self.syncs = {}  # syncs on their way: number -> (sent, who waits for it)
         self.sync_number = 0
@@ -93,7 +93,7 @@
             HEARTBEATS,
             0,
             "GET",
-            wire.list_path(LIVE, LIVE + after if after else "", 1000),
+            wire.list_path(LIVE_PREFIX, LIVE_PREFIX + after if after else "", 1000),
             None,
             callback(self.on_loaded, found, first),
         )
@@ -113,14 +113,14 @@
         # Pages are read at growing revisions; the follow from the first one mends the rest.
         first = revision if first is None else first
         if more and rows:
-            self.load(rows[-1][0][len(LIVE) :], found, first)
+            self.load(rows[-1][0][len(LIVE_PREFIX) :], found, first)
             return
-        fresh = {key[len(LIVE) :]: (data, stamp) for key, data, stamp in found}
+        fresh = {key[len(LIVE_PREFIX) :]: (data, mod_revision) for key, data, mod_revision in found}
         gone = [(key, None, first) for key in self.replica if key not in fresh]
         self.replica = fresh
         self.revision = self.recent_after = first
         self.recent.clear()
-        events = gone + [(key, data, stamp) for key, (data, stamp) in fresh.items()]
+        events = gone + [(key, data, mod_revision) for key, (data, mod_revision) in fresh.items()]
         for actor in self.subscribers:
             tell(actor.on_changed, events, first, True)
         log.info("read %d live keys at revision %d", len(fresh), first)
@@ -133,24 +133,24 @@
     # --- following
 
     def apply(self, events, revision):
-        """Applies committed changes `[(full key, data or None, stamp)]` to the replica.
+        """Applies committed changes `[(full key, data or None, mod_revision)]` to the replica.
 
         Changes at or below the replica's revision and keys outside LIVE are left out;
         subscribers are told what is new. The replica's revision becomes `revision` if newer.
         """
         fresh = []
-        for key, data, stamp in events:
-            if stamp <= self.revision or not key.startswith(LIVE):
+        for key, data, mod_revision in events:
+            if mod_revision <= self.revision or not key.startswith(LIVE_PREFIX):
                 continue
-            key = key[len(LIVE) :]
+            key = key[len(LIVE_PREFIX) :]
             if data is None:
                 self.replica.pop(key, None)
             else:
-                self.replica[key] = (data, stamp)
-            fresh.append((key, data, stamp))
+                self.replica[key] = (data, mod_revision)
+            fresh.append((key, data, mod_revision))
             if len(self.recent) == self.recent.maxlen:
                 self.recent_after = self.recent[0][2]
-            self.recent.append((key, data, stamp))
+            self.recent.append((key, data, mod_revision))
         if revision > self.revision:
             self.revision = revision
         if fresh:
@@ -178,7 +178,10 @@
         """
         news = wire.read_news(body) if status == 200 else None
         if news is not None and 0 <= since <= self.revision:
-            self.apply([(LIVE + key, data, stamp) for key, data, stamp in news[0]], news[1])
+            self.apply(
+                [(LIVE_PREFIX + key, data, mod_revision) for key, data, mod_revision in news[0]],
+                news[1],
+            )
             for actor in self.subscribers:
                 if actor.hears_contact:
                     tell(
@@ -220,7 +223,7 @@
             HEARTBEATS,
             0,
             "GET",
-            wire.follow_path(LIVE, self.revision, 0),
+            wire.follow_path(LIVE_PREFIX, self.revision, 0),
             None,
             callback(self.on_synced, self.sync_number),
         )
@@ -244,8 +247,8 @@
             done = True
             self.apply(*news)
             # Only this shows that the replica is in step; other answers may come while syncs fail.
-            if sent > self.contact:
-                self.contact = sent
+            if sent > self.last_contact:
+                self.last_contact = sent
                 for actor in self.subscribers:
                     if actor.hears_contact:
                         tell(actor.on_contact, sent, self.revision)
@@ -274,7 +277,7 @@
     def on_read(self, priority, key, reply):
         """Handles `read(priority, key, reply)`: one key from the state service.
 
-        `reply(status, data, stamp)`; data and stamp are None unless the status is 200.
+        `reply(status, data, mod_revision)`; data and stamp are None unless the status is 200.
         """
 
         def answer(status, body):
@@ -287,7 +290,7 @@
         self.send(priority, 0, "GET", wire.get_path(key), None, answer)
 
     def on_read_replica(self, keys, reply):
-        """Handles `read_replica(keys, reply)`: `reply({key: (data, stamp) or None})`."""
+        """Handles `read_replica(keys, reply)`: `reply({key: (data, mod_revision) or None})`."""
         reply({key: self.replica.get(key) for key in keys})
 
     def on_grant_lease(self, life_ms, reply):
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -1,6 +1,6 @@
 """What the state service says and is told: the one place that knows its paths and field names.
 
-Keys are full names (with their prefix); a key's `stamp` is the revision that last wrote it.
+Keys are full names (with their prefix); a key's `mod_revision` is the revision that last wrote it.
 """
 
 import urllib.parse
@@ -66,8 +66,11 @@
 
 
 def compare_and_swap(conditions, writes):
-    """The body of a transaction: `writes` if every `(key, stamp)` of `conditions` holds."""
-    return {"when": [{"key": key, "stamp": stamp} for key, stamp in conditions], "writes": writes}
+    """The body of a transaction: `writes` if every `(key, mod_revision)` of `conditions` holds."""
+    return {
+        "when": [{"key": key, "stamp": mod_revision} for key, mod_revision in conditions],
+        "writes": writes,
+    }
 
 
 def revision(body):
@@ -107,10 +110,10 @@
     return {
         "ledger_rev": newest,
         "news": [
-            {"remove": key, "stamp": stamp}
+            {"remove": key, "stamp": mod_revision}
             if data is None
-            else {"put": key, "data": data, "stamp": stamp}
-            for key, data, stamp in rows
+            else {"put": key, "data": data, "stamp": mod_revision}
+            for key, data, mod_revision in rows
         ],
     }
 
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -21,8 +21,8 @@
 from emberglade.jobs.manager import JobManager
 from emberglade.jobs.record import Job
 from emberglade.membership import NOBODY
-from emberglade.placement.room import Room
-from emberglade.state.store import LIVE, Store
+from emberglade.placement.capacity import ClusterCapacity
+from emberglade.state.store import LIVE_PREFIX, Store
 
 
 def moves_without_proof(patch):
@@ -43,12 +43,12 @@
 
 def no_limits(patch):
     """Teams have no limits."""
-    patch.setattr(Room, "more_within_limit", lambda self, spec: spec.tasks)
+    patch.setattr(ClusterCapacity, "tasks_within_quota", lambda self, spec: spec.tasks)
 
 
 def any_zone(patch):
     """The zones of a job's other tasks don't matter."""
-    patch.setattr(Room, "zones_of", lambda self, job: ({}, True))
+    patch.setattr(ClusterCapacity, "zones_of", lambda self, job: ({}, True))
 
 
 def deaf_to_cancellations(patch):
@@ -59,7 +59,9 @@
 def forgets_the_final_state(patch):
     """A final key is never found."""
     patch.setattr(
-        Api, "on_look_read", lambda self, job_id, reply, status, data, stamp: reply(False, None)
+        Api,
+        "on_look_read",
+        lambda self, job_id, reply, status, data, mod_revision: reply(False, None),
     )
 
 
@@ -90,7 +92,7 @@
     patch.setattr(
         Api,
         "on_look_read",
-        lambda self, job_id, reply, status, data, stamp: reply(
+        lambda self, job_id, reply, status, data, mod_revision: reply(
             True, {"id": job_id, "glow": "done" if data["glow"] == "withdrawn" else "withdrawn"}
         ),
     )
@@ -143,12 +145,12 @@
 def empty_copies_are_level(patch):
     """A peer that has no copy, just restarted, counts as one that told nobody anything."""
 
-    def compare_copies(self, revision):
+    def compare_replicas(self, revision):
         for peer, said in self.told.items():
-            if said.copy_revision <= revision:
+            if said.replica_revision <= revision:
                 self.level[peer] = max(self.level.get(peer, said.asked), said.asked)
 
-    patch.setattr(LeaseEvidence, "compare_copies", compare_copies)
+    patch.setattr(LeaseEvidence, "compare_replicas", compare_replicas)
 
 
 def never_silent(patch):
@@ -188,7 +190,8 @@
             [
                 c
                 for c in conditions
-                if not c[0].startswith((LIVE + "j/", LIVE + "s/", LIVE + "t/")) or not c[1]
+                if not c[0].startswith((LIVE_PREFIX + "j/", LIVE_PREFIX + "s/", LIVE_PREFIX + "t/"))
+                or not c[1]
             ],
             writes,
             reply,
@@ -212,7 +215,7 @@
 
 def forgets_bound(patch):
     """What is bound on a machine that is not heard does not count."""
-    original = Room.inventory
+    original = ClusterCapacity.inventory
 
     def inventory(self, machines):
         gone = [
@@ -226,7 +229,7 @@
             use[0] = max(0.0, use[0] - job.spec.cpus)
         original(self, machines)
 
-    patch.setattr(Room, "inventory", inventory)
+    patch.setattr(ClusterCapacity, "inventory", inventory)
 
 
 def proves_by_silence(patch):
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -117,11 +117,13 @@
             ):
                 self.broken.append(state)
 
-    def heartbeat(self, name, sequence=None, process=None, age_s=0.0, contact_s=0.0, opinions=()):
+    def heartbeat(
+        self, name, sequence=None, process=None, age_s=0.0, contact_age_s=0.0, opinions=()
+    ):
         sequence = sequence if sequence is not None else self.sequences.get(name, 0) + 1
         self.sequences[name] = max(sequence, self.sequences.get(name, 0))
         mark = Mark(process or self.processes.get(name, Incarnation(1, 99)), sequence)
-        return Heartbeat(name, mark, self.now - age_s, contact_s, False, opinions)
+        return Heartbeat(name, mark, self.now - age_s, contact_age_s, False, opinions)
 
     def hear(self, heartbeat):
         try:
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-LIVE = "eg/l/"
-JOB_KEYS = (LIVE + "j/", LIVE + "t/")
+LIVE_PREFIX = "eg/l/"
+JOB_KEYS = (LIVE_PREFIX + "j/", LIVE_PREFIX + "t/")
 # Times as shares of a worker's lease.
 ABLE_SHARE = 2 / 9  # a controller served by the state service within it can do its shards' work
 LEFT_SHARE = 1.0  # what a controller that has ended held must be others' after that
@@ -65,14 +65,14 @@
     @staticmethod
     def claims(data):
         """What of a transaction writes shards or the lead."""
-        names = [write.get("put", "")[len(LIVE) :] for write in data.get("writes", [])]
+        names = [write.get("put", "")[len(LIVE_PREFIX) :] for write in data.get("writes", [])]
         return [name for name in names if name == "lead" or name.startswith("s/")]
 
     @staticmethod
     def conditions(data):
         """The shards on whose epoch a transaction hangs."""
         keys = [row["key"] for row in data.get("when", [])]
-        return [key[len(LIVE) :] for key in keys if key.startswith(LIVE + "s/")]
+        return [key[len(LIVE_PREFIX) :] for key in keys if key.startswith(LIVE_PREFIX + "s/")]
 
     @staticmethod
     def job_writes(data):
@@ -80,7 +80,7 @@
         return [key for key in keys if key.startswith(JOB_KEYS)]
 
     def holder(self, what):
-        row = self.state.keys.get(LIVE + what)
+        row = self.state.keys.get(LIVE_PREFIX + what)
         return None if row is None else row[0]["node"]
 
     def check_writer(self, data, source, existed, holders):
@@ -96,7 +96,7 @@
             write
             for write in data.get("writes", [])
             if (write.get("put") or write.get("remove")) in existed
-            and not write.get("remove", "").startswith(LIVE + "t/")
+            and not write.get("remove", "").startswith(LIVE_PREFIX + "t/")
         ]
         calls_off = all("put" in write and write["data"].get("w") for write in changed)
         if changed and not holders and not calls_off:
@@ -143,7 +143,7 @@
         """What is held by a process that is no more must find another holder in time."""
         self.world.at(0.5, self.look)
         now, anyone = self.world.now, any(map(self.able, self.cluster.names))
-        whats = ["lead", *(key[len(LIVE) :] for key in self.state.keys if key[5:7] == "s/")]
+        whats = ["lead", *(key[len(LIVE_PREFIX) :] for key in self.state.keys if key[5:7] == "s/")]
         for what in whats:
             holder = self.holder(what)
             alive = holder is not None and self.cluster.processes[holder].alive
@@ -202,5 +202,7 @@
 
     def away_from_home(self):
         """Shards whose holder is not their home in the end."""
-        shards = [key[len(LIVE) :] for key in self.state.keys if key.startswith(LIVE + "s/")]
+        shards = [
+            key[len(LIVE_PREFIX) :] for key in self.state.keys if key.startswith(LIVE_PREFIX + "s/")
+        ]
         return {what: self.holder(what) for what in shards if self.holder(what) != self.home(what)}
