--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -12,7 +12,7 @@
 from .bindings import CommittedBindings
 from .cancellations import Cancellations
 from .commands import START, Commands
-from .exchange import PeerExchange
+from .peer_exchange import PeerExchange
 from .routing import Routing
 from .tables import Tables
 from .update_forwarding import UpdateForwarding
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -25,18 +25,18 @@
     """A team with its guarantee and its limit; 0 means none."""
 
     name: str
-    cpus: float = 0.0
-    cpus_max: float = 0.0
-    gpus: float = 0.0
-    gpus_max: float = 0.0
+    guaranteed_cpus: float = 0.0
+    cpu_quota: float = 0.0
+    guaranteed_gpus: float = 0.0
+    gpu_quota: float = 0.0
 
     @property
     def limited(self):
-        return self.cpus_max > 0 or self.gpus_max > 0
+        return self.cpu_quota > 0 or self.gpu_quota > 0
 
 
 @dataclass(frozen=True)
-class Objective:
+class ServiceLevelObjective:
     """An aim on starting or finishing the jobs of a class."""
 
     kind: str
@@ -231,7 +231,7 @@
             *(row.take(key, "number", 0.0) for key in ("cpus", "cpus_max", "gpus", "gpus_max")),
         )
     objectives = tuple(
-        Objective(
+        ServiceLevelObjective(
             row.take("kind", "text"),
             row.data.get("class") or "",
             row.take("within_s", "number") if "within_s" in row.data else None,
--- a/emberglade/node.py
+++ b/emberglade/controller.py
@@ -13,12 +13,12 @@
 from .agents import AgentManager, read_cancellation, read_question, read_task_updates
 from .config import small_quota_warnings
 from .fleet import Autoscaler
-from .frontdoor import Api
 from .jobs import JobManager
 from .membership import FormatUpgrade, Member, shard_count
 from .memory_guard import MemoryGuard
 from .state import Store, read_since
 from .transport import Client, ClientPool, Server, ServerLimits
+from .user_api import UserApi
 
 if TYPE_CHECKING:
     from .failure_detection import PeerMonitor
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Node:
+class Controller:
     """The actors of one controller."""
 
     store: Store
@@ -36,7 +36,7 @@
     format_upgrade: FormatUpgrade
     agents: AgentManager
     autoscaler: Autoscaler
-    api: Api
+    api: UserApi
     peer_monitor: "PeerMonitor | None" = None  # if failure detection is on
 
     def actors(self):
@@ -48,7 +48,7 @@
             (self.format_upgrade, "format"),
             (self.agents, "agents"),
             (self.autoscaler, "fleet"),
-            (self.api, "frontdoor"),
+            (self.api, "user_api"),
         ]
 
     def tell_memory(self, short):
@@ -122,13 +122,15 @@
     agents = AgentManager(settings, store, job_manager, member, peer_clients, workers)
     job_manager.agents = agents
     autoscaler = Autoscaler(settings, operators, store, job_manager, agents, cloud_client)
-    api = Api(settings, store, agents)
+    api = UserApi(settings, store, agents)
     format_upgrade = FormatUpgrade(settings, store)
     listeners += [agents, autoscaler, format_upgrade, api]
     if peer_monitor is not None:
         listeners.append(peer_monitor)
         peer_monitor.listeners = [agents, member]
-    return Node(store, job_manager, member, format_upgrade, agents, autoscaler, api, peer_monitor)
+    return Controller(
+        store, job_manager, member, format_upgrade, agents, autoscaler, api, peer_monitor
+    )
 
 
 class DescriptorBudget:
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -18,14 +18,14 @@
 from ..state.store import DECISIONS
 from . import wire
 from .machines import MachineWatch
-from .rentals import Rentals
+from .scaling import Scaling
 from .taint_writer import TaintWriter
 from .taints import Taints
 
 log = logging.getLogger("emberglade.fleet")
 
 
-class Autoscaler(MachineWatch, TaintWriter, Rentals, ReplicaSubscriber):
+class Autoscaler(MachineWatch, TaintWriter, Scaling, ReplicaSubscriber):
     """Sizes the fleet while this controller leads; otherwise only follows what the leader wrote."""
 
     def __init__(self, settings, operators, store, job_manager, agents, cloud):
--- a/emberglade/fleet/rentals.py
+++ b/emberglade/fleet/scaling.py
@@ -15,7 +15,7 @@
 MOVED_SHARE = 1 / 3000
 
 
-class Rentals:
+class Scaling:
     """The part of the autoscaler that rents machines, and drains those beyond need."""
 
     def balance(self, now, name, machine_type):
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -87,7 +87,9 @@
         played = {}  # other holders' jobs -> tasks that room was taken for
         # First what each team is guaranteed: that is not to wait for what others run beyond theirs.
         for within in (
-            (True, False) if any(team.cpus or team.gpus for team in teams.values()) else (False,)
+            (True, False)
+            if any(team.guaranteed_cpus or team.guaranteed_gpus for team in teams.values())
+            else (False,)
         ):
             for job in waiting:
                 for row in [row for row in ahead if row[0].spec.priority < job.spec.priority]:
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -92,6 +92,6 @@
         stream=sys.stderr,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
-    from .node import serve
+    from .controller import serve
 
     return serve(settings, operators)
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -104,15 +104,15 @@
     def tasks_within_quota(self, spec):
         """How many more tasks like this the team's limit allows."""
         team = self.teams.get(spec.team)
-        return 0 if team is None else self._more(spec, team.cpus_max, team.gpus_max)
+        return 0 if team is None else self._more(spec, team.cpu_quota, team.gpu_quota)
 
     def tasks_within_guarantee(self, spec):
         """How many more tasks like this the team is guaranteed."""
         team = self.teams.get(spec.team)
         return (
             0
-            if team is None or not (team.cpus or team.gpus)
-            else self._more(spec, team.cpus, team.gpus)
+            if team is None or not (team.guaranteed_cpus or team.guaranteed_gpus)
+            else self._more(spec, team.guaranteed_cpus, team.guaranteed_gpus)
         )
 
     def _more(self, spec, cpus, gpus):
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -20,7 +20,10 @@
         team = teams.get(spec.team)
         if team is not None:
             # What a team's limit keeps from running asks for no machines.
-            for limit, need, slot in ((team.cpus_max, spec.cpus, 0), (team.gpus_max, spec.gpus, 1)):
+            for limit, need, slot in (
+                (team.cpu_quota, spec.cpus, 0),
+                (team.gpu_quota, spec.gpus, 1),
+            ):
                 if limit > 0 and need > 0:
                     taken = used.setdefault(spec.team, [0.0, 0.0])
                     tasks = max(0, min(tasks, int((limit - taken[slot]) / need + 1e-9)))
--- a/emberglade/placement/preempt.py
+++ b/emberglade/placement/preempt.py
@@ -17,13 +17,15 @@
     for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
         spec = job.spec
         team = teams.get(spec.team)
-        if team is None or not (team.cpus or team.gpus):
+        if team is None or not (team.guaranteed_cpus or team.guaranteed_gpus):
             continue
         left = spec.tasks - job.done_count()
         use = used.setdefault(spec.team, [0.0, 0.0])
         use[0] += left * spec.cpus
         use[1] += left * spec.gpus
-        if use[0] <= team.cpus + SLACK and (use[1] <= team.gpus + SLACK or not spec.gpus):
+        if use[0] <= team.guaranteed_cpus + SLACK and (
+            use[1] <= team.guaranteed_gpus + SLACK or not spec.gpus
+        ):
             found.add(job.id)
     return found
 
@@ -43,15 +45,19 @@
     if victim.priority > spec.priority:
         return True
     mine, theirs = teams.get(spec.team), teams.get(victim.team)
-    if mine is None or theirs is None or spec.team == victim.team or not mine.cpus:
+    if mine is None or theirs is None or spec.team == victim.team or not mine.guaranteed_cpus:
         return False
     used, over = (
         capacity.team_use.get(spec.team, (0.0, 0.0)),
         capacity.team_use.get(victim.team, (0.0, 0.0)),
     )
-    within = used[0] + spec.cpus <= mine.cpus + SLACK and used[1] + spec.gpus <= mine.gpus + SLACK
+    within = (
+        used[0] + spec.cpus <= mine.guaranteed_cpus + SLACK
+        and used[1] + spec.gpus <= mine.guaranteed_gpus + SLACK
+    )
     return within and (
-        over[0] - victim.cpus >= theirs.cpus - SLACK or over[1] - victim.gpus > theirs.gpus + SLACK
+        over[0] - victim.cpus >= theirs.guaranteed_cpus - SLACK
+        or over[1] - victim.gpus > theirs.guaranteed_gpus + SLACK
     )
 
 
@@ -85,7 +91,7 @@
     use = capacity.team_use.get(spec.team, (0.0, 0.0))
     need = [
         max(0.0, use[slot] + amount - limit) if limit > 0 else 0.0
-        for slot, amount, limit in ((0, spec.cpus, team.cpus_max), (1, spec.gpus, team.gpus_max))
+        for slot, amount, limit in ((0, spec.cpus, team.cpu_quota), (1, spec.gpus, team.gpu_quota))
     ]
     own = sorted(
         (
--- a/emberglade/frontdoor/__init__.py
+++ b/emberglade/user_api/__init__.py
@@ -1,5 +1,5 @@
 """The front api: submissions, polls, aborts, readiness; strict validation."""
 
-from .api import Api
+from .api import UserApi
 
-__all__ = ["Api"]
+__all__ = ["UserApi"]
--- a/emberglade/frontdoor/api.py
+++ b/emberglade/user_api/api.py
@@ -16,20 +16,20 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS, SUBMISSIONS
 from . import wire
-from .awaited import AwaitedJobs
+from .dependent_submissions import DependentSubmissions
 
-log = logging.getLogger("emberglade.frontdoor")
+log = logging.getLogger("emberglade.user_api")
 
 MAX_FINAL_STATES = 20_000  # final states kept at hand; others are read from the state service
 RETRY_S = 1
 MIN_OPEN_SUBMISSIONS = 8  # that may be open at the same time, however small the write budget is
 
 
-class Api(AwaitedJobs, ReplicaSubscriber):
+class UserApi(DependentSubmissions, ReplicaSubscriber):
     """Users' submissions, questions and cancellations."""
 
     def __init__(self, settings, store, agents):
-        AwaitedJobs.__init__(self)
+        DependentSubmissions.__init__(self)
         self.settings = settings
         self.store, self.agents = store, agents
         self.machine_types = {}
@@ -136,11 +136,11 @@
             spec = wire.read_submission(data, self.system.wall())
             needs = wire.read_awaits(data)
             if not part_size_for(spec, self.settings.value_bytes):
-                raise wire.Malformed("the description is too long to be kept")
+                raise wire.MalformedSubmissionError("the description is too long to be kept")
         except ValueError:
             reply(400, wire.error("the body is not JSON"))
             return
-        except wire.Malformed as reason:
+        except wire.MalformedSubmissionError as reason:
             job_id = wire.read_id(data)
             if job_id is None:
                 reply(400, wire.error(str(reason)))
@@ -205,8 +205,8 @@
             return "a task fits no allowed machine type"
         count = spec.tasks if spec.service or spec.gang else 1
         for limit, need, what in (
-            (team.cpus_max, spec.cpus, "cpus"),
-            (team.gpus_max, spec.gpus, "cards"),
+            (team.cpu_quota, spec.cpus, "cpus"),
+            (team.gpu_quota, spec.gpus, "cards"),
         ):
             if limit > 0 and need * count > limit + 1e-9:
                 return f"the job needs more {what} than the limit of {spec.team}"
--- a/emberglade/frontdoor/awaited.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -17,7 +17,7 @@
 from ..state.store import DECISIONS, SUBMISSIONS
 from . import wire
 
-log = logging.getLogger("emberglade.frontdoor")
+log = logging.getLogger("emberglade.user_api")
 
 MAX_READS = 32  # final keys that one request may have read; a repeat of it finds them at hand
 TRANSACTION_BYTES = 40 * 1024  # of the pieces in one transaction; PROTOCOL allows 64 KiB in all
@@ -46,7 +46,7 @@
     )  # (key, value), to be written from the last to the first
 
 
-class AwaitedJobs:
+class DependentSubmissions:
     """The part of the front door that deals with jobs that wait for others."""
 
     def __init__(self):
--- a/emberglade/frontdoor/wire.py
+++ b/emberglade/user_api/wire.py
@@ -9,35 +9,35 @@
 MAX_TASKS = 100_000
 
 
-class Malformed(Exception):
+class MalformedSubmissionError(Exception):
     """A one-line reason for the user."""
 
 
 def _amount(data, key):
     value = data.get(key)
     if value is None:
-        raise Malformed(f"{key} is missing")
+        raise MalformedSubmissionError(f"{key} is missing")
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
         or not math.isfinite(value)
         or value < 0
     ):
-        raise Malformed(f"{key}: a number of at least 0 is needed")
+        raise MalformedSubmissionError(f"{key}: a number of at least 0 is needed")
     return float(value)
 
 
 def _text(data, key):
     value = data.get(key)
     if not isinstance(value, str) or not value:
-        raise Malformed(f"{key}: a text is needed")
+        raise MalformedSubmissionError(f"{key}: a text is needed")
     return value
 
 
 def _flag(data, key):
     value = data.get(key)
     if not isinstance(value, bool):
-        raise Malformed(f"{key}: true or false is needed")
+        raise MalformedSubmissionError(f"{key}: true or false is needed")
     return value
 
 
@@ -54,27 +54,27 @@
 def read_submission(data, submitted_at):
     """A Spec, or Malformed."""
     if not isinstance(data, dict):
-        raise Malformed("the body is not a JSON object")
+        raise MalformedSubmissionError("the body is not a JSON object")
     job_id = read_id(data)
     if job_id is None:
-        raise Malformed("id: a job id like job-000412 is needed")
+        raise MalformedSubmissionError("id: a job id like job-000412 is needed")
     shape = data.get("shape")
     # `group` is not in PROTOCOL, but in what platforms send (docs/questions.md).
     if shape not in ("sweep", "standing", "group"):
-        raise Malformed("shape: sweep, standing or group is needed")
+        raise MalformedSubmissionError("shape: sweep, standing or group is needed")
     priority = data.get("rank")
     if priority not in PRIORITIES:
-        raise Malformed(f"rank: one of {', '.join(PRIORITIES)} is needed")
+        raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
     tasks = data.get("embers")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
-        raise Malformed(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
+        raise MalformedSubmissionError(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
     machine_types = data.get("hearth_kinds")
     if machine_types is not None and (
         not isinstance(machine_types, list)
         or not machine_types
         or not all(isinstance(t, str) and t for t in machine_types)
     ):
-        raise Malformed("hearth_kinds: a list of machine types or null is needed")
+        raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
     due = None if data.get("due_s") is None else _amount(data, "due_s")
     return Spec(
         id=job_id,
@@ -112,7 +112,7 @@
     if not isinstance(awaits, list) or not all(
         isinstance(need, str) and JOB_ID.match(need) for need in awaits
     ):
-        raise Malformed("awaits: a list of job ids or null is needed")
+        raise MalformedSubmissionError("awaits: a list of job ids or null is needed")
     return tuple(dict.fromkeys(awaits))
 
 
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -16,13 +16,13 @@
 from emberglade.failure_detection.messages import Incarnation, PeerState
 from emberglade.failure_detection.peer import Peer
 from emberglade.fleet.taints import TaintChange
-from emberglade.frontdoor.api import Api
 from emberglade.jobs.dependencies import DependencyGraph
 from emberglade.jobs.manager import JobManager
 from emberglade.jobs.record import Job
 from emberglade.membership import NOBODY
 from emberglade.placement.capacity import ClusterCapacity
 from emberglade.state.store import LIVE_PREFIX, Store
+from emberglade.user_api.api import UserApi
 
 
 def moves_without_proof(patch):
@@ -59,7 +59,7 @@
 def forgets_the_final_state(patch):
     """A final key is never found."""
     patch.setattr(
-        Api,
+        UserApi,
         "on_look_read",
         lambda self, job_id, reply, status, data, mod_revision: reply(False, None),
     )
@@ -68,7 +68,7 @@
 def answers_for_any_id(patch):
     """Any id is taken for a job's."""
     patch.setattr(
-        Api,
+        UserApi,
         "on_polled",
         lambda self, reply, known, answer: reply(200, answer or {"id": "x", "glow": "pending"}),
     )
@@ -90,7 +90,7 @@
 def withdrawn_becomes_done(patch):
     """Final states are mixed up."""
     patch.setattr(
-        Api,
+        UserApi,
         "on_look_read",
         lambda self, job_id, reply, status, data, mod_revision: reply(
             True, {"id": job_id, "glow": "done" if data["glow"] == "withdrawn" else "withdrawn"}
@@ -110,13 +110,13 @@
 
 def deaf_to_polls(patch):
     """Questions about one job are never answered."""
-    original = Api.look_up
+    original = UserApi.look_up
 
     def look_up(self, job_id, reply):
         if job_id != "job-1":
             original(self, job_id, reply)
 
-    patch.setattr(Api, "look_up", look_up)
+    patch.setattr(UserApi, "look_up", look_up)
 
 
 def copies_are_signs_of_life(patch):
@@ -239,7 +239,7 @@
 
 def tells_before_commit(patch):
     """A cancellation is told before it is durable."""
-    original = Api.on_abort_synced
+    original = UserApi.on_abort_synced
 
     def on_abort_synced(self, job_id, reply, tries, revision):
         if self.live.get(job_id) is not None:
@@ -248,9 +248,9 @@
         else:
             original(self, job_id, reply, tries, revision)
 
-    patch.setattr(Api, "on_abort_synced", on_abort_synced)
+    patch.setattr(UserApi, "on_abort_synced", on_abort_synced)
     patch.setattr(
-        Api,
+        UserApi,
         "on_abort_late",
         lambda self, job_id: original(self, job_id, lambda *_: None, 0, self.store.revision),
         raising=False,
@@ -259,7 +259,7 @@
 
 def accepts_odd(patch):
     """What a submission lacks gets a default, and what fits no machine is accepted."""
-    original = Api.on_submit
+    original = UserApi.on_submit
 
     def on_submit(self, body, reply):
         data = orjson.loads(body)
@@ -283,7 +283,7 @@
         }
         original(self, orjson.dumps({**whole, **data}), reply)
 
-    patch.setattr(Api, "on_submit", on_submit)
+    patch.setattr(UserApi, "on_submit", on_submit)
 
 
 def passes_over(patch):
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emberglade.node import is_user_path
+from emberglade.controller import is_user_path
 from emberglade.transport import Connection, Server, ServerLimits
 from emberglade.transport.messages import encode_response
 from scenario_kinds.words import split
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -1,8 +1,8 @@
 """A whole deployment on simulated time: controllers of this service among stand-ins."""
 
 from emberglade.config import Operators
-from emberglade.config.platform import Objective, Peer, Settings, Team
-from emberglade.node import assemble
+from emberglade.config.platform import Peer, ServiceLevelObjective, Settings, Team
+from emberglade.controller import assemble
 
 from .cloud import Cloud
 from .observer import Observer
@@ -131,7 +131,7 @@
             zones=tuple(sorted(self.zones)),
             skew_s=0.01,
             teams=teams,
-            objectives=(Objective("finished", "test", 100.0, 0.9),),
+            objectives=(ServiceLevelObjective("finished", "test", 100.0, 0.9),),
             agent_heartbeat_s=limits["report_s"],
             lease_s=limits["lease_s"],
             cancel_s=limits["cancel_s"],
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -32,7 +32,7 @@
 """
 TEAM = """[[settings.teams]]
 name = "{team.name}"
-cpus_max = {team.cpus_max}
+cpus_max = {team.cpu_quota}
 """
 PLATFORM = """node_name = "{settings.node}"
 location = "{settings.zone}"
