--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -43,6 +43,37 @@
         """Handles the first message of every actor, from the actor system."""
 
 
+class ActorPart:
+    """An object of its own that does one job of an actor, in the actor's turn.
+
+    Its handlers `on_<message>` can be told like the actor's own: they run on the actor's thread,
+    one message at a time with all others of that actor.
+
+    Attributes:
+        actor: The actor that it is a part of.
+    """
+
+    def __init__(self, actor: Actor) -> None:
+        self.actor = actor
+
+    @property
+    def _post(self) -> Any:
+        return self.actor._post
+
+    @property
+    def _tell_inline(self) -> Any:
+        return self.actor._tell_inline
+
+    @property
+    def system(self) -> Any:
+        """The clock and the random numbers of whoever runs the actor."""
+        return self.actor.system
+
+    def now(self) -> float:
+        """The steady clock, in seconds."""
+        return self.actor.system.now()
+
+
 def tell(
     handler: Callable[Arguments, Any], *args: Arguments.args, **kwargs: Arguments.kwargs
 ) -> None:
@@ -83,8 +114,8 @@
     return lambda *result: tell_inline(handler, *context, *result)
 
 
-def _owner(handler: Callable[..., Any]) -> Actor:
-    """The actor whose bound method a handler is."""
+def _owner(handler: Callable[..., Any]) -> Actor | ActorPart:
+    """The actor, or the part of one, whose bound method a handler is."""
     return handler.__self__  # type: ignore[attr-defined]
 
 
--- /dev/null
+++ b/tests/broken_builds/failure_detection.py
@@ -0,0 +1,148 @@
+"""Broken builds of which controllers are alive and who fails over."""
+
+from emberglade.actors import tell
+from emberglade.failure_detection import FailureDomains, PeerMonitor, ShardPlanner
+from emberglade.failure_detection.detector import PeerDetector
+from emberglade.failure_detection.local_health import LocalHealth
+from emberglade.failure_detection.messages import Incarnation, PeerState
+from emberglade.failure_detection.peer import Peer
+from emberglade.membership import NOBODY
+
+
+def accuses_alone(patch):
+    """Whoever is suspected counts as dead."""
+
+    def confirm(self, peer, isolated, now):
+        self._move(peer, PeerState.DEAD, "suspected")
+        return True
+
+    patch.setattr(PeerDetector, "_confirm", confirm)
+
+
+def deaf_to_vouchers(patch):
+    """That another controller hears a peer counts for nothing."""
+    patch.setattr(
+        PeerDetector, "_note_heard_by_other", lambda self, peer, mark, sent_at, now: False
+    )
+
+
+def copies_count(patch):
+    """Any heartbeat is a sign of life, whatever came before it and however old it is."""
+    original = PeerDetector.hear
+
+    def hear(self, heartbeat, now, wall):
+        peer = self.peers[heartbeat.sender]
+        peer.direct_mark = peer.mark = None
+        return original(self, heartbeat._replace(sent_wall=wall), now, wall)
+
+    patch.setattr(PeerDetector, "hear", hear)
+
+
+def no_self_doubt(patch):
+    """A controller never takes itself for the one that is slow."""
+    patch.setattr(LocalHealth, "turn", lambda self, now, late_s: False)
+
+
+def never_isolated(patch):
+    """A controller never takes itself for the one that is cut off."""
+    patch.setattr(PeerDetector, "_isolated", lambda self: False)
+
+
+def domains_count_twice(patch):
+    """Each controller is a witness of its own."""
+    patch.setattr(FailureDomains, "of", lambda self, controller: controller)
+
+
+def unknown_is_gone(patch):
+    """Who has not been heard yet serves only by its key, from the first moment on."""
+    original = Peer.serves
+    patch.setattr(Peer, "serves", lambda self, now, startup_over: original(self, now, True))
+
+
+def keys_alone_serve(patch):
+    """A controller whose key is missing does not serve, however well it is heard."""
+    original = Peer.serves
+    patch.setattr(
+        Peer,
+        "serves",
+        lambda self, now, startup_over: (
+            self.key_lease is not None and original(self, now, startup_over)
+        ),
+    )
+
+
+def no_excuse(patch):
+    """A controller that stood still states how old its contact is, pause included."""
+    patch.setattr(LocalHealth, "excuse_s", lambda self, now, overdue_s: 0.0)
+
+
+def returns_at_once(patch):
+    """A controller takes its shards back whenever it can."""
+    patch.setattr(Peer, "return_wait_s", lambda self, now: 0.0)
+    original = ShardPlanner._is_due_back
+
+    def is_due_back(self, shard, holder, view):
+        return original(self, shard, holder, view._replace(may_return=True))
+
+    patch.setattr(ShardPlanner, "_is_due_back", is_due_back)
+
+
+def takes_nothing_over(patch):
+    """A shard that loses its holder waits for its home."""
+    patch.setattr(
+        ShardPlanner, "_is_due", lambda self, shard, holder, line, view, now: holder == NOBODY
+    )
+
+
+def takes_over_blindly(patch):
+    """Claims follow the view of the last turn, also one that is older than the copy."""
+    on_changed = PeerMonitor.on_changed
+
+    def change_without_view(self, events, revision, whole):
+        with patch.context() as quiet:
+            quiet.setattr(PeerMonitor, "publish", lambda self, view: None)
+            on_changed(self, events, revision, whole)
+
+    def publish(self, view):
+        for listener in self.listeners:
+            tell(listener.on_liveness, view._replace(revision=2**60))
+
+    patch.setattr(PeerMonitor, "publish", publish)
+    patch.setattr(PeerMonitor, "on_changed", change_without_view)
+    patch.setattr(PeerDetector, "begin", lambda self, now: None)
+
+
+def ignores_slowness(patch):
+    """Slow controllers are offered others' work like any other."""
+    original = ShardPlanner.shards_to_take
+
+    def shards_to_take(self, incarnation, holders, view, now):
+        return original(self, incarnation, holders, view._replace(slow=frozenset()), now)
+
+    patch.setattr(ShardPlanner, "shards_to_take", shards_to_take)
+
+
+def gives_all_to_one(patch):
+    """The first survivor takes all that is free."""
+    original = ShardPlanner._line
+    patch.setattr(
+        ShardPlanner, "_line", lambda self, shard, counts, view: original(self, shard, {}, view)
+    )
+
+
+def leases_order_processes(patch):
+    """The process with the larger number of a lease counts as the newer one."""
+    patch.setattr(Incarnation, "__lt__", lambda self, other: self.lease < other.lease)
+    patch.setattr(Incarnation, "__gt__", lambda self, other: self.lease > other.lease)
+
+
+def believes_any_clock(patch):
+    """A heartbeat may come from the future."""
+    original = PeerDetector.hear
+    patch.setattr(
+        PeerDetector,
+        "hear",
+        lambda self, heartbeat, now, wall: original(
+            self, heartbeat._replace(sent_wall=min(heartbeat.sent_wall, wall)), now, wall
+        ),
+    )
--- /dev/null
+++ b/tests/broken_builds/fleet.py
@@ -0,0 +1,8 @@
+"""Broken builds of the leader and its taints."""
+
+from emberglade.fleet.taints import TaintChange
+
+
+def taints_stay(patch):
+    """A key that holds too many taints passes none on."""
+    patch.setattr(TaintChange, "shrink", lambda self: None)
--- /dev/null
+++ b/tests/broken_builds/jobs.py
@@ -0,0 +1,95 @@
+"""Broken builds of job records, decisions and dependencies."""
+
+from dataclasses import replace
+
+from emberglade.actors import callback, tell
+from emberglade.jobs.dependencies import DependencyGraph
+from emberglade.jobs.manager import JobManager
+from emberglade.jobs.record import Job
+
+
+def moves_without_proof(patch):
+    """A lost machine's tasks move at once, without waiting for any lease."""
+    original = JobManager.on_tick
+
+    def on_tick(self):
+        for job in list(self.jobs.values()):
+            if self.mine(job):
+                for task, binding in list(job.bindings()):
+                    machine = self.inventory.get(binding.machine)
+                    if machine is not None and not machine.open:
+                        self.release(job, task, binding.attempt, binding.machine)
+        original(self)
+
+    patch.setattr(JobManager, "on_tick", on_tick)
+
+
+def done_too_early(patch):
+    """A job counts as done when half of it is."""
+    patch.setattr(
+        Job,
+        "finished",
+        lambda self: (
+            not self.spec.service
+            and not self.cancelled
+            and self.done_count() >= max(1, self.spec.tasks // 2)
+        ),
+    )
+
+
+def starts_nothing(patch):
+    """Nothing is ever placed."""
+    patch.setattr(JobManager, "on_place", lambda self: None)
+
+
+def never_starving(patch):
+    """What has waited for long gets no turn of its own."""
+    patch.setattr(JobManager, "starves", lambda self, job, wall: False)
+
+
+def any_attempt(patch):
+    """An exit counts for whichever attempt is bound now."""
+    original = JobManager.task_exited
+
+    def task_exited(self, job, binding, update):
+        if binding is not None:
+            update = replace(update, attempt=binding.attempt, machine=binding.machine)
+        original(self, job, binding, update)
+
+    patch.setattr(JobManager, "task_exited", task_exited)
+
+
+def unfenced_flights(patch):
+    """A commit without an answer is taken for one that was not carried out."""
+    patch.setattr(
+        JobManager,
+        "on_fence_flight",
+        lambda self: tell(self.store.on_sync, callback(self.on_resync)),
+    )
+
+
+def passes_over(patch):
+    """One job's tasks are never placed."""
+    original = Job.waiting_count
+    patch.setattr(Job, "waiting_count", lambda self: 0 if self.id == "job-1" else original(self))
+
+
+def releases_at_once(patch):
+    """Jobs are released whatever became of those that they need."""
+    original = DependencyGraph.apply
+
+    def apply(self, events, whole):
+        original(self, events, whole)
+        self.ready.update(self.waiting)
+
+    patch.setattr(DependencyGraph, "apply", apply)
+
+
+def keeps_orphans(patch):
+    """A cancellation does not reach the jobs after it."""
+    patch.setattr(DependencyGraph, "_cancel", lambda self, stack: None)
+
+
+def trusts_its_copy(patch):
+    """A need that the replica does not show counts as one that still goes on."""
+    patch.setattr(DependencyGraph, "unresolved_before", lambda self, job_id: set())
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -3,7 +3,7 @@
 import importlib
 from dataclasses import replace
 
-import breakages
+import broken_builds
 from stand_ins import faults
 from stand_ins.cluster import Cluster
 from stand_ins.ownership import Ownership
@@ -44,7 +44,7 @@
         elif verb == "production":
             self.production = words
         elif verb == "break":
-            getattr(breakages, words[0])(self.patch)
+            broken_builds.apply(words[0], self.patch)
         elif verb == "count":
             self.count_calls(words[0])
         elif verb in ("at", "random"):
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -1,6 +1,5 @@
 """The state machine of failure detection alone, on a clock that the scenario moves."""
 
-import breakages  # noqa: F401 - the runner looks broken builds up there
 import orjson
 
 from emberglade.config import Operators
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,7 +6,7 @@
 import shlex
 from pathlib import Path
 
-import breakages
+import broken_builds
 import pytest
 from scenario_kinds import KINDS
 
@@ -73,7 +73,7 @@
         if words[0] == "kind":
             scenario = KINDS[words[1]](monkeypatch, tmp_path)
             if breakage is not None:
-                getattr(breakages, breakage)(monkeypatch)
+                broken_builds.apply(breakage, monkeypatch)
             continue
         if words[0] in skipped:
             continue
