--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -14,26 +14,44 @@
 import random
 import threading
 import time
-from collections.abc import Callable
-from typing import Any, ParamSpec
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, NamedTuple, ParamSpec, Protocol
 
 log = logging.getLogger("emberglade.actors")
 
 Arguments = ParamSpec("Arguments")
+Handler = Callable[..., Any]  # a bound method `on_<message>` of an actor or of a part of one
+Post = Callable[[float, Handler, tuple[Any, ...]], None]  # post(delay_s, handler, arguments)
+TellInline = Callable[[Handler, tuple[Any, ...]], None]  # tell_inline(handler, arguments)
+
 HANDLER_PREFIX = "on_"
+AT_ONCE = 0.0  # in the place of a due time: in the order in which messages were told
+
+
+class ActorSystem(Protocol):
+    """Whoever runs actors: their clocks and their random numbers."""
+
+    random: random.Random
+
+    def now(self) -> float:
+        """The steady clock, in seconds."""
+
+    def wall(self) -> float:
+        """The time of day, in seconds since 1970."""
 
 
 class Actor:
     """Base of all actors. Subclasses define `on_<message>` and may define `on_begin`.
 
     Attributes:
-        system: The clock and the random numbers of whoever runs the actor.
+        system: The clocks and the random numbers of whoever runs the actor.
     """
 
-    # Set by whoever runs the actor; `_post(delay_s, handler, args)`.
-    _post: Any = None
-    _tell_inline: Any = None
-    system: Any = None
+    # Set by whoever runs the actor, before any actor of its process begins.
+    system: ActorSystem
+    _post: Post
+    _tell_inline: TellInline | None = None
 
     def now(self) -> float:
         """The steady clock, in seconds."""
@@ -57,16 +75,16 @@
         self.actor = actor
 
     @property
-    def _post(self) -> Any:
+    def _post(self) -> Post:
         return self.actor._post
 
     @property
-    def _tell_inline(self) -> Any:
+    def _tell_inline(self) -> TellInline | None:
         return self.actor._tell_inline
 
     @property
-    def system(self) -> Any:
-        """The clock and the random numbers of whoever runs the actor."""
+    def system(self) -> ActorSystem:
+        """The clocks and the random numbers of whoever runs the actor."""
         return self.actor.system
 
     def now(self) -> float:
@@ -85,12 +103,12 @@
     _owner(handler)._post(0.0, handler, args)
 
 
-def tell_after(delay_s: float, handler: Callable[..., Any], *args: Any) -> None:
+def tell_after(delay_s: float, handler: Handler, *args: Any) -> None:
     """Like `tell`, but `delay_s` seconds from now."""
     _owner(handler)._post(delay_s, handler, args)
 
 
-def tell_inline(handler: Callable[..., Any], *args: Any) -> None:
+def tell_inline(handler: Handler, *args: Any) -> None:
     """Like `tell`, but in the caller's thread if the actor has nothing else to do just now.
 
     It is still one message at a time, in the actor's own turn. Two changes of threads a heartbeat
@@ -103,104 +121,117 @@
         actor._tell_inline(handler, args)
 
 
-def callback(handler: Callable[..., Any], *context: Any) -> Callable[..., None]:
+def callback(handler: Handler, *context: Any) -> Callable[..., None]:
     """A callable that tells `handler` with `context` and whatever it is called with."""
     post = _owner(handler)._post
     return lambda *result: post(0.0, handler, context + result)
 
 
-def callback_inline(handler: Callable[..., Any], *context: Any) -> Callable[..., None]:
+def callback_inline(handler: Handler, *context: Any) -> Callable[..., None]:
     """Like `callback`, with `tell_inline`."""
     return lambda *result: tell_inline(handler, *context, *result)
 
 
-def _owner(handler: Callable[..., Any]) -> Actor | ActorPart:
+def _owner(handler: Handler) -> Actor | ActorPart:
     """The actor, or the part of one, whose bound method a handler is."""
     return handler.__self__  # type: ignore[attr-defined]
 
 
-class ThreadSystem:
-    """Runs each actor on a thread of its own, on the real clock."""
+def _message_name(handler_name: str) -> str:
+    """The message that a handler of this name handles."""
+    return handler_name.removeprefix(HANDLER_PREFIX)
 
-    def __init__(self, seed=None):
-        self.random = random.Random(seed)
-        self.now = time.monotonic
-        self.wall = time.time
-        self.busy = {}  # actor's name -> {handler's name: [seconds, count]}
 
-    def spawn(self, actors):
-        """Begins all of these (actor, name). Each can be spoken to before any of them begins.
+# One message in an actor's mailbox: (due by the steady clock in seconds or AT_ONCE, handler,
+# arguments). A plain tuple, since making a NamedTuple is a noticeable part of a message's cost.
+Message = tuple[float, Handler, tuple[Any, ...]]
 
-        Once broken: a process that was back at once had its lease before the last actor had its
-        mailbox, and went on for ever with actors that had not been told who they are
-        (actors/all_before_any.txt).
-        """
-        for thread in [self._prepare(actor, name) for actor, name in actors]:
-            thread.start()
 
-    def _prepare(self, actor, name):
-        actor.system = self
-        mailbox = queue.SimpleQueue()
-        actor._post = lambda delay_s, handler, args: mailbox.put(
-            (self.now() + delay_s if delay_s > 0 else 0.0, handler, args)
-        )
-        account = self.busy[name] = {}
-        turn = threading.Lock()  # held by whichever thread delivers a message to this actor
-        turn.acquire()  # until it has begun
-
-        def deliver_inline(handler, args):
-            if not mailbox.empty() or not turn.acquire(blocking=False):
-                mailbox.put((0.0, handler, args))
-                return
-            try:
-                self._deliver(handler, args, account)
-            finally:
-                turn.release()
+class Timer(NamedTuple):
+    """One message that is not due yet; timers that are due at once fire in the order told."""
 
-        actor._tell_inline = deliver_inline
-        return threading.Thread(
-            target=self._run, args=(actor, mailbox, turn, account), name=name, daemon=True
-        )
+    due: float
+    number: int
+    handler: Handler
+    args: tuple[Any, ...]
 
-    def take_account(self):
-        """{actor: {message: [seconds, count]}} since the last call, waits included."""
-        taken = {}
-        for name, account in self.busy.items():
-            taken[name] = {
-                handler_name.removeprefix(HANDLER_PREFIX): row
-                for handler_name, row in dict(account).items()
-            }
-            account.clear()
-        return taken
 
-    def _run(self, actor, mailbox, turn, account):
-        self._deliver(actor.on_begin, (), account)
-        turn.release()
-        timers, order = [], itertools.count()
+@dataclass(slots=True)
+class HandlerUsage:
+    """What the messages of one handler have cost, waits included."""
+
+    seconds: float = 0.0
+    count: int = 0
+
+
+class ActorThread:
+    """One actor's thread, mailbox, timers and turn.
+
+    Attributes:
+        usage: What each handler has cost since it was last cleared, by the handler's name.
+    """
+
+    def __init__(self, actor: Actor, name: str, now: Callable[[], float]) -> None:
+        self.usage: dict[str, HandlerUsage] = {}
+        self._actor = actor
+        self._now = now
+        self._mailbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
+        self._timers: list[Timer] = []
+        self._timer_numbers = itertools.count()
+        # Held by whichever thread delivers a message to this actor.
+        self._turn = threading.Lock()
+        self._turn.acquire()  # until the actor has begun
+        self._thread = threading.Thread(target=self._run, name=name, daemon=True)
+
+    def start(self) -> None:
+        """Begins the actor on its thread."""
+        self._thread.start()
+
+    def post(self, delay_s: float, handler: Handler, args: tuple[Any, ...]) -> None:
+        """Puts a message into the mailbox, from any thread."""
+        due = self._now() + delay_s if delay_s > 0 else AT_ONCE
+        self._mailbox.put((due, handler, args))
+
+    def tell_inline(self, handler: Handler, args: tuple[Any, ...]) -> None:
+        """Delivers in the caller's thread if nothing else waits; else puts it into the mailbox."""
+        if not self._mailbox.empty() or not self._turn.acquire(blocking=False):
+            self._mailbox.put((AT_ONCE, handler, args))
+            return
+        try:
+            self._deliver(handler, args)
+        finally:
+            self._turn.release()
+
+    def _run(self) -> None:
+        self._deliver(self._actor.on_begin, ())
+        self._turn.release()
         while True:
-            wait = None
-            if timers:
-                wait = timers[0][0] - self.now()
-                if wait <= 0:
-                    _, _, handler, args = heapq.heappop(timers)
-                    with turn:
-                        self._deliver(handler, args, account)
-                    # Mail is not starved by timers that are always due.
-                    wait = 0
+            wait_s = self._time_to_timer()
+            if wait_s is not None and wait_s <= 0:
+                timer = heapq.heappop(self._timers)
+                self._deliver_in_turn(timer.handler, timer.args)
+                # Mail is not starved by timers that are always due.
+                wait_s = 0.0
             try:
-                due, handler, args = (
-                    mailbox.get(timeout=wait) if wait != 0 else mailbox.get_nowait()
-                )
+                due, handler, args = self._mailbox.get(wait_s != 0.0, wait_s)
             except queue.Empty:
                 continue
-            if due:
-                heapq.heappush(timers, (due, next(order), handler, args))
+            if due == AT_ONCE:
+                self._deliver_in_turn(handler, args)
             else:
-                with turn:
-                    self._deliver(handler, args, account)
+                number = next(self._timer_numbers)
+                heapq.heappush(self._timers, Timer(due, number, handler, args))
 
-    @staticmethod
-    def _deliver(handler, args, account):
+    def _time_to_timer(self) -> float | None:
+        """Seconds until the next timer is due, negative if it is overdue; None: no timer."""
+        return self._timers[0].due - self._now() if self._timers else None
+
+    def _deliver_in_turn(self, handler: Handler, args: tuple[Any, ...]) -> None:
+        with self._turn:
+            self._deliver(handler, args)
+
+    def _deliver(self, handler: Handler, args: tuple[Any, ...]) -> None:
+        """Runs a handler in the turn that the caller holds, and accounts for its time."""
         begun = time.perf_counter()
         try:
             handler(*args)
@@ -208,11 +239,58 @@
             # One bad message must not end the controller; its sender repeats what matters.
             log.exception(
                 "message %s to %s failed; it is dropped",
-                handler.__name__.removeprefix(HANDLER_PREFIX),
+                _message_name(handler.__name__),
                 type(_owner(handler)).__name__,
             )
-        row = account.get(handler.__name__)
-        if row is None:
-            row = account[handler.__name__] = [0.0, 0]
-        row[0] += time.perf_counter() - begun
-        row[1] += 1
+        usage = self.usage.get(handler.__name__)
+        if usage is None:
+            usage = self.usage[handler.__name__] = HandlerUsage()
+        usage.seconds += time.perf_counter() - begun
+        usage.count += 1
+
+
+class ThreadSystem:
+    """Runs each actor on a thread of its own, on the real clock.
+
+    `seed` is that of the random numbers, which the process draws anew if it is None.
+    """
+
+    now = staticmethod(time.monotonic)
+    wall = staticmethod(time.time)
+
+    def __init__(self, seed: int | None = None) -> None:
+        self.random = random.Random(seed)
+        self._threads: dict[str, ActorThread] = {}  # actor's name -> its thread
+
+    def spawn(self, actors: Iterable[tuple[Actor, str]]) -> None:
+        """Begins all of these (actor, name). Each can be spoken to before any of them begins.
+
+        Once broken: a process that was back at once had its lease before the last actor had its
+        mailbox, and went on for ever with actors that had not been told who they are
+        (actors/all_before_any.txt).
+        """
+        threads = [self._prepare(actor, name) for actor, name in actors]
+        for thread in threads:
+            thread.start()
+
+    def _prepare(self, actor: Actor, name: str) -> ActorThread:
+        thread = self._threads[name] = ActorThread(actor, name, self.now)
+        actor.system = self
+        actor._post = thread.post
+        actor._tell_inline = thread.tell_inline
+        return thread
+
+    def take_account(self) -> dict[str, dict[str, list[float]]]:
+        """{actor: {message: [seconds, count]}} since the last call, waits included."""
+        return {name: self._take_usage(thread) for name, thread in self._threads.items()}
+
+    @staticmethod
+    def _take_usage(thread: ActorThread) -> dict[str, list[float]]:
+        """{message: [seconds, count]} of one actor since the last call."""
+        # Copied first: the actor's thread goes on meanwhile.
+        taken = {
+            _message_name(handler_name): [usage.seconds, usage.count]
+            for handler_name, usage in dict(thread.usage).items()
+        }
+        thread.usage.clear()
+        return taken
