--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -45,7 +45,7 @@
 ):
     """Answers workers' reports and commands their machines, out of the committed copy."""
 
-    hears_contact = True
+    follows_syncs = True
 
     def __init__(self, settings, store, job_manager, member, peers, workers):
         self.settings, self.store = settings, store
@@ -70,9 +70,9 @@
         tell_after(1.0, self.on_tables)
         tell_after(self.settings.agent_heartbeat_s, self.on_press_halts)
 
-    def on_contact(self, when, revision):
-        self.last_contact = max(self.last_contact, when)
-        self.evidence.synced(when, revision)
+    def on_sync_answered(self, sent_at, revision):
+        self.last_contact = max(self.last_contact, sent_at)
+        self.evidence.synced(sent_at, revision)
 
     # --- reports
 
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -167,7 +167,7 @@
                 self.peers[name].call(
                     "POST",
                     "/peer/changes",
-                    state_wire.since(self.revision),
+                    state_wire.changes_request(self.revision),
                     2 * self.settings.agent_heartbeat_s,
                     lambda status, body, since=self.revision: tell(
                         self.store.on_changes_of_peer, since, status, body
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -16,7 +16,7 @@
 from .jobs import JobManager
 from .membership import FormatUpgrade, Member, shard_count
 from .memory_guard import MemoryGuard
-from .state import Store, read_since
+from .state import Store, read_changes_request
 from .transport import Client, ClientPool, Server, ServerLimits
 from .user_api import UserApi
 
@@ -81,8 +81,10 @@
             for update in read_task_updates(data):
                 tell(self.job_manager.on_task_update, update)
             reply(200, {})
-        elif path == "/peer/changes" and method == "POST" and read_since(data) is not None:
-            tell_inline(self.store.on_changes_for_peer, read_since(data), reply)
+        elif (
+            path == "/peer/changes" and method == "POST" and read_changes_request(data) is not None
+        ):
+            tell_inline(self.store.on_changes_for_peer, read_changes_request(data), reply)
         elif path == "/peer/withdrawn" and method == "POST" and read_cancellation(data) is not None:
             tell_inline(self.agents.on_hear_cancellation, *read_cancellation(data))
             reply(200, {})
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -48,7 +48,7 @@
     end is confirmed.
     """
 
-    hears_contact = True
+    follows_syncs = True
 
     def __init__(self, settings, bounds, domains, store, links):
         self.settings, self.bounds, self.domains = settings, bounds, domains
@@ -115,9 +115,9 @@
             for listener in self.listeners:
                 tell(listener.on_liveness, view)
 
-    def on_contact(self, when, revision):
-        """Handles `contact`, from the store: a sync sent at `when` was answered."""
-        self.detector.touched_state_service(when)
+    def on_sync_answered(self, sent_at, revision):
+        """Handles `sync_answered`, from the store: a sync sent at `sent_at` was answered."""
+        self.detector.touched_state_service(sent_at)
 
     # --- the loop
 
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -1,42 +1,49 @@
 """A token bucket whose rate adapts: a node takes more than its even share while nobody objects."""
 
-GROWTH = 1.1  # a second
-CAUTION = 0.8  # of the whole service's rate; the rest is the others' least
+GROWTH_PER_S = 1.1  # the rate grows by this factor a second
+LONGEST_GROWTH_S = 60.0  # a longer time without requests counts as this much
+MAX_SHARE = 0.8  # of the whole service's rate; the rest is the others' least
+ROUNDING = 1e-9  # of a token
 
 
 class TokenBucket:
     """Paces one kind of request, in requests (or writes) per second.
 
     `rate` is the whole service's rate, shared by `nodes` controllers; `burst` is the most that
-    may be taken at once. The rate starts at the even share and grows by GROWTH a second up to
-    CAUTION of the whole, until the service refuses.
+    may be taken at once. The rate starts at the even share and grows by GROWTH_PER_S up to
+    MAX_SHARE of the whole, until the service refuses.
     """
 
-    def __init__(self, rate, nodes, burst):
-        self.share, self.most = rate / nodes, max(rate / nodes, rate * CAUTION)
-        self.rate = self.share
-        self.burst = max(burst, 1.0)
-        self.level, self.at = self.burst, None
-
-    def _fill(self, now):
-        if self.at is not None:
-            passed = now - self.at
-            self.level = min(max(self.burst, self.rate), self.level + passed * self.rate)
-            self.rate = min(self.most, self.rate * GROWTH ** min(passed, 60.0))
-        self.at = now
-
-    def has(self, now):
+    def __init__(self, rate: float, nodes: int, burst: float) -> None:
+        self._even_share = rate / nodes
+        self._max_rate = max(self._even_share, rate * MAX_SHARE)
+        self._rate = self._even_share
+        self._burst = max(burst, 1.0)
+        self._tokens = self._burst
+        self._filled_at: float | None = None
+
+    def _fill(self, now: float) -> None:
+        """Adds the tokens of the time since the last call, and lets the rate grow."""
+        if self._filled_at is not None:
+            passed_s = now - self._filled_at
+            limit = max(self._burst, self._rate)
+            self._tokens = min(limit, self._tokens + passed_s * self._rate)
+            growth = GROWTH_PER_S ** min(passed_s, LONGEST_GROWTH_S)
+            self._rate = min(self._max_rate, self._rate * growth)
+        self._filled_at = now
+
+    def has(self, now: float) -> bool:
         """Whether something may be sent now; what it takes too much is paid back by waiting."""
         self._fill(now)
-        return self.level >= 1.0 - 1e-9
+        return self._tokens >= 1.0 - ROUNDING
 
-    def take(self, now, amount):
-        """Takes `amount` at time `now` (seconds); the level may go below zero."""
+    def take(self, now: float, amount: int) -> None:
+        """Takes `amount` at time `now` (seconds); the tokens may go below zero."""
         self._fill(now)
-        self.level -= amount
+        self._tokens -= amount
 
-    def refused(self, now):
-        """The service had too much: back to the even share."""
+    def refused(self, now: float) -> None:
+        """The service had too much: back to half the rate, at least the even share."""
         self._fill(now)
-        self.rate = max(self.share, self.rate / 2)
-        self.level = min(self.level, 0.0)
+        self._rate = max(self._even_share, self._rate / 2)
+        self._tokens = min(self._tokens, 0.0)
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -1,142 +1,206 @@
 """What the state service says and is told: the one place that knows its paths and field names.
 
-Keys are full names (with their prefix); a key's `mod_revision` is the revision that last wrote it.
+Keys that are given to a function are full names, with their prefix. A key's `mod_revision` is the
+revision of the store that last wrote it. Bodies that can't be what they should be are read as None:
+the question is then asked again.
 """
 
 import urllib.parse
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
 
+LIVE_PREFIX = "eg/l/"  # keys that every controller follows
+FINAL_PREFIX = "eg/o/"  # final states of jobs: read one by one, never followed
 
-def get_path(key):
-    """The path of one key."""
-    return "/store/" + key
+TRANSACTION_PATH = "/txn"
+GRANT_PATH = "/grants"
+NO_SUCH_LEASE = "no such lease"  # what a transaction under an expired lease is refused with
 
+Body = Mapping[str, Any]  # a JSON object
 
-def list_path(prefix, after, limit):
-    """The path that lists keys in order."""
-    tail = f"&since={urllib.parse.quote(after, safe='/')}" if after else ""
-    return f"/store?under={urllib.parse.quote(prefix, safe='/')}{tail}&limit={limit}"
 
+class KeyValue(NamedTuple):
+    """What a key holds."""
 
-def follow_path(prefix, since, wait_ms):
-    """The path that tells of changes after a revision."""
-    return f"/follow?under={urllib.parse.quote(prefix, safe='/')}&since={since}&wait_ms={wait_ms}"
+    data: Any
+    mod_revision: int
 
 
-def put(key, data, lease=None):
-    """The change that writes a key."""
-    return (
-        {"put": key, "data": data} if lease is None else {"put": key, "data": data, "tenure": lease}
-    )
+class Change(NamedTuple):
+    """One committed change of a key, or the key as it is.
 
+    Attributes:
+        key: The key, without the prefix that its reader named.
+        data: What the key holds from then on; None: it was removed.
+        mod_revision: The revision of the change.
+    """
 
-def remove(key):
-    """The change that removes a key."""
-    return {"remove": key}
+    key: str
+    data: Any
+    mod_revision: int
 
 
-TRANSACTION_PATH = "/txn"
-GRANT_PATH = "/grants"
+class Page(NamedTuple):
+    """Some keys in order, with what they hold."""
 
+    rows: list[Change]
+    has_more: bool
+    revision: int  # of the store when the page was read
 
-def keep_alive_path(lease):
-    """The path that renews a lease."""
-    return f"/grants/{lease}/touch"
 
+class Changes(NamedTuple):
+    """Committed changes in their order, and the revision up to which they are all of them."""
 
-def grant(life_ms):
-    """The body that asks for a lease of `life_ms` milliseconds."""
-    return {"life_ms": life_ms}
+    changes: list[Change]
+    revision: int
 
 
-def read_grant(body):
-    """The number of the lease that an answer grants, or None."""
-    return body.get("tenure") if isinstance(body, dict) else None
+# --- paths
 
 
-def read_key(body):
-    """(data, stamp) of one key, or None when the body is odd."""
-    if not (isinstance(body, dict) and "data" in body):
-        return None
-    return body["data"], body.get("stamp")
+def get_path(key: str) -> str:
+    """The path of one key."""
+    return "/store/" + key
 
 
-def changes_not_kept():
-    """The body of a 410: not all changes that a peer asks for are kept here."""
-    return {"error": "not all of these changes are kept here"}
+def list_path(prefix: str, after: str, limit: int) -> str:
+    """The path that lists up to `limit` keys in order; `after` is a full key, or empty."""
+    start = f"&since={urllib.parse.quote(after, safe='/')}" if after else ""
+    return f"/store?under={urllib.parse.quote(prefix, safe='/')}{start}&limit={limit}"
+
+
+def follow_path(prefix: str, since: int, wait_ms: int) -> str:
+    """The path that tells of changes after a revision; waits so long for one if there is none."""
+    return f"/follow?under={urllib.parse.quote(prefix, safe='/')}&since={since}&wait_ms={wait_ms}"
+
+
+def keep_alive_path(lease: int) -> str:
+    """The path that renews a lease."""
+    return f"{GRANT_PATH}/{lease}/touch"
+
+
+# --- transactions
 
 
-def compare_and_swap(conditions, writes):
-    """The body of a transaction: `writes` if every `(key, mod_revision)` of `conditions` holds."""
+def put(key: str, data: Any, lease: int | None = None) -> dict[str, Any]:
+    """The write that sets a key, for as long as `lease` lasts if there is one."""
+    if lease is None:
+        return {"put": key, "data": data}
+    return {"put": key, "data": data, "tenure": lease}
+
+
+def remove(key: str) -> dict[str, Any]:
+    """The write that removes a key."""
+    return {"remove": key}
+
+
+def compare_and_swap(
+    conditions: Iterable[tuple[str, int]], writes: Sequence[Body]
+) -> dict[str, Any]:
+    """The body of a transaction: `writes` if every `(key, mod_revision)` of `conditions` holds.
+
+    A mod revision of 0 stands for a key that is not there.
+    """
     return {
         "when": [{"key": key, "stamp": mod_revision} for key, mod_revision in conditions],
         "writes": writes,
     }
 
 
-def revision(body):
+def failure(body: Any) -> Any:
+    """Which conditions of a transaction failed, or the error that it was refused with."""
+    return body.get("failed") or body.get("error") if isinstance(body, dict) else None
+
+
+# --- leases
+
+
+def grant(life_ms: int) -> dict[str, Any]:
+    """The body that asks for a lease of `life_ms` milliseconds."""
+    return {"life_ms": life_ms}
+
+
+def read_grant(body: Any) -> Any:
+    """The number of the lease that an answer grants, or None."""
+    return body.get("tenure") if isinstance(body, dict) else None
+
+
+# --- keys and changes
+
+
+def revision(body: Any) -> int | None:
     """The revision that an answer names, or None."""
     value = body.get("ledger_rev") if isinstance(body, dict) else None
     return value if isinstance(value, int) else None
 
 
-NO_SUCH_LEASE = "no such lease"
+def read_key(body: Any) -> KeyValue | None:
+    """What one key holds."""
+    if not (isinstance(body, dict) and "data" in body):
+        return None
+    return KeyValue(body["data"], body.get("stamp"))  # type: ignore[arg-type]
 
 
-def failure(body):
-    """Which conditions of a transaction failed, or the error that it was refused with."""
-    return body.get("failed") or body.get("error") if isinstance(body, dict) else None
+def read_page(body: Any, prefix: str) -> Page | None:
+    """One page of a list of keys below `prefix`."""
+    at = revision(body)
+    if at is None or not isinstance(body.get("pairs", []), list):
+        return None
+    start = len(prefix)
+    try:
+        rows = [Change(p["key"][start:], p["data"], p["stamp"]) for p in body.get("pairs") or []]
+    except (TypeError, KeyError):
+        return None
+    return Page(rows, bool(body.get("has_next")), at)
 
 
-def read_list(body):
-    """([(key, data, stamp)], more, revision) or None when the body is odd."""
-    if (
-        not isinstance(body, dict)
-        or revision(body) is None
-        or not isinstance(body.get("pairs", []), list)
-    ):
+def read_changes(body: Any, prefix: str = "") -> Changes | None:
+    """The changes that the state service or a peer tells of; other keys are left out."""
+    at = revision(body)
+    if at is None:
         return None
+    start = len(prefix)
+    changes = []
     try:
-        return (
-            [(p["key"], p["data"], p["stamp"]) for p in body.get("pairs") or []],
-            bool(body.get("has_next")),
-            revision(body),
-        )
+        for row in body.get("news") or []:
+            is_put = "put" in row
+            key = row["put"] if is_put else row["remove"]
+            change = Change(key[start:], row["data"] if is_put else None, row["stamp"])
+            if key.startswith(prefix):
+                changes.append(change)
     except (TypeError, KeyError):
         return None
+    return Changes(changes, at)
+
+
+# --- what controllers tell each other of changes
 
 
-def news(rows, newest):
-    """Changes, as one controller tells them to another."""
+def write_changes(changes: Iterable[Change], newest: int) -> dict[str, Any]:
+    """Changes as one controller tells them to another, in the form of the state service."""
     return {
         "ledger_rev": newest,
-        "news": [
-            {"remove": key, "stamp": mod_revision}
-            if data is None
-            else {"put": key, "data": data, "stamp": mod_revision}
-            for key, data, mod_revision in rows
-        ],
+        "news": [_write_change(change) for change in changes],
     }
 
 
-def since(revision):
+def _write_change(change: Change) -> dict[str, Any]:
+    if change.data is None:
+        return {"remove": change.key, "stamp": change.mod_revision}
+    return {"put": change.key, "data": change.data, "stamp": change.mod_revision}
+
+
+def changes_not_kept() -> dict[str, Any]:
+    """The body of a 410: not all changes that a peer asks for are kept here."""
+    return {"error": "not all of these changes are kept here"}
+
+
+def changes_request(revision: int) -> dict[str, Any]:
     """The body of a question for the changes after a revision."""
     return {"since": revision}
 
 
-def read_since(body):
+def read_changes_request(body: Any) -> int | None:
     """The revision that a peer's replica has, or None."""
     value = body.get("since") if isinstance(body, dict) else None
     return value if type(value) is int else None
-
-
-def read_news(body):
-    """([(key, data or None, stamp)], revision) or None when the body is odd."""
-    if not isinstance(body, dict) or revision(body) is None:
-        return None
-    try:
-        return [
-            (e["put"], e["data"], e["stamp"]) if "put" in e else (e["remove"], None, e["stamp"])
-            for e in body.get("news") or []
-        ], revision(body)
-    except (TypeError, KeyError):
-        return None
--- a/tests/broken_builds/state.py
+++ b/tests/broken_builds/state.py
@@ -2,30 +2,26 @@
 
 from emberglade.state.store import LIVE_PREFIX, Store
 
+CONDITIONAL_PREFIXES = tuple(LIVE_PREFIX + prefix for prefix in ("j/", "s/", "t/"))
+
 
 def writes_without_conditions(patch):
     """Commits of jobs hang on nothing: not on the shard's epoch, nor on what the record was."""
     original = Store.on_commit
 
     def on_commit(self, priority, conditions, writes, reply):
-        original(
-            self,
-            priority,
-            [
-                c
-                for c in conditions
-                if not c[0].startswith((LIVE_PREFIX + "j/", LIVE_PREFIX + "s/", LIVE_PREFIX + "t/"))
-                or not c[1]
-            ],
-            writes,
-            reply,
-        )
+        kept = [
+            (key, mod_revision)
+            for key, mod_revision in conditions
+            if not key.startswith(CONDITIONAL_PREFIXES) or not mod_revision
+        ]
+        original(self, priority, kept, writes, reply)
 
     patch.setattr(Store, "on_commit", on_commit)
 
 
 def tells_unsynced(patch):
-    """Users are told what the copy shows, however old it is."""
+    """Users are told what the replica shows, however old it is."""
     patch.setattr(
         Store, "on_sync", lambda self, reply: reply(self.revision if self.revision >= 0 else None)
     )
