--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -74,9 +74,9 @@
                 reply = self.peer_monitor.answering(reply)
             tell_inline(self.agents.on_heard, read_question(data), reply)
         elif path == "/peer/ping" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_ping, data, reply)
+            tell_inline(self.peer_monitor.probing.on_ping, data, reply)
         elif path == "/peer/probe" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_probe, data, reply)
+            tell_inline(self.peer_monitor.probing.on_probe, data, reply)
         elif path == "/peer/facts" and method == "POST" and isinstance(data, list):
             for update in read_task_updates(data):
                 tell(self.job_manager.on_task_update, update)
@@ -106,7 +106,7 @@
     domains = failure_domains(settings, operators)
     member.watch_peers(
         ShardPlanner(settings.node, settings.names, shard_count(settings), bounds.heartbeat_s),
-        LeaderPlanner(settings.node, settings.names, bounds.heartbeat_s),
+        LeaderPlanner(settings.node, bounds.heartbeat_s),
     )
     return PeerMonitor(settings, bounds, domains, store, peer_clients)
 
--- a/emberglade/failure_detection/__init__.py
+++ b/emberglade/failure_detection/__init__.py
@@ -3,14 +3,9 @@
 Nothing here proves that a task ended or that a worker's lease is over (docs/failure-detection.md).
 """
 
-from .bounds import (
-    DetectionBounds,
-    DetectionError,
-    describe_detection,
-    detection_bounds,
-    failure_domains,
-)
+from .bounds import DetectionBounds, describe_detection, detection_bounds, failure_domains
 from .domains import FailureDomains
+from .errors import DetectionError
 from .failover import LeaderPlanner, ShardPlanner
 from .monitor import PeerMonitor
 from .view import LivenessView
--- a/emberglade/failure_detection/domains.py
+++ b/emberglade/failure_detection/domains.py
@@ -1,43 +1,68 @@
 """Failure domains: which controllers are likely to fail, or to be cut off, together."""
 
+from collections.abc import Collection, Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-class DomainError(Exception):
-    """What is wrong with a domain: the field, its value, and why."""
+from .errors import DetectionError
 
-    def __init__(self, field, value, reason):
-        super().__init__(f"{field}: {value!r} {reason}")
-        self.field, self.value, self.reason = field, value, reason
+if TYPE_CHECKING:
+    from ..config import DomainNetwork
+
+NAME_FIELD = "failure_domain.name"
+NETWORK_FIELD = "failure_domain.network"
+
+
+class DomainAddresses(NamedTuple):
+    """The addresses of one domain, or some of them."""
+
+    network: Any  # a netaddr.IPNetwork
+    domain: str
 
 
 class FailureDomains:
-    """The domain of each controller: by its address if a network names it, else its zone."""
+    """The domain of each controller: by its address if a network names it, else its zone.
+
+    Attributes:
+        domains: The name of each controller's domain.
+    """
 
-    def __init__(self, domains):
-        self.domains = domains  # controller -> name of its domain
+    def __init__(self, domains: Mapping[str, str]) -> None:
+        self.domains = domains
 
-    def of(self, controller):
+    def of(self, controller: str) -> str:
         """The domain of a controller."""
         return self.domains[controller]
 
     @classmethod
-    def read(cls, rows, addresses, zones):
-        """From DomainNetwork rows; `addresses` and `zones` by controller."""
+    def read(
+        cls,
+        rows: Collection["DomainNetwork"],
+        addresses: Mapping[str, str],
+        zones: Mapping[str, str],
+    ) -> "FailureDomains":
+        """The domains that the operators' rows name; `addresses` and `zones` by controller.
+
+        Raises:
+            DetectionError: A row is wrong, or no controller is in its network.
+        """
         domains = dict(zones)
         if rows:
             domains.update(_domains_by_address(rows, addresses))
         return cls(domains)
 
 
-def _domains_by_address(rows, addresses):
+def _domains_by_address(
+    rows: Collection["DomainNetwork"], addresses: Mapping[str, str]
+) -> dict[str, str]:
     """{controller: domain} of those whose address is in one of the networks."""
     import netaddr  # only where networks are named: starting has to be cheap
 
     networks = []
     for row in rows:
         if not row.domain:
-            raise DomainError("failure_domain.name", row.domain, "is not a name")
-        networks.append((_parse_network(netaddr, row.network), row.domain))
-    _refuse_overlaps(netaddr, networks)
+            raise DetectionError(NAME_FIELD, row.domain, "is not a name")
+        networks.append(DomainAddresses(_parse_network(netaddr, row.network), row.domain))
+    _refuse_overlaps(networks)
     found = {}
     for controller, address in addresses.items():
         if not netaddr.valid_ipv4(address) and not netaddr.valid_ipv6(address):
@@ -47,34 +72,31 @@
                 found[controller] = domain
     for row in rows:
         if row.domain not in found.values():
-            raise DomainError(
-                "failure_domain.name", row.domain, "is unknown: no controller is in its networks"
-            )
+            reason = "is unknown: no controller is in its networks"
+            raise DetectionError(NAME_FIELD, row.domain, reason)
     return found
 
 
-def _parse_network(netaddr, text):
+def _parse_network(netaddr: Any, text: str) -> Any:
+    """The netaddr.IPNetwork that a text like 10.0.0.0/24 names."""
+    reason = "is not a network like 10.0.0.0/24"
     if "/" not in text:
-        raise DomainError("failure_domain.network", text, "is not a network like 10.0.0.0/24")
+        raise DetectionError(NETWORK_FIELD, text, reason)
     try:
         network = netaddr.IPNetwork(text)
     except (netaddr.AddrFormatError, ValueError):
-        raise DomainError(
-            "failure_domain.network", text, "is not a network like 10.0.0.0/24"
-        ) from None
+        raise DetectionError(NETWORK_FIELD, text, reason) from None
     if network.ip != network.network:
-        raise DomainError(
-            "failure_domain.network", text, f"has bits set beyond its prefix ({network.cidr})"
-        )
+        reason = f"has bits set beyond its prefix ({network.cidr})"
+        raise DetectionError(NETWORK_FIELD, text, reason)
     return network
 
 
-def _refuse_overlaps(netaddr, networks):
-    ordered = sorted(networks, key=lambda row: (row[0].version, row[0].first, row[0].last))
+def _refuse_overlaps(networks: list[DomainAddresses]) -> None:
+    ordered = sorted(
+        networks, key=lambda row: (row.network.version, row.network.first, row.network.last)
+    )
     for (earlier, first_domain), (later, second_domain) in zip(ordered, ordered[1:], strict=False):
         if earlier.version == later.version and later.first <= earlier.last:
-            raise DomainError(
-                "failure_domain.network",
-                str(later),
-                f"of {second_domain} overlaps {earlier} of {first_domain}",
-            )
+            reason = f"of {second_domain} overlaps {earlier} of {first_domain}"
+            raise DetectionError(NETWORK_FIELD, str(later), reason)
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -4,7 +4,14 @@
 how long a shard or the leader's key has been free.
 """
 
-from ..membership import NOBODY
+from collections.abc import Iterable, Mapping
+
+from ..membership import NOBODY, Holder
+from .view import LivenessView
+
+NEVER = float("-inf")
+LEADERSHIP = "leadership"  # the one claim that the leader's planner follows
+SLOW_DELAY_INTERVALS = 2  # a slow controller leaves free leadership to faster ones for so long
 
 
 class ClaimHistory:
@@ -15,41 +22,51 @@
     second older took them again (failure_detection/beside_production.txt).
     """
 
-    def __init__(self, heartbeat_s):
+    def __init__(self, heartbeat_s: float) -> None:
         self.heartbeat_s = heartbeat_s
-        self.mod_revisions = {}
-        self.written_at = {}
+        self._mod_revisions: dict[int | str, int] = {}
+        self._written_at: dict[int | str, float] = {}
 
-    def note(self, claims, now):
+    def note(self, claims: Mapping[int, Holder] | Mapping[str, Holder], now: float) -> None:
         """Takes in the claims as they are, {name: Holder}; what was there at first is old."""
         for name, holder in claims.items():
-            if self.mod_revisions.get(name, holder.mod_revision) != holder.mod_revision:
-                self.written_at[name] = now
-            self.mod_revisions[name] = holder.mod_revision
+            if self._mod_revisions.get(name, holder.mod_revision) != holder.mod_revision:
+                self._written_at[name] = now
+            self._mod_revisions[name] = holder.mod_revision
 
-    def is_fresh(self, name, now):
+    def is_fresh(self, name: int | str, now: float) -> bool:
         """Whether the claim was written less than a heartbeat's interval ago."""
-        return now - self.written_at.get(name, float("-inf")) < self.heartbeat_s
+        return now - self._written_at.get(name, NEVER) < self.heartbeat_s
 
 
 class ShardPlanner:
     """Gives each free shard to the serving controller with the fewest, and home shards back."""
 
-    def __init__(self, node, names, shard_count, heartbeat_s):
-        self.node, self.names = node, tuple(names)
-        self.shard_count, self.heartbeat_s = shard_count, heartbeat_s
-        self.free_since = {}  # shard -> when it was first seen without a holder that serves
+    def __init__(
+        self, node: str, names: Iterable[str], shard_count: int, heartbeat_s: float
+    ) -> None:
+        self.node = node
+        self.names = tuple(names)
+        self.shard_count = shard_count
+        self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
+        self._free_since: dict[int, float] = {}  # shard -> when no serving holder was first seen
 
-    def home(self, shard):
+    def home(self, shard: int) -> str:
         """The controller that holds the shard while all is well."""
         return self.names[shard % len(self.names)]
 
-    def shards_to_take(self, incarnation, holders, view, now):
+    def shards_to_take(
+        self,
+        incarnation: int | None,
+        holders: Mapping[int, Holder],
+        view: LivenessView,
+        now: float,
+    ) -> list[int]:
         """The shards that this controller should take now, in their order."""
         self.history.note(holders, now)
         free = self._free(incarnation, holders, view, now)
-        self.free_since = {shard: self.free_since.get(shard, now) for shard in free}
+        self._free_since = {shard: self._free_since.get(shard, now) for shard in free}
         counts = {name: 0 for name in view.serving}
         for shard, holder in holders.items():
             if shard not in free and holder.node in counts:
@@ -58,61 +75,81 @@
         for shard in range(self.shard_count):
             holder = holders.get(shard, NOBODY)
             if shard in free:
-                line = self._line(shard, counts, view)
-                counts[line[0]] = counts.get(line[0], 0) + 1
-                if self._is_due(shard, holder, line, view, now):
+                successors = self._successors(shard, counts, view)
+                counts[successors[0]] = counts.get(successors[0], 0) + 1
+                if self._is_due(shard, holder, successors, view, now):
                     taken.append(shard)
-            elif self._is_due_back(shard, holder, view):
+            elif self._is_failback_due(shard, holder, view):
                 taken.append(shard)
         return taken
 
-    def _free(self, incarnation, holders, view, now):
+    def _free(
+        self,
+        incarnation: int | None,
+        holders: Mapping[int, Holder],
+        view: LivenessView,
+        now: float,
+    ) -> set[int]:
         """Shards whose holder does not serve, is a former process of ours, or is slow."""
-        free = set()
-        for shard in range(self.shard_count):
-            holder = holders.get(shard, NOBODY)
-            if holder.node == self.node:
-                if holder.incarnation != incarnation:
-                    free.add(shard)
-            elif self.history.is_fresh(shard, now):
-                continue
-            elif holder.node not in view.serving or (
-                holder.node in view.slow
-                and holder.node != self.home(shard)
-                and view.serving - view.slow
-            ):
-                free.add(shard)
-        return free
-
-    def _line(self, shard, counts, view):
+        return {
+            shard
+            for shard in range(self.shard_count)
+            if self._is_free(shard, holders.get(shard, NOBODY), incarnation, view, now)
+        }
+
+    def _is_free(
+        self,
+        shard: int,
+        holder: Holder,
+        incarnation: int | None,
+        view: LivenessView,
+        now: float,
+    ) -> bool:
+        if holder.node == self.node:
+            return holder.incarnation != incarnation
+        if self.history.is_fresh(shard, now):
+            return False
+        if holder.node not in view.serving:
+            return True
+        return (
+            holder.node in view.slow
+            and holder.node != self.home(shard)
+            and bool(view.serving - view.slow)
+        )
+
+    def _successors(self, shard: int, counts: Mapping[str, int], view: LivenessView) -> list[str]:
         """Who should take a free shard: the first, and who comes next should that one not."""
         home = self.home(shard)
         start = self.names.index(home)
-        turn = {name: (self.names.index(name) - start) % len(self.names) for name in self.names}
+        distance = {name: (self.names.index(name) - start) % len(self.names) for name in self.names}
         return sorted(
-            (name for name in view.serving if name in turn),
+            (name for name in view.serving if name in distance),
             key=lambda name: (
                 name != home,
                 name in view.slow and name != home,
                 counts.get(name, 0),
-                turn[name],
+                distance[name],
             ),
         )
 
-    def _is_due(self, shard, holder, line, view, now):
+    def _is_due(
+        self, shard: int, holder: Holder, successors: list[str], view: LivenessView, now: float
+    ) -> bool:
+        """Whether this controller should take a free shard now."""
         if holder.node == self.node:
             return True  # our former process held it; nobody else has it
-        place = line.index(self.node)
+        place = successors.index(self.node)
         if not view.may_fail_over and not (holder is NOBODY and place == 0):
             return False
         # Views differ for a moment: who comes next waits, so that a shard is not left to nobody.
-        return now - self.free_since[shard] >= place * self.heartbeat_s
+        return now - self._free_since[shard] >= place * self.heartbeat_s
 
-    def _is_due_back(self, shard, holder, view):
+    def _is_failback_due(self, shard: int, holder: Holder, view: LivenessView) -> bool:
+        """Whether this controller should take its home shard back from who serves it."""
         return (
             self.home(shard) == self.node
             and holder.node != self.node
-            and view.may_return
+            and view.may_fail_back
             and self.node not in view.slow
         )
 
@@ -120,36 +157,45 @@
 class LeaderPlanner:
     """Says when to take leadership: if the leader's key is free, or its holder does not serve."""
 
-    def __init__(self, node, names, heartbeat_s):
-        self.node, self.names, self.heartbeat_s = node, tuple(names), heartbeat_s
-        self.former = NOBODY
-        self.free_since = None
+    def __init__(self, node: str, heartbeat_s: float) -> None:
+        self.node = node
+        self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
+        self._former = NOBODY
+        self._free_since: float | None = None
 
-    def should_take(self, incarnation, leader, view, now):
+    def should_take(
+        self, incarnation: int | None, leader: Holder | None, view: LivenessView, now: float
+    ) -> bool:
         """Whether this controller should write the leader's key now.
 
         `leader` is the key's holder, or None if the key is missing.
         """
         if leader is not None:
-            self.former = leader
+            self._former = leader
             if leader.node == self.node:
-                self.free_since = None
+                self._free_since = None
                 return leader.incarnation != incarnation
-            self.history.note({"lead": leader}, now)
-            if leader.node in view.serving or self.history.is_fresh("lead", now):
-                self.free_since = None
+            self.history.note({LEADERSHIP: leader}, now)
+            if leader.node in view.serving or self.history.is_fresh(LEADERSHIP, now):
+                self._free_since = None
                 return False
-        if self.free_since is None:
-            self.free_since = now
-        waited = now - self.free_since
+        if self._free_since is None:
+            self._free_since = now
+        waited_s = now - self._free_since
         if leader is None:
-            # Its lease expired, but the process goes on: it takes leadership again by itself.
-            left_to_former = self.former.node != self.node and self.former.node in view.serving
-            return waited >= self._delay(left_to_former, view)
-        line = sorted(view.serving, key=lambda name: (name in view.slow, name))
-        return view.may_fail_over and waited >= line.index(self.node) * self.heartbeat_s
-
-    def _delay(self, left_to_former, view):
-        others_are_faster = self.node in view.slow and view.serving - view.slow
-        return self.heartbeat_s * (int(left_to_former) + 2 * int(bool(others_are_faster)))
+            return waited_s >= self._delay_s(view)
+        return view.may_fail_over and waited_s >= self._place(view) * self.heartbeat_s
+
+    def _place(self, view: LivenessView) -> int:
+        """How many serving controllers come first if the leader does not serve."""
+        successors = sorted(view.serving, key=lambda name: (name in view.slow, name))
+        return successors.index(self.node)
+
+    def _delay_s(self, view: LivenessView) -> float:
+        """How long a missing leader's key is left to others."""
+        # Its lease expired, but the process goes on: it takes leadership again by itself.
+        left_to_former = self._former.node != self.node and self._former.node in view.serving
+        others_are_faster = self.node in view.slow and bool(view.serving - view.slow)
+        intervals = int(left_to_former) + SLOW_DELAY_INTERVALS * int(others_are_faster)
+        return self.heartbeat_s * intervals
--- /dev/null
+++ b/emberglade/failure_detection/heartbeats.py
@@ -0,0 +1,85 @@
+"""The heartbeats of this process, and those that it receives."""
+
+import logging
+from collections import Counter
+from collections.abc import Collection
+from typing import Any
+
+from ..actors import Actor, ActorPart
+from . import wire
+from .detector import PeerDetector
+from .messages import Heartbeat, HeartbeatVersion, Incarnation, MalformedPeerMessageError
+
+log = logging.getLogger("emberglade.failure_detection")
+
+MAX_CONTACT_AGE_S = 1e6  # stated by a process that had no contact with the state service yet
+UNKNOWN_SENDER = "an unknown sender"
+
+
+class HeartbeatSource(ActorPart):
+    """The part of the monitor that makes this process's heartbeats.
+
+    Attributes:
+        first_revision: Of the first replica of this process; None until it was read.
+        lease: The number of this process's first lease, its incarnation; None until it is known.
+        turn_due: When the monitor's next turn should come.
+    """
+
+    def __init__(self, actor: Actor, node: str, detector: PeerDetector) -> None:
+        super().__init__(actor)
+        self.node, self.detector = node, detector
+        self.first_revision: int | None = None
+        self.lease: int | None = None
+        self.turn_due = 0.0
+        self._sequence = 0
+
+    def next(self) -> Heartbeat | None:
+        """The next heartbeat, or None before it is known which process this is."""
+        if self.lease is None or self.first_revision is None:
+            return None
+        now = self.now()
+        self._sequence += 1
+        # While this process stood still it could be in contact with nobody; it will be at once.
+        pause_s = self.detector.health.recent_pause_s(now, now - self.turn_due)
+        contact_age_s = max(0.0, now - self.detector.store_contact_at - pause_s)
+        return Heartbeat(
+            sender=self.node,
+            version=HeartbeatVersion(Incarnation(self.first_revision, self.lease), self._sequence),
+            sent_wall=self.system.wall(),
+            store_contact_age_s=min(MAX_CONTACT_AGE_S, contact_age_s),
+            slow=self.detector.health.slow,
+            opinions=self.detector.opinions(now),
+        )
+
+    def add_to(self, body: Any) -> Any:
+        """A message's body with the next heartbeat."""
+        return wire.add_heartbeat(body, self.next())
+
+
+class HeartbeatReceiver(ActorPart):
+    """The part of the monitor that takes in heartbeats, and refuses what can't be one."""
+
+    def __init__(self, actor: Actor, peers: Collection[str], detector: PeerDetector) -> None:
+        super().__init__(actor)
+        self.peers, self.detector = peers, detector
+        self._refused: Counter[str] = Counter()  # peer -> its messages that were refused
+
+    @property
+    def refused_count(self) -> int:
+        """How many messages were refused since the process began."""
+        return sum(self._refused.values())
+
+    def receive(self, peer: str, body: Any) -> None:
+        """Takes in the heartbeat that a message of a peer carries, or refuses it."""
+        try:
+            heartbeat = wire.read_carried_heartbeat(body)
+            self.detector.receive_heartbeat(heartbeat, self.now(), self.system.wall())
+        except MalformedPeerMessageError as error:
+            self.refuse(peer, error)
+
+    def refuse(self, peer: str, error: MalformedPeerMessageError) -> None:
+        """Counts a message that can't be taken, and logs the first of each peer."""
+        peer = peer if peer in self.peers else UNKNOWN_SENDER
+        self._refused[peer] += 1
+        if self._refused[peer] == 1:
+            log.warning("a message of %s is refused, as will be others: %s", peer, error)
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -1,129 +1,152 @@
-"""Pings and probes: how a controller asks a suspected peer for a sign of life, and asks others.
+"""Pings and indirect probes: how a controller looks for a sign of life of a suspected peer.
 
 A ping goes to the peer itself; a probe asks a relay whether it reaches the peer, and the relay
 pings it unless it heard it a moment ago. Every answer that carries a heartbeat is heard.
 """
 
-from collections.abc import Callable
-from typing import Any
-
-from ..actors import callback, tell_after
-from ..state import ReplicaSubscriber
-from ..transport import NO_ANSWER, REFUSED, Reply
-from .detector import PeerDetector
-from .messages import (
-    HEARTBEAT_FIELD,
-    Heartbeat,
-    MalformedPeerMessageError,
-    PingOutcome,
-    ProbeRequest,
-    ProbeResult,
-    read_ping,
-    read_probe,
-    read_probe_result,
-    write_ping,
-    write_probe,
-    write_probe_result,
-)
-
-
-class PeerProbing(ReplicaSubscriber):
-    """The part of `PeerMonitor` that pings peers and answers and sends probes.
-
-    It is an actor's part: its handlers are told by the links' answers and by its own timers.
-    """
-
-    settings: Any
-    bounds: Any
-    links: dict[str, Any]
-    detector: PeerDetector
-    pinging: dict[str, list[Reply]]  # peer -> probes that wait for its ping
-    # Given by PeerMonitor.
-    heartbeat: Callable[[], Heartbeat | None]
-    with_heartbeat: Callable[[dict], dict]
-    note_outcome: Callable[[str, int, bool], None]
-    hear: Callable[[str, Callable[[], Heartbeat]], Heartbeat | None]
-    refuse: Callable[[str, Exception], None]
-
-    def ping(self, peer, waiting=()):
+from collections.abc import Iterable, Mapping
+from typing import TYPE_CHECKING, Any
+
+from ..actors import Actor, ActorPart, callback, tell_after
+from ..transport import NO_ANSWER, REFUSED
+from . import wire
+from .detector import IndirectProbe, PeerDetector
+from .heartbeats import HeartbeatReceiver, HeartbeatSource
+from .messages import MalformedPeerMessageError, PingOutcome, ProbeRequest, ProbeResult
+from .peer import Peer
+
+if TYPE_CHECKING:
+    from ..transport import Client, Reply
+
+PROBE_TIMEOUT_INTERVALS = 2  # heartbeat intervals: the relay's own ping takes one
+
+
+def outcome_of(status: int) -> PingOutcome:
+    """What the status of a call to a peer says of it."""
+    if status == REFUSED:
+        return PingOutcome.REFUSED
+    return PingOutcome.SILENT if status == NO_ANSWER else PingOutcome.ANSWERED
+
+
+class PeerProbing(ActorPart):
+    """The part of the monitor that pings peers, and sends and answers probes."""
+
+    def __init__(
+        self,
+        actor: Actor,
+        node: str,
+        links: Mapping[str, "Client"],
+        detector: PeerDetector,
+        heartbeats: HeartbeatSource,
+        receiver: HeartbeatReceiver,
+    ) -> None:
+        super().__init__(actor)
+        self.node, self.links, self.detector = node, links, detector
+        self.heartbeats, self.receiver = heartbeats, receiver
+        self.heartbeat_s = detector.bounds.heartbeat_s
+        # Peers with a ping on its way -> replies to the probes that wait for it.
+        self._pings: dict[str, list[Reply]] = {}
+
+    # --- pings
+
+    def ping(self, peer: str, waiting: Iterable["Reply"] = ()) -> None:
         """Asks a peer for a sign of life; `waiting` are answered with what comes of it."""
-        self.pinging[peer] = list(waiting)
-        heartbeat = self.heartbeat()
-        body = {} if heartbeat is None else write_ping(heartbeat)
-        timeout = self.bounds.heartbeat_s
+        self._pings[peer] = list(waiting)
+        body = self.heartbeats.add_to({})
         # The link may be busy with a question that nobody answers.
-        tell_after(timeout, self.on_ping_overdue, peer)
-        self.links[peer].call("POST", "/peer/ping", body, timeout, callback(self.on_pinged, peer))
+        tell_after(self.heartbeat_s, self.on_ping_overdue, peer)
+        self.links[peer].call(
+            "POST", wire.PING_PATH, body, self.heartbeat_s, callback(self.on_pinged, peer)
+        )
 
-    def on_pinged(self, peer, status, body):
+    def on_pinged(self, peer: str, status: int, body: Any) -> None:
         """Handles the answer to `ping`, from the peer's link: hears it, answers waiting probes."""
-        self.note_outcome(peer, status, False)
+        self.note_call_outcome(peer, status, was_quick=False)
         if status == 200 and body:  # empty while that process does not know which one it is
-            self.hear(peer, lambda: read_ping(body))
-        if status == REFUSED:
-            self.end_ping(peer, PingOutcome.REFUSED)
-        else:
-            self.end_ping(peer, PingOutcome.SILENT if status == NO_ANSWER else PingOutcome.ANSWERED)
+            self.receiver.receive(peer, body)
+        self._end_ping(peer, outcome_of(status))
 
-    def on_ping_overdue(self, peer):
+    def on_ping_overdue(self, peer: str) -> None:
         """Handles `ping_overdue`, a heartbeat interval after `ping`: the peer counts as silent."""
-        self.end_ping(peer, PingOutcome.SILENT)
+        self._end_ping(peer, PingOutcome.SILENT)
 
-    def end_ping(self, peer, outcome):
+    def _end_ping(self, peer: str, outcome: PingOutcome) -> None:
         """Answers the probes that waited for the ping of `peer` with `outcome`."""
-        for reply in self.pinging.pop(peer, ()):
-            reply(200, write_probe_result(self.probe_result(peer, outcome)))
+        for reply in self._pings.pop(peer, ()):
+            reply(200, wire.write_probe_result(self._probe_result(peer, outcome)))
 
-    def probe_result(self, peer, outcome):
-        """What this controller tells another about a peer."""
-        record = self.detector.peers[peer]
-        if outcome is not PingOutcome.ANSWERED or not record.heard_directly:
-            return ProbeResult(peer, outcome, None, 0.0)
-        return ProbeResult(
-            peer, outcome, record.direct_mark, max(0.0, self.now() - record.direct_at)
-        )
+    def note_call_outcome(self, peer: str, status: int, was_quick: bool) -> None:
+        """Notes how a call to a peer ended, and pings it at once if its connection broke.
 
-    def on_ping(self, data, reply):
-        """A peer wants a sign of life."""
-        if isinstance(data, dict) and HEARTBEAT_FIELD in data:
-            self.hear("", lambda: read_ping(data))
-        reply(200, self.with_heartbeat({}))
+        `was_quick`: the call ended long before its timeout.
+        """
+        outcome = outcome_of(status)
+        self.detector.note_call_outcome(peer, outcome, self.now())
+        if outcome is PingOutcome.SILENT and was_quick and peer not in self._pings:
+            self.ping(peer)
+
+    # --- what peers ask
 
-    def on_probe(self, data, reply):
-        """A peer asks whether this controller reaches another one."""
+    def on_ping(self, data: Any, reply: "Reply") -> None:
+        """Handles `ping(data, reply)` from the server: a peer wants a sign of life.
+
+        The heartbeat that the ping carries is heard, and answered with one.
+        """
+        if wire.has_heartbeat(data):
+            self.receiver.receive("", data)
+        reply(200, self.heartbeats.add_to({}))
+
+    def on_probe(self, data: Any, reply: "Reply") -> None:
+        """Handles `probe(data, reply)` from the server: a peer asks if this one reaches another.
+
+        Answered from what is known, if that is of the last interval; else once a ping has ended.
+        """
         try:
-            request = read_probe(data)
+            request = wire.read_probe(data)
             self.detector.peer(request.sender)
-            record = self.detector.peer(request.target)
+            peer = self.detector.peer(request.target)
         except MalformedPeerMessageError as error:
-            self.refuse("", error)
-            reply(400, {"error": str(error)})
-            return
-        now = self.now()
-        if now - record.direct_at < self.bounds.heartbeat_s:
-            outcome = PingOutcome.ANSWERED
-        elif record.refuses(now) and now - record.refused_at < self.bounds.heartbeat_s:
-            outcome = PingOutcome.REFUSED
-        elif request.target in self.pinging:
-            self.pinging[request.target].append(reply)
+            self.receiver.refuse("", error)
+            reply(400, wire.write_refusal(error))
             return
+        outcome = self._known_outcome(peer)
+        if outcome is not None:
+            reply(200, wire.write_probe_result(self._probe_result(peer.name, outcome)))
+        elif peer.name in self._pings:
+            self._pings[peer.name].append(reply)
         else:
-            self.ping(request.target, [reply])
-            return
-        reply(200, write_probe_result(self.probe_result(request.target, outcome)))
-
-    def send_probes(self, order):
-        """Asks others about a suspected peer, and the peer itself."""
-        if order.target not in self.pinging:
-            self.ping(order.target)
-        body = write_probe(ProbeRequest(self.settings.node, order.target))
-        timeout = 2 * self.bounds.heartbeat_s
-        for relay in order.relays:
-            self.links[relay].call(
-                "POST", "/peer/probe", body, timeout, callback(self.on_probed, relay, order.target)
-            )
-
-    def on_probed(self, relay, target, status, body):
+            self.ping(peer.name, [reply])
+
+    def _known_outcome(self, peer: Peer) -> PingOutcome | None:
+        """What a ping of the peer would bring, if that was seen within the last interval."""
+        now = self.now()
+        if now - peer.direct_sent_at < self.heartbeat_s:
+            return PingOutcome.ANSWERED
+        if peer.refuses_connections(now) and now - peer.refused_at < self.heartbeat_s:
+            return PingOutcome.REFUSED
+        return None
+
+    def _probe_result(self, name: str, outcome: PingOutcome) -> ProbeResult:
+        """What this controller tells another about a peer."""
+        peer = self.detector.peers[name]
+        if outcome is not PingOutcome.ANSWERED or not peer.heard_directly:
+            return ProbeResult(name, outcome, None, 0.0)
+        age_s = max(0.0, self.now() - peer.direct_sent_at)
+        return ProbeResult(name, outcome, peer.direct_version, age_s)
+
+    # --- what relays are asked
+
+    def send_probe(self, probe: IndirectProbe) -> None:
+        """Asks relays about a suspected peer, and the peer itself."""
+        if probe.target not in self._pings:
+            self.ping(probe.target)
+        body = wire.write_probe(ProbeRequest(self.node, probe.target))
+        timeout_s = PROBE_TIMEOUT_INTERVALS * self.heartbeat_s
+        for relay in probe.relays:
+            reply = callback(self.on_probed, relay, probe.target)
+            self.links[relay].call("POST", wire.PROBE_PATH, body, timeout_s, reply)
+
+    def on_probed(self, relay: str, target: str, status: int, body: Any) -> None:
         """Handles a relay's answer to a probe about `target`, from the relay's link.
 
         A result that can't be read, or that is about another controller, is refused.
@@ -131,11 +154,11 @@
         if status != 200:
             return
         try:
-            result = read_probe_result(body)
+            result = wire.read_probe_result(body)
             if result.target != target:
                 raise MalformedPeerMessageError(
                     f"the probe result is about {result.target!r}, not the target {target!r}"
                 )
-            self.detector.probed(relay, result, self.now())
+            self.detector.note_probe_result(relay, result, self.now())
         except MalformedPeerMessageError as error:
-            self.refuse(relay, error)
+            self.receiver.refuse(relay, error)
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -6,23 +6,27 @@
 
 
 class LivenessView(NamedTuple):
-    """Which controllers can be relied on, as this one sees it now."""
+    """Which controllers can be relied on, as this one sees it now.
+
+    Attributes:
+        states: What each other controller is taken for.
+        serving: These can commit; this controller is among them.
+        slow: These ask not to be given others' work.
+        may_fail_over: Whether this controller trusts its own picture enough to fail over.
+        may_fail_back: Whether it has served for long enough to get its home shards back.
+        revision: Of the last change of a node's key, a shard's or the leader's key that this view
+            takes in.
+    """
 
     states: dict[str, PeerState]
-    serving: frozenset[str]  # these can commit; this controller is among them
-    slow: frozenset[str]  # these ask not to be given others' work
-    may_fail_over: bool  # whether this controller trusts its own picture enough to fail over
-    may_return: bool  # whether it has served for long enough to get its home shards back
-    # Of the last change of a node's key, a shard or the leader's key that this view takes in.
+    serving: frozenset[str]
+    slow: frozenset[str]
+    may_fail_over: bool
+    may_fail_back: bool
     revision: int = -1
 
     @property
-    def dead(self):
-        """Those whose end is confirmed."""
-        return frozenset(name for name, state in self.states.items() if state is PeerState.DEAD)
-
-    @property
-    def suspected(self):
+    def suspected(self) -> frozenset[str]:
         """Those that are silent, unconfirmed or confirmed."""
         return frozenset(
             name
--- a/tests/benchmarks/takeover.py
+++ b/tests/benchmarks/takeover.py
@@ -114,7 +114,8 @@
         def timed_deliver(system, handler, args):
             begun = time.process_time()
             deliver(system, handler, args)
-            if isinstance(handler.__self__, PeerMonitor):
+            owner = handler.__self__
+            if isinstance(getattr(owner, "actor", owner), PeerMonitor):
                 self.processor_s += time.process_time() - begun
 
         self.patches = ((PeerDetector, "_move", move), (SimSystem, "deliver", deliver))
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -22,30 +22,30 @@
 def deaf_to_vouchers(patch):
     """That another controller hears a peer counts for nothing."""
     patch.setattr(
-        PeerDetector, "_note_heard_by_other", lambda self, peer, mark, sent_at, now: False
+        PeerDetector, "_note_indirect_heartbeat", lambda self, peer, version, sent_at, now: False
     )
 
 
 def copies_count(patch):
     """Any heartbeat is a sign of life, whatever came before it and however old it is."""
-    original = PeerDetector.hear
+    original = PeerDetector.receive_heartbeat
 
-    def hear(self, heartbeat, now, wall):
+    def receive_heartbeat(self, heartbeat, now, wall):
         peer = self.peers[heartbeat.sender]
-        peer.direct_mark = peer.mark = None
+        peer.direct_version = peer.version = None
         return original(self, heartbeat._replace(sent_wall=wall), now, wall)
 
-    patch.setattr(PeerDetector, "hear", hear)
+    patch.setattr(PeerDetector, "receive_heartbeat", receive_heartbeat)
 
 
 def no_self_doubt(patch):
     """A controller never takes itself for the one that is slow."""
-    patch.setattr(LocalHealth, "turn", lambda self, now, late_s: False)
+    patch.setattr(LocalHealth, "note_turn", lambda self, now, late_s: False)
 
 
 def never_isolated(patch):
     """A controller never takes itself for the one that is cut off."""
-    patch.setattr(PeerDetector, "_isolated", lambda self: False)
+    patch.setattr(PeerDetector, "_is_isolated", lambda self: False)
 
 
 def domains_count_twice(patch):
@@ -73,29 +73,29 @@
 
 def no_excuse(patch):
     """A controller that stood still states how old its contact is, pause included."""
-    patch.setattr(LocalHealth, "excuse_s", lambda self, now, overdue_s: 0.0)
+    patch.setattr(LocalHealth, "recent_pause_s", lambda self, now, overdue_s: 0.0)
 
 
 def returns_at_once(patch):
     """A controller takes its shards back whenever it can."""
-    patch.setattr(Peer, "return_wait_s", lambda self, now: 0.0)
-    original = ShardPlanner._is_due_back
+    patch.setattr(Peer, "failback_delay_s", lambda self, now: 0.0)
+    original = ShardPlanner._is_failback_due
 
-    def is_due_back(self, shard, holder, view):
-        return original(self, shard, holder, view._replace(may_return=True))
+    def is_failback_due(self, shard, holder, view):
+        return original(self, shard, holder, view._replace(may_fail_back=True))
 
-    patch.setattr(ShardPlanner, "_is_due_back", is_due_back)
+    patch.setattr(ShardPlanner, "_is_failback_due", is_failback_due)
 
 
 def takes_nothing_over(patch):
     """A shard that loses its holder waits for its home."""
     patch.setattr(
-        ShardPlanner, "_is_due", lambda self, shard, holder, line, view, now: holder == NOBODY
+        ShardPlanner, "_is_due", lambda self, shard, holder, successors, view, now: holder == NOBODY
     )
 
 
 def takes_over_blindly(patch):
-    """Claims follow the view of the last turn, also one that is older than the copy."""
+    """Claims follow the view of the last turn, also one that is older than the replica."""
     on_changed = PeerMonitor.on_changed
 
     def change_without_view(self, events, revision, whole):
@@ -109,7 +109,7 @@
 
     patch.setattr(PeerMonitor, "publish", publish)
     patch.setattr(PeerMonitor, "on_changed", change_without_view)
-    patch.setattr(PeerDetector, "begin", lambda self, now: None)
+    patch.setattr(PeerDetector, "note_first_replica", lambda self, now: None)
 
 
 def ignores_slowness(patch):
@@ -124,9 +124,11 @@
 
 def gives_all_to_one(patch):
     """The first survivor takes all that is free."""
-    original = ShardPlanner._line
+    original = ShardPlanner._successors
     patch.setattr(
-        ShardPlanner, "_line", lambda self, shard, counts, view: original(self, shard, {}, view)
+        ShardPlanner,
+        "_successors",
+        lambda self, shard, counts, view: original(self, shard, {}, view),
     )
 
 
@@ -138,10 +140,10 @@
 
 def believes_any_clock(patch):
     """A heartbeat may come from the future."""
-    original = PeerDetector.hear
+    original = PeerDetector.receive_heartbeat
     patch.setattr(
         PeerDetector,
-        "hear",
+        "receive_heartbeat",
         lambda self, heartbeat, now, wall: original(
             self, heartbeat._replace(sent_wall=min(heartbeat.sent_wall, wall)), now, wall
         ),
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -7,16 +7,15 @@
 from emberglade.failure_detection.detector import PeerDetector
 from emberglade.failure_detection.messages import (
     Heartbeat,
+    HeartbeatVersion,
     Incarnation,
     MalformedPeerMessageError,
-    Mark,
     Opinion,
     PeerState,
     PingOutcome,
     ProbeResult,
-    read_ping,
-    write_ping,
 )
+from emberglade.failure_detection.wire import add_heartbeat, read_carried_heartbeat
 from scenario_kinds.words import split, value
 
 TURN_S = 0.25
@@ -69,10 +68,11 @@
         plain, named = split(words)
         self.domains.update({name: name for name in plain} | named)
         self.names = sorted(set(self.domains) - {ME})
-        self.detector = PeerDetector(ME, self.names, BOUNDS, FailureDomains(self.domains), self.now)
+        self.detector = PeerDetector(ME, self.names, BOUNDS, FailureDomains(self.domains))
+        self.detector.start(self.now)
         for number, name in enumerate(self.names):
             self.processes[name] = Incarnation(1, number + 1)
-            self.detector.register(name, number + 1, self.now)
+            self.detector.note_key(name, number + 1)
 
     def do_domain(self, name):
         """Our own domain."""
@@ -101,7 +101,7 @@
     def turn(self, late_s):
         self.now += TURN_S
         if self.contact:
-            self.detector.touched_state_service(self.now)
+            self.detector.note_store_contact(self.now)
         for name in sorted(self.beating):
             if self.now - self.last_beat.get(name, -1e9) >= 0.99 and not late_s:
                 self.last_beat[name] = self.now
@@ -121,12 +121,14 @@
     ):
         sequence = sequence if sequence is not None else self.sequences.get(name, 0) + 1
         self.sequences[name] = max(sequence, self.sequences.get(name, 0))
-        mark = Mark(process or self.processes.get(name, Incarnation(1, 99)), sequence)
-        return Heartbeat(name, mark, self.now - age_s, contact_age_s, False, opinions)
+        version = HeartbeatVersion(
+            process or self.processes.get(name, Incarnation(1, 99)), sequence
+        )
+        return Heartbeat(name, version, self.now - age_s, contact_age_s, False, opinions)
 
     def hear(self, heartbeat):
         try:
-            if not self.detector.hear(heartbeat, self.now, self.now):
+            if not self.detector.receive_heartbeat(heartbeat, self.now, self.now):
                 self.copies += 1
         except MalformedPeerMessageError:
             self.refused += 1
@@ -155,8 +157,8 @@
     def do_vouch(self, witness, name, age_s):
         """The witness's next heartbeat says that it heard the peer so long ago."""
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
-        mark = Mark(self.processes[name], sequence)
-        opinion = Opinion(name, PeerState.ALIVE, mark, float(age_s), 0.0, 0.0)
+        version = HeartbeatVersion(self.processes[name], sequence)
+        opinion = Opinion(name, PeerState.ALIVE, version, float(age_s), 0.0, 0.0)
         self.hear(self.heartbeat(witness, opinions=(opinion,)))
 
     def do_told_to_wait(self, witness, seconds):
@@ -165,21 +167,21 @@
         self.hear(self.heartbeat(witness, opinions=(opinion,)))
 
     def do_key(self, name, lease):
-        self.detector.register(name, None if lease == "gone" else int(lease), self.now)
+        self.detector.note_key(name, None if lease == "gone" else int(lease))
 
     def do_refuses(self, name):
-        self.detector.exchange_ended(name, PingOutcome.REFUSED, self.now)
+        self.detector.note_call_outcome(name, PingOutcome.REFUSED, self.now)
 
     def do_probed(self, relay, name, outcome):
         result = ProbeResult(name, PingOutcome(outcome), None, 0.0)
-        self.detector.probed(relay, result, self.now)
+        self.detector.note_probe_result(relay, result, self.now)
 
     def do_malformed(self, text):
         """A heartbeat as text, of which one field is replaced."""
-        body = write_ping(self.heartbeat(self.names[0]))
+        body = add_heartbeat({}, self.heartbeat(self.names[0]))
         body["heartbeat"].update(orjson.loads(text))
         try:
-            read_ping(body)
+            read_carried_heartbeat(body)
         except MalformedPeerMessageError:
             self.refused += 1
 
@@ -211,8 +213,8 @@
         assert not self.probes, self.probes
 
     def expect_may_return(self, word):
-        assert self.view.may_return == (word == "yes"), self.view
+        assert self.view.may_fail_back == (word == "yes"), self.view
 
     def expect_return_wait(self, name, least, most):
-        wait_s = self.detector.peers[name].return_wait_s(self.now)
+        wait_s = self.detector.peers[name].failback_delay_s(self.now)
         assert float(least) <= wait_s <= float(most), wait_s
