--- a/emberglade/membership/__init__.py
+++ b/emberglade/membership/__init__.py
@@ -1,8 +1,9 @@
 """Membership: the leased node key, shard ownership, leader election, the record format."""
 
 from .format import FORMAT_KEY, FormatUpgrade, is_raised
+from .holder import NOBODY, Holder
 from .member import Member
-from .ownership import NOBODY, Holder, ownership_revision, shard_count
+from .ownership import ownership_revision, shard_count
 
 __all__ = [
     "FORMAT_KEY",
@@ -10,7 +11,7 @@
     "FormatUpgrade",
     "Holder",
     "Member",
-    "ownership_revision",
     "is_raised",
+    "ownership_revision",
     "shard_count",
 ]
--- /dev/null
+++ b/emberglade/membership/node_key.py
@@ -0,0 +1,147 @@
+"""This controller's key in the store, and the table of machines that stands there.
+
+Values and transactions are limited, so a long table takes several keys and perhaps several
+transactions; who reads it waits until all parts of one number are there.
+"""
+
+import logging
+from collections.abc import Iterable, Sequence
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import orjson
+
+from ..actors import Actor, ActorPart, callback, tell
+from ..state import LIVE_PREFIX, Priority
+from ..state import wire as state_wire
+from . import wire
+from .lease import NodeLease
+
+if TYPE_CHECKING:
+    from ..config import Settings
+    from ..state import Store
+
+log = logging.getLogger("emberglade.membership")
+
+TRANSACTION_BYTES = 48 * 1024  # PROTOCOL's 64 KiB, less keys, names of fields and a reserve
+
+
+class OverflowValue(NamedTuple):
+    """A part of the table that stands under a key of its own."""
+
+    number: int
+    data: Any
+
+
+class NodeKey(ActorPart):
+    """The part of the member that writes the node's key and the overflow values of its table.
+
+    Attributes:
+        is_stale: Whether the key has to be written.
+    """
+
+    def __init__(
+        self, actor: Actor, settings: "Settings", store: "Store", lease: NodeLease
+    ) -> None:
+        super().__init__(actor)
+        self.settings, self.store, self.lease = settings, store, lease
+        self.is_stale = True
+        self._table: Any = None
+        self._overflow: Sequence[Any] = ()
+        self._unwritten: list[OverflowValue] = []
+        self._overflow_key_count = 0  # so many keys of overflow values may be there
+        self._is_writing = False
+
+    def set_table(self, table: Any, overflow: Sequence[Any]) -> None:
+        """Writes a new table; `overflow` are the values that don't fit in the node's key."""
+        self._table = table
+        self._overflow = overflow
+        self.rewrite()
+
+    def rewrite(self) -> None:
+        """Writes the key again, with what is known now."""
+        self.is_stale = True
+        self.write_if_stale()
+
+    def write_if_stale(self) -> None:
+        """Writes the key with its table, and the first overflow values, if they changed.
+
+        Keys of overflow values that are no longer needed are removed first.
+        """
+        if self._is_writing or self.lease.number is None or not self.is_stale:
+            return
+        self._is_writing = True
+        self.is_stale = False
+        surplus = self._surplus_keys()
+        self._overflow_key_count = len(self._overflow)
+        self._unwritten = [OverflowValue(*row) for row in enumerate(self._overflow)]
+        writes = [self._node_write()]
+        if surplus:
+            limit = self.settings.txn_ops - 1
+            writes += [state_wire.remove(LIVE_PREFIX + key) for key in surplus[:limit]]
+        else:
+            writes += self._overflow_writes(self._next_batch())
+        self._commit(writes)
+
+    def _surplus_keys(self) -> list[str]:
+        """The keys of overflow values that are no longer needed."""
+        numbers = range(len(self._overflow), self._overflow_key_count)
+        return [wire.overflow_key(self.settings.node, number) for number in numbers]
+
+    def _node_write(self) -> dict[str, Any]:
+        return state_wire.put(
+            LIVE_PREFIX + wire.node_key(self.settings.node),
+            wire.node_record(self.lease.incarnation, self._table),
+            self.lease.number,
+        )
+
+    def _next_batch(self) -> list[OverflowValue]:
+        """Takes as many overflow values as one transaction holds besides what is already in it."""
+        limit_bytes = TRANSACTION_BYTES - self.settings.value_bytes
+        size = 0
+        batch: list[OverflowValue] = []
+        while self._unwritten and len(batch) < self.settings.txn_ops - 1:
+            size += len(orjson.dumps(self._unwritten[0].data))
+            if batch and size > limit_bytes:
+                break
+            batch.append(self._unwritten.pop(0))
+        return batch
+
+    def _overflow_writes(self, batch: Iterable[OverflowValue]) -> list[dict[str, Any]]:
+        """The writes of a batch of overflow values."""
+        return [
+            state_wire.put(
+                LIVE_PREFIX + wire.overflow_key(self.settings.node, value.number),
+                value.data,
+                self.lease.number,
+            )
+            for value in batch
+        ]
+
+    def _commit(self, writes: Sequence[dict[str, Any]]) -> None:
+        """Sends writes in one transaction; the answer goes to `on_written`."""
+        reply = callback(self.on_written, self.lease.number)
+        tell(self.store.on_commit, Priority.DECISIONS, [], writes, reply)
+
+    def on_written(self, lease: int | None, status: int, revision: int | None, failed: Any) -> None:
+        """Handles the store's answer to a write of the node's key or overflow values.
+
+        Writes the next batch while there is one; a refused table is logged, other failures write
+        the key again on the next tick.
+        """
+        is_current = lease == self.lease.number and not self.is_stale
+        if status == 200 and self._unwritten and is_current:
+            self._commit(self._overflow_writes(self._next_batch()))
+            return
+        self._is_writing = False
+        if self.lease.replace_if_lost(lease, status, failed):
+            return
+        if status == 400 and failed != state_wire.NO_SUCH_LEASE:
+            # Not the lease: asking for another would not help, and the next try would end the same
+            # way.
+            log.error(
+                "the state service refuses this node's table (%s); "
+                "its machines are told directly only",
+                failed,
+            )
+        elif status != 200:
+            self.is_stale = True
--- a/emberglade/membership/wire.py
+++ b/emberglade/membership/wire.py
@@ -1,65 +1,83 @@
 """Membership's keys and records in the store: the one place that knows their names and fields.
 
-Keys are without the LIVE prefix, as the replica holds them. Records are JSON objects.
+Keys are without LIVE_PREFIX, as the replica holds them. Records are JSON objects.
 """
 
+from collections.abc import Mapping
+from typing import Any
+
+from .holder import Holder
+
 LEADER_KEY = "lead"  # the leader's key: a holder record, under the leader's lease
 FORMAT_KEY = "format"  # the cluster's record format
 NODE_PREFIX = "n/"  # n/NODE: a controller's key, under its lease
 SHARD_PREFIX = "s/"  # s/SHARD: who holds a shard
 READER_PREFIX = "v/"  # v/NODE: the format that a controller's process reads
 
+Record = Mapping[str, Any]
+
+
+# --- keys
+
 
-def node_key(node):
+def node_key(node: str) -> str:
     """The key of a controller."""
     return NODE_PREFIX + node
 
 
-def shard_key(shard):
-    """The key of a shard (a number)."""
+def shard_key(shard: int) -> str:
+    """The key of a shard."""
     return f"{SHARD_PREFIX}{shard}"
 
 
-def reader_key(node):
+def read_shard_key(key: str) -> int:
+    """The shard that a key is of."""
+    return int(key[len(SHARD_PREFIX) :])
+
+
+def reader_key(node: str) -> str:
     """The key under which a controller states which format it reads."""
     return READER_PREFIX + node
 
 
-def overflow_key(node, number):
+def overflow_key(node: str, number: int) -> str:
     """The key of a controller's overflow value `number` of its table."""
     return f"r/{node}/{number}"
 
 
-def holder_record(node, incarnation):
+# --- records
+
+
+def holder_record(node: str, incarnation: int | None) -> Record:
     """The record of a shard's or the leader's key."""
     return {"node": node, "inc": incarnation}
 
 
-def read_holder(data) -> tuple[str | None, int | None]:
-    """(node, incarnation) of a holder record; either may be None."""
-    return data.get("node"), data.get("inc")
+def read_holder(record: Record, mod_revision: int) -> Holder:
+    """The holder that a shard's or the leader's key names."""
+    return Holder(record.get("node"), record.get("inc"), mod_revision)
 
 
-def node_record(incarnation, table):
+def node_record(incarnation: int | None, table: Any) -> Record:
     """The record of a controller's key."""
     return {"inc": incarnation, "table": table}
 
 
-def read_incarnation(data):
-    """The incarnation of a controller's or a reader's record, or None."""
-    return data.get("inc")
+def read_incarnation(record: Record) -> int | None:
+    """The incarnation of a controller's or a reader's record."""
+    return record.get("inc")
 
 
-def reader_record(incarnation, record_format):
+def reader_record(incarnation: int, record_format: int) -> Record:
     """The record that states which format a controller's process reads."""
     return {"inc": incarnation, "format": record_format}
 
 
-def format_record(record_format):
+def format_record(record_format: int) -> Record:
     """The record of FORMAT_KEY."""
     return {"format": record_format}
 
 
-def read_format(data):
+def read_format(record: Record) -> int:
     """The format that the record of FORMAT_KEY names; 1 if it names none."""
-    return data.get("format", 1)
+    return record.get("format", 1)
