--- a/emberglade/transport/__init__.py
+++ b/emberglade/transport/__init__.py
@@ -5,11 +5,11 @@
     REFUSED,
     Client,
     ClientPool,
-    Connection,
     Reply,
     parse_address,
     status_text,
 )
+from .client_connection import Connection
 from .server import Server, ServerLimits
 
 __all__ = [
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -41,82 +41,135 @@
     idle_timeout_s: float
 
 
-class ConnectionAdmission:
-    """The part of `Server` that accepts, admits, evicts and closes connections.
+class ConnectionTable:
+    """The open connections of a server: accepts, admits, evicts and closes them.
 
     Only the server's thread calls it. Both tables of connections keep the one that has been idle
     for longest first.
+
+    Attributes:
+        accept_again_at: When a pause of accepting ends (monotonic, in seconds); None: no pause.
+        evicted: How many connections gave way to a new one.
+        refused: How many new ones were closed at once.
     """
 
-    socket: socket.socket
-    selector: selectors.BaseSelector
-    limits: ServerLimits
-    is_user_path: Callable[[str], bool]
-    users: OrderedDict[ServerConnection, None]
-    others: OrderedDict[ServerConnection, None]
-    accept_again_at: float | None
-    evicted: int
-    refused: int
+    def __init__(
+        self,
+        listener: socket.socket,
+        selector: selectors.BaseSelector,
+        limits: ServerLimits,
+        is_user_path: Callable[[str], bool],
+    ) -> None:
+        """Makes the table of a listening socket, which is accepted from at once.
+
+        In the selector, the listener has no data, and a connection is the data of its socket.
+        """
+        self.listener, self.selector, self.limits = listener, selector, limits
+        self.is_user_path = is_user_path
+        self.evicted = 0
+        self.refused = 0
+        self._users: OrderedDict[ServerConnection, None] = OrderedDict()
+        self._others: OrderedDict[ServerConnection, None] = OrderedDict()
+        self.accept_again_at: float | None = None
+        self._watch_listener()
+
+    def __len__(self) -> int:
+        return len(self._users) + len(self._others)
 
     @property
-    def connection_count(self) -> int:
-        """The number of open connections, of users and of others."""
-        return len(self.users) + len(self.others)
+    def user_count(self) -> int:
+        """The number of open connections on which a user's request came."""
+        return len(self._users)
 
     @property
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Whether so many connections are open that each one is closed after its answer."""
-        return self.connection_count > CROWDED_SHARE * self.limits.max_connections
+        return len(self) > CROWDED_SHARE * self.limits.max_connections
 
-    def _accept(self) -> None:
+    # --- new connections
+
+    def accept_new(self) -> None:
+        """Takes new connections, as far as there are places for them."""
         now = time.monotonic()
         for _ in range(ACCEPTS_AT_ONCE):
-            full = self.connection_count >= self.limits.max_connections
-            if full and not self._has_idle(now) and self._has_newcomer():
+            is_full = len(self) >= self.limits.max_connections
+            if is_full and self._idle_longest(now) is None and self._has_newcomer():
                 # These are read first; the others wait in the listener's queue meanwhile.
-                self._pause_accepting(now)
-                return
-            try:
-                sock, _ = self.socket.accept()
-            except BlockingIOError:
+                self.pause_accepting(now)
                 return
-            except OSError as error:
-                log.warning("accepting a connection failed: %s", error)
-                if not self._evict_idle(now):
-                    self._pause_accepting(now)
+            sock = self._accept(now)
+            if sock is None:
                 return
-            if full and not self._evict_idle(now):
+            if is_full and not self._evict_idle(now):
                 self.refused += 1
                 sock.close()
-                continue
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            connection = ServerConnection(sock, now)
-            self.others[connection] = None
-            self.selector.register(sock, selectors.EVENT_READ, connection)
-
-    def _pause_accepting(self, now: float) -> None:
+            else:
+                self._open(sock, now)
+
+    def _accept(self, now: float) -> socket.socket | None:
+        """The socket of the next new connection, or None if there is none to be had now."""
+        try:
+            sock, _ = self.listener.accept()
+        except BlockingIOError:
+            return None
+        except OSError as error:
+            log.warning("accepting a connection failed: %s", error)
+            if not self._evict_idle(now):
+                self.pause_accepting(now)
+            return None
+        return sock
+
+    def _open(self, sock: socket.socket, now: float) -> None:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = ServerConnection(sock, now)
+        self._others[connection] = None
+        self.selector.register(sock, selectors.EVENT_READ, connection)
+
+    def _watch_listener(self) -> None:
+        self.selector.register(self.listener, selectors.EVENT_READ, None)
+
+    def pause_accepting(self, now: float) -> None:
+        """Accepts no connections for a moment."""
         if self.accept_again_at is None:
-            self.selector.unregister(self.socket)
+            self.selector.unregister(self.listener)
         self.accept_again_at = now + ACCEPT_PAUSE_S
 
-    def _resume_accepting(self) -> None:
+    def resume_accepting(self) -> None:
+        """Accepts connections again, if the pause is over."""
         if self.accept_again_at is not None and time.monotonic() >= self.accept_again_at:
             self.accept_again_at = None
-            self.selector.register(self.socket, selectors.EVENT_READ, None)
+            self._watch_listener()
+
+    # --- who may stay
+
+    def admit(self, connection: ServerConnection, path: str) -> bool:
+        """Notes that the connection is in use; False if it is one user's too many."""
+        if connection.is_user:
+            self._users.move_to_end(connection)
+        elif not self.is_user_path(path):
+            self._others.move_to_end(connection)
+        elif len(self._users) >= self.limits.max_user_connections:
+            return False
+        else:
+            del self._others[connection]
+            connection.is_user = True
+            self._users[connection] = None
+        return True
 
     def _idle_longest(self, now: float) -> ServerConnection | None:
         """The connection that is to give way: of those idle for longest, users' first, or None."""
-        for connections in (self.users, self.others):
+        for connections in (self._users, self._others):
             for connection in islice(connections, EVICTION_CANDIDATES):
                 if connection.may_give_way(now):
                     return connection
         return None
 
-    def _has_idle(self, now: float) -> bool:
-        return self._idle_longest(now) is not None
-
     def _has_newcomer(self) -> bool:
-        return any(not c.served and c.exchange is None for c in reversed(self.others))
+        """Whether a connection is open on which no request was routed yet."""
+        return any(
+            not connection.served and connection.exchange is None
+            for connection in reversed(self._others)
+        )
 
     def _evict_idle(self, now: float) -> bool:
         """Closes the connection that has been idle for longest; False if none is."""
@@ -124,40 +177,36 @@
         if connection is None:
             return False
         self.evicted += 1
-        self._close(connection)
+        self.close(connection)
         return True
 
-    def _close(self, connection: ServerConnection) -> None:
+    # --- closing
+
+    def close(self, connection: ServerConnection) -> None:
+        """Closes a connection, unless it is closed already."""
         with connection.lock:
-            if connection.sock.fileno() < 0:
+            if connection.is_closed:
                 return
             connection.exchange = None
             self.selector.unregister(connection.sock)
             connection.sock.close()
-        (self.users if connection.is_user else self.others).pop(connection, None)
+        (self._users if connection.is_user else self._others).pop(connection, None)
 
-    def _close_idle(self, now: float) -> None:
+    def close_all(self) -> None:
+        """Closes all connections."""
+        for connection in [*self._users, *self._others]:
+            self.close(connection)
+
+    def close_idle(self, now: float) -> None:
         """Closes the connections that sent no complete request within the idle timeout.
 
         That holds also if a part of one trickles in, and for those that don't take their answer.
         """
         oldest = now - self.limits.idle_timeout_s
-        for connections in (self.users, self.others):
-            for connection in [
-                c for c in connections if c.active_at < oldest and c.exchange is None
-            ]:
-                self._close(connection)
-
-    def _admit(self, connection: ServerConnection, path: str) -> bool:
-        """Notes that the connection is in use; False if it is one user's too many."""
-        if connection.is_user:
-            self.users.move_to_end(connection)
-        elif not self.is_user_path(path):
-            self.others.move_to_end(connection)
-        elif len(self.users) >= self.limits.max_user_connections:
-            return False
-        else:
-            del self.others[connection]
-            connection.is_user = True
-            self.users[connection] = None
-        return True
+        idle = [
+            connection
+            for connection in [*self._users, *self._others]
+            if connection.active_at < oldest and connection.exchange is None
+        ]
+        for connection in idle:
+            self.close(connection)
--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -1,16 +1,12 @@
-"""The HTTP/1.1 client: kept-alive connections on blocking sockets, carried by a few threads.
-
-It is thin on purpose: a controller has a fraction of a core (docs/design.md, "Libraries").
-"""
+"""The HTTP/1.1 clients: threads that carry calls over kept connections; answers go to callables."""
 
 import logging
 import queue
-import socket
 import threading
 from collections.abc import Callable
-from typing import Any, BinaryIO, NamedTuple
+from typing import Any, NamedTuple
 
-import orjson
+from .client_connection import Connection
 
 log = logging.getLogger("emberglade.transport")
 
@@ -19,6 +15,9 @@
 
 Reply = Callable[[int, Any], None]  # reply(status, decoded body)
 
+DEFAULT_BACKLOG = 256  # calls that may wait for a client's threads
+POOL_BACKLOG_PER_THREAD = 4
+
 
 def status_text(status: int) -> int | str:
     """A status as it is logged."""
@@ -31,106 +30,57 @@
     return host, int(port)
 
 
-class ResponseHeaders(NamedTuple):
-    """What a response's headers say of its body and of the connection."""
+class Call(NamedTuple):
+    """A request that waits for a thread."""
 
-    content_length: int
-    close: bool
-    chunked: bool
+    address: str  # host:port; empty where all calls go to one address
+    method: str
+    path: str
+    body: Any
+    timeout: float  # in seconds
+    reply: Reply
 
 
-class Connection:
-    """One kept-alive client connection."""
+class CallQueue:
+    """Calls that wait for a thread; past `backlog` of them a call ends with NO_ANSWER at once."""
 
-    def __init__(self, address: tuple[str, int]) -> None:
-        self.address = address
-        self.sock: socket.socket | None = None
-        self.reader: BinaryIO | None = None
-
-    def close(self) -> None:
-        """Closes the reader and the socket, if open; a failure to close is logged and dropped."""
-        for part in (self.reader, self.sock):
-            if part is not None:
-                try:
-                    part.close()
-                except OSError:
-                    log.debug("closing a connection to %s failed; it is dropped", self.address)
-        self.sock = self.reader = None
-
-    def request(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, Any]:
-        """Returns (status, decoded body or None); raises OSError or ValueError."""
-        payload = b"" if body is None else orjson.dumps(body)
-        head = (
-            f"{method} {path} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
-            f"Content-Type: application/json\r\nContent-Length: {len(payload)}\r\n\r\n"
-        )
-        sock, reader = self._open(timeout)
-        try:
-            sock.settimeout(timeout)
-            sock.sendall(head.encode() + payload)
-            return self._read_response(reader)
-        except (OSError, ValueError):
-            self.close()
-            raise
-
-    def _open(self, timeout: float) -> tuple[socket.socket, BinaryIO]:
-        """The open socket and its reader; connects first if there are none."""
-        if self.sock is None or self.reader is None:
-            self.sock = socket.create_connection(self.address, timeout)
-            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.reader = self.sock.makefile("rb")
-        return self.sock, self.reader
-
-    def _read_response(self, reader: BinaryIO) -> tuple[int, Any]:
-        line = reader.readline(1024)
-        if not line:
-            raise OSError("closed by the other side")
-        status = int(line.split(None, 2)[1])
-        headers = self._read_headers(reader)
-        if headers.chunked:
-            data = self._read_chunks(reader)
+    def __init__(self, backlog: int) -> None:
+        self.backlog = backlog
+        self._waiting: queue.SimpleQueue[Call] = queue.SimpleQueue()
+
+    def put(self, call: Call) -> None:
+        """Queues a call, unless too many wait."""
+        if self._waiting.qsize() > self.backlog:
+            call.reply(NO_ANSWER, None)
         else:
-            data = reader.read(headers.content_length)
-            if len(data) < headers.content_length:
-                raise OSError("closed within the body")
-        if headers.close:
-            self.close()
-        try:
-            decoded = orjson.loads(data) if data else None
-        except ValueError:
-            # An HTML error page or the like: the status still counts, the body does not.
-            decoded = None
-        return status, decoded
-
-    @staticmethod
-    def _read_headers(reader: BinaryIO) -> "ResponseHeaders":
-        content_length, close, chunked = 0, False, False
-        while True:
-            line = reader.readline(8192)
-            if line in (b"\r\n", b"\n"):
-                return ResponseHeaders(content_length, close, chunked)
-            if not line:
-                raise OSError("closed within the headers")
-            name, _, value = line.partition(b":")
-            name, value = name.lower(), value.strip()
-            if name == b"content-length":
-                content_length = int(value)
-            elif name == b"connection":
-                close = value.lower() == b"close"
-            elif name == b"transfer-encoding":
-                chunked = b"chunked" in value.lower()
-
-    @staticmethod
-    def _read_chunks(reader: BinaryIO) -> bytes:
-        parts: list[bytes] = []
-        while True:
-            size = int(reader.readline(64).split(b";")[0], 16)
-            if size == 0:
-                while reader.readline(8192) not in (b"\r\n", b"\n", b""):
-                    continue
-                return b"".join(parts)
-            parts.append(reader.read(size))
-            reader.readline(8)
+            self._waiting.put(call)
+
+    def take(self) -> Call:
+        """The call that waited for longest; waits for one if there is none."""
+        return self._waiting.get()
+
+
+def start_threads(run: Callable[[], None], count: int, name: str) -> None:
+    """Runs `run` on so many threads, until the process ends."""
+    for number in range(count):
+        threading.Thread(target=run, name=f"{name}-{number}", daemon=True).start()
+
+
+def carry(call: Call, connection: Connection) -> tuple[int, Any]:
+    """Carries a call over a connection, which is closed if that fails.
+
+    Returns:
+        (status, body), with status REFUSED or NO_ANSWER if there is no answer.
+    """
+    try:
+        return connection.request(call.method, call.path, call.body, call.timeout)
+    except ConnectionRefusedError:
+        connection.close()
+        return REFUSED, None
+    except (OSError, ValueError, IndexError) as error:
+        log.debug("%s %s at %s: %s", call.method, call.path, connection.address, error)
+        connection.close()
+        return NO_ANSWER, None
 
 
 class Client:
@@ -141,39 +91,54 @@
     """
 
     def __init__(
-        self, address: tuple[str, int], threads: int, name: str, backlog: int = 256
+        self, address: tuple[str, int], threads: int, name: str, backlog: int = DEFAULT_BACKLOG
     ) -> None:
         self.address = address
-        # (method, path, body, timeout, reply)
-        self.jobs: queue.SimpleQueue[tuple[str, str, Any, float, Reply]] = queue.SimpleQueue()
-        self.backlog = backlog
-        for number in range(threads):
-            threading.Thread(target=self._run, name=f"{name}-{number}", daemon=True).start()
+        self._calls = CallQueue(backlog)
+        start_threads(self._run, threads, name)
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: Reply) -> None:
         """Queues a call; `reply(status, body)` follows on a thread of the client.
 
-        `timeout` is in seconds. Past `backlog` queued calls the reply is NO_ANSWER at once.
+        `timeout` is in seconds. Past the backlog of queued calls the reply is NO_ANSWER at once.
         """
-        if self.jobs.qsize() > self.backlog:
-            reply(NO_ANSWER, None)
-            return
-        self.jobs.put((method, path, body, timeout, reply))
+        self._calls.put(Call("", method, path, body, timeout, reply))
 
     def _run(self) -> None:
         connection = Connection(self.address)
         while True:
-            method, path, body, timeout, reply = self.jobs.get()
-            try:
-                status, data = connection.request(method, path, body, timeout)
-            except ConnectionRefusedError:
-                connection.close()
-                status, data = REFUSED, None
-            except (OSError, ValueError, IndexError) as error:
-                log.debug("%s %s at %s: %s", method, path, self.address, error)
-                connection.close()
-                status, data = NO_ANSWER, None
-            reply(status, data)
+            call = self._calls.take()
+            call.reply(*carry(call, connection))
+
+
+class IdleConnections:
+    """Open connections on which nothing is asked, one an address, for any thread.
+
+    Above the bound the one used longest ago gives way.
+    """
+
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self._by_address: dict[str, Connection] = {}  # the one used longest ago comes first
+        self._lock = threading.Lock()
+
+    def take(self, address: str) -> Connection:
+        """A connection to an address, which is the caller's until it is kept."""
+        with self._lock:
+            connection = self._by_address.pop(address, None)
+        return connection or Connection(parse_address(address))
+
+    def keep(self, address: str, connection: Connection) -> None:
+        """Keeps a connection for the next call, if it is open."""
+        with self._lock:
+            surplus = [self._by_address.pop(address, None)]
+            if connection.sock is not None:
+                self._by_address[address] = connection
+            if len(self._by_address) > self.limit:
+                surplus.append(self._by_address.pop(next(iter(self._by_address))))
+        for old in surplus:
+            if old is not None:
+                old.close()
 
 
 class ClientPool:
@@ -184,52 +149,24 @@
     """
 
     def __init__(self, threads: int, connections: int, name: str) -> None:
-        # (address, method, path, body, timeout, reply)
-        self.jobs: queue.SimpleQueue[tuple[str, str, str, Any, float, Reply]] = queue.SimpleQueue()
-        self.threads, self.max_idle = threads, connections
-        self.idle: dict[
-            str, Connection
-        ] = {}  # address -> Connection; the one used longest ago gives way
-        self.lock = threading.Lock()
-        for number in range(threads):
-            threading.Thread(target=self._run, name=f"{name}-{number}", daemon=True).start()
+        self._calls = CallQueue(POOL_BACKLOG_PER_THREAD * threads)
+        self._idle = IdleConnections(connections)
+        start_threads(self._run, threads, name)
 
     def call(
         self, address: str, method: str, path: str, body: Any, timeout: float, reply: Reply
     ) -> None:
         """Queues a call to `address` (host:port); `reply(status, body)` follows on a pool thread.
 
-        `timeout` is in seconds. Past four queued calls per thread the reply is NO_ANSWER at once.
+        `timeout` is in seconds. Past four queued calls per thread the reply is NO_ANSWER at once,
+        and so it is when nobody takes the connection.
         """
-        if self.jobs.qsize() > 4 * self.threads:
-            reply(NO_ANSWER, None)
-            return
-        self.jobs.put((address, method, path, body, timeout, reply))
-
-    def _take(self, address: str) -> Connection:
-        with self.lock:
-            return self.idle.pop(address, None) or Connection(parse_address(address))
-
-    def _keep(self, address: str, connection: Connection) -> None:
-        with self.lock:
-            spare = [self.idle.pop(address, None)]
-            if connection.sock is not None:
-                self.idle[address] = connection
-            if len(self.idle) > self.max_idle:
-                spare.append(self.idle.pop(next(iter(self.idle))))
-        for old in spare:
-            if old is not None:
-                old.close()
+        self._calls.put(Call(address, method, path, body, timeout, reply))
 
     def _run(self) -> None:
         while True:
-            address, method, path, body, timeout, reply = self.jobs.get()
-            connection = self._take(address)
-            try:
-                status, data = connection.request(method, path, body, timeout)
-            except (OSError, ValueError, IndexError) as error:
-                log.debug("%s %s at %s: %s", method, path, address, error)
-                connection.close()
-                status, data = NO_ANSWER, None
-            self._keep(address, connection)
-            reply(status, data)
+            call = self._calls.take()
+            connection = self._idle.take(call.address)
+            status, body = carry(call, connection)
+            self._idle.keep(call.address, connection)
+            call.reply(NO_ANSWER if status == REFUSED else status, body)
--- /dev/null
+++ b/emberglade/transport/client_connection.py
@@ -0,0 +1,166 @@
+"""One kept-alive connection of a client, on a blocking socket.
+
+It is thin on purpose: a controller has a fraction of a core (docs/design.md, "Libraries").
+"""
+
+import logging
+import socket
+from typing import Any, BinaryIO, NamedTuple
+
+import orjson
+
+log = logging.getLogger("emberglade.transport")
+
+# The longest lines that are read at once, in bytes.
+MAX_STATUS_LINE = 1024
+MAX_HEADER_LINE = 8192
+MAX_CHUNK_LINE = 64
+MAX_CHUNK_END = 8
+EMPTY_LINES = (b"\r\n", b"\n")
+
+
+class ConnectionClosedError(OSError):
+    """The other side closed the connection before its answer was complete."""
+
+
+class ResponseHeaders(NamedTuple):
+    """What a response's headers say of its body and of the connection."""
+
+    content_length: int
+    close: bool
+    chunked: bool
+
+
+class Response(NamedTuple):
+    """A complete response."""
+
+    status: int
+    body: Any  # decoded; None if there is none, or none that is JSON
+    close: bool  # whether the other side closes the connection after it
+
+
+class Connection:
+    """One kept-alive client connection.
+
+    Attributes:
+        address: (host, port) of the other side.
+        sock: The socket; None while it is not connected.
+    """
+
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.address = address
+        self.sock: socket.socket | None = None
+        self._reader: BinaryIO | None = None
+
+    def close(self) -> None:
+        """Closes the reader and the socket, if open; a failure to close is logged and dropped."""
+        for part in (self._reader, self.sock):
+            if part is not None:
+                try:
+                    part.close()
+                except OSError:
+                    log.debug("closing a connection to %s failed; it is dropped", self.address)
+        self.sock = self._reader = None
+
+    def request(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, Any]:
+        """Sends a request and waits for its answer; `timeout` is in seconds.
+
+        Returns:
+            (status, decoded body or None).
+
+        Raises:
+            OSError: The connection failed or timed out.
+            ValueError: The answer is no HTTP.
+            IndexError: The answer is no HTTP.
+        """
+        encoded = self._encode(method, path, body)
+        sock, reader = self._open(timeout)
+        try:
+            sock.settimeout(timeout)
+            sock.sendall(encoded)
+            response = read_response(reader)
+        except (OSError, ValueError):
+            self.close()
+            raise
+        if response.close:
+            self.close()
+        return response.status, response.body
+
+    def _open(self, timeout: float) -> tuple[socket.socket, BinaryIO]:
+        """The open socket and its reader; connects first if there are none."""
+        if self.sock is None or self._reader is None:
+            self.sock = socket.create_connection(self.address, timeout)
+            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._reader = self.sock.makefile("rb")
+        return self.sock, self._reader
+
+    def _encode(self, method: str, path: str, body: Any) -> bytes:
+        payload = b"" if body is None else orjson.dumps(body)
+        head = (
+            f"{method} {path} HTTP/1.1\r\nHost: {self.address[0]}:{self.address[1]}\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(payload)}\r\n\r\n"
+        )
+        return head.encode() + payload
+
+
+def read_response(reader: BinaryIO) -> Response:
+    """Reads one response, all of it."""
+    line = reader.readline(MAX_STATUS_LINE)
+    if not line:
+        raise ConnectionClosedError("closed by the other side")
+    status = int(line.split(None, 2)[1])
+    headers = _read_headers(reader)
+    if headers.chunked:
+        data = _read_chunks(reader)
+    else:
+        data = reader.read(headers.content_length)
+        if len(data) < headers.content_length:
+            raise ConnectionClosedError(
+                f"closed within the body: {len(data)} of {headers.content_length} bytes"
+            )
+    return Response(status, _decode(data), headers.close)
+
+
+def _decode(data: bytes) -> Any:
+    try:
+        return orjson.loads(data) if data else None
+    except ValueError:
+        # An HTML error page or the like: the status still counts, the body does not.
+        return None
+
+
+def _read_headers(reader: BinaryIO) -> ResponseHeaders:
+    content_length = 0
+    close = False
+    chunked = False
+    while True:
+        line = reader.readline(MAX_HEADER_LINE)
+        if line in EMPTY_LINES:
+            return ResponseHeaders(content_length, close, chunked)
+        if not line:
+            raise ConnectionClosedError("closed within the headers")
+        name, _, value = line.partition(b":")
+        name, value = name.lower(), value.strip()
+        if name == b"content-length":
+            content_length = int(value)
+        elif name == b"connection":
+            close = value.lower() == b"close"
+        elif name == b"transfer-encoding":
+            chunked = b"chunked" in value.lower()
+
+
+def _read_chunks(reader: BinaryIO) -> bytes:
+    """The body of a response that comes in chunks."""
+    parts: list[bytes] = []
+    while True:
+        size = int(reader.readline(MAX_CHUNK_LINE).split(b";")[0], 16)
+        if size == 0:
+            _skip_trailers(reader)
+            return b"".join(parts)
+        parts.append(reader.read(size))
+        reader.readline(MAX_CHUNK_END)
+
+
+def _skip_trailers(reader: BinaryIO) -> None:
+    while reader.readline(MAX_HEADER_LINE) not in (*EMPTY_LINES, b""):
+        continue
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -11,7 +11,19 @@
 
 
 class ServerConnection:
-    """One accepted connection. Only the server's thread reads, opens and closes it."""
+    """One accepted connection. Only the server's thread reads, opens and closes it.
+
+    Attributes:
+        sock: The socket, closed or not.
+        received: What came after the last complete request.
+        unsent: The rest of an answer that the socket could not take.
+        exchange: The request that waits for its answer.
+        active_at: When it was opened, or the last complete request came; monotonic, in seconds.
+        served: Whether a request was routed.
+        is_user: Whether a user's request was routed.
+        closing: Whether it is to be closed once `unsent` is sent.
+        lock: Sending and closing exclude each other: once closed, the descriptor may be another's.
+    """
 
     __slots__ = (
         "sock",
@@ -28,16 +40,20 @@
     def __init__(self, sock: socket.socket, now: float) -> None:
         """Wraps an accepted socket; `now` is the monotonic time of its acceptance, in seconds."""
         self.sock = sock
-        self.received = b""  # what came after the last complete request
-        self.unsent = b""  # the rest of an answer for which the socket had no room
-        self.exchange: Exchange | None = None  # the request that waits for its answer
-        self.active_at = now  # when it was opened, or the last complete request came
-        self.served = False  # whether a request was routed
+        self.received = b""
+        self.unsent = b""
+        self.exchange: Exchange | None = None
+        self.active_at = now
+        self.served = False
         self.is_user = False
-        self.closing = False  # to be closed once `unsent` is sent
-        # Sending and closing exclude each other: once closed, the descriptor may be another's.
+        self.closing = False
         self.lock = threading.Lock()
 
+    @property
+    def is_closed(self) -> bool:
+        """Whether the socket was closed here."""
+        return self.sock.fileno() < 0
+
     @property
     def idle(self) -> bool:
         """Whether no request waits for its answer and no part of an answer is left to send."""
@@ -49,14 +65,18 @@
 
 
 class Exchange:
-    """One request and the one answer that it gets."""
+    """One request and the one answer that it gets.
+
+    Attributes:
+        keep_alive: Whether the connection stays open after the answer.
+        deadline: By when the request must be answered; monotonic, in seconds.
+    """
 
     __slots__ = ("server", "connection", "keep_alive", "deadline")
 
     def __init__(
         self, server: "Server", connection: ServerConnection, keep_alive: bool, deadline: float
     ) -> None:
-        """Opens the exchange; `deadline` is the monotonic time by which it must be answered."""
         self.server, self.connection = server, connection
         self.keep_alive, self.deadline = keep_alive, deadline
 
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -67,8 +67,14 @@
             f"too many lines in the head: {len(lines)}, at most {MAX_HEADERS}"
         )
     method, path, version = words
-    content_length, keep_alive = 0, version != "HTTP/1.0"
-    for line in lines[1:]:
+    content_length, keep_alive = _parse_headers(lines[1:], version != "HTTP/1.0")
+    return Head(method, path, content_length, keep_alive)
+
+
+def _parse_headers(lines: list[bytes], keep_alive: bool) -> tuple[int, bool]:
+    """(content length, keep alive); `keep_alive` is what holds if no header says otherwise."""
+    content_length = 0
+    for line in lines:
         if not line or line[0] not in RELEVANT_INITIALS:
             continue
         name, _, value = line.partition(b":")
@@ -81,7 +87,7 @@
             raise MalformedRequestError(
                 f"a body needs its Content-Length, not Transfer-Encoding: {value.strip()[:100]!r}"
             )
-    return Head(method, path, content_length, keep_alive)
+    return content_length, keep_alive
 
 
 def parse_content_length(value: bytes) -> int:
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -6,19 +6,25 @@
 """
 
 import logging
-import os
 import selectors
 import socket
 import socketserver
 import threading
 import time
-from collections import OrderedDict, deque
+from collections import deque
 from collections.abc import Callable
 from typing import Any
 
-from .admission import ConnectionAdmission, ServerLimits
+from .admission import ConnectionTable, ServerLimits
 from .connection import Exchange, ServerConnection
-from .messages import MAX_REQUEST_BYTES, MalformedRequestError, encode_response, take_request
+from .messages import (
+    MAX_REQUEST_BYTES,
+    MalformedRequestError,
+    Request,
+    encode_response,
+    take_request,
+)
+from .waker import Waker
 
 __all__ = ["Route", "Server", "ServerLimits"]
 
@@ -29,9 +35,11 @@
 
 RECEIVE_BYTES = 64 * 1024
 OVERLOAD_RETRY_S = 1
+MIN_LISTEN_QUEUE = 16  # connections that wait to be accepted
+SWEEPS_PER_IDLE_TIMEOUT = 8
 
 
-class Server(ConnectionAdmission, socketserver.TCPServer):
+class Server(socketserver.TCPServer):
     """An HTTP/1.1 server that feeds each request to a route on its own thread.
 
     `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from
@@ -41,6 +49,10 @@
     first; if none is idle, the new one is closed at once. Connections on which a path came that
     `is_user_path` accepts are at most `max_user_connections`: past that they get 503 and are
     closed, so that users can't crowd out workers.
+
+    Attributes:
+        connections: The open ones.
+        server_port: Where it listens.
     """
 
     allow_reuse_address = True
@@ -52,28 +64,25 @@
         limits: ServerLimits,
         is_user_path: Callable[[str], bool] = lambda path: False,
     ) -> None:
-        self.route, self.limits, self.is_user_path = route, limits, is_user_path
+        self.route, self.limits = route, limits
         # After the end of another controller all its workers come at once.
-        self.request_queue_size = max(16, limits.max_connections // 2)
+        self.request_queue_size = max(MIN_LISTEN_QUEUE, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
         self.socket.setblocking(False)
-        self.selector = selectors.DefaultSelector()
-        self.selector.register(self.socket, selectors.EVENT_READ, None)
-        self.wake_reader, self.wake_writer = os.pipe()
-        os.set_blocking(self.wake_reader, False)
-        self.selector.register(self.wake_reader, selectors.EVENT_READ, self.wake_reader)
-        # The one idle for longest comes first.
-        self.users: OrderedDict[ServerConnection, None] = OrderedDict()
-        self.others: OrderedDict[ServerConnection, None] = OrderedDict()
-        self.waiting: deque[Exchange] = deque()  # exchanges not answered at once, the oldest first
-        self.attention: deque[ServerConnection] = (
-            deque()
-        )  # connections with something to send, to read or to close
-        self.accept_again_at: float | None = None  # while no connections are accepted
-        self.thread_id: int | None = None
-        self.stopping = False
-        self.evicted = self.refused = 0
+        self._selector = selectors.DefaultSelector()
+        self.connections = ConnectionTable(self.socket, self._selector, limits, is_user_path)
+        self._waker = Waker(self._selector)
+        # Requests that were not answered at once, the oldest first.
+        self._unanswered: deque[Exchange] = deque()
+        # Connections with something to send, to read or to close.
+        self._pending: deque[ServerConnection] = deque()
+        self._stopping = False
+
+    @property
+    def connection_count(self) -> int:
+        """The number of open connections, of users and of others."""
+        return len(self.connections)
 
     # --- the server's thread
 
@@ -82,45 +91,49 @@
         threading.Thread(target=self.serve_forever, name=name, daemon=True).start()
 
     def serve_forever(self, poll_interval: float = 0.0) -> None:
-        """Serves until `shutdown`, on the caller's thread."""
-        self.thread_id = threading.get_ident()
-        sweep_s = self.limits.idle_timeout_s / 8
+        """Serves until `shutdown`, on the caller's thread; `poll_interval` is of no use here."""
+        self._waker.set_waiting_thread()
+        sweep_s = self.limits.idle_timeout_s / SWEEPS_PER_IDLE_TIMEOUT
         next_sweep = time.monotonic() + sweep_s
-        while not self.stopping:
-            self._resume_accepting()
-            for key, events in self.selector.select(self._time_to_wait(next_sweep)):
-                self._attend_event(key, events)
-            while self.attention:
-                self._guarded(self._attend, self.attention.popleft())
+        while not self._stopping:
+            self.connections.resume_accepting()
+            for key, events in self._selector.select(self._time_to_wait(next_sweep)):
+                self._handle_event(key, events)
+            while self._pending:
+                self._guarded(self._go_on, self._pending.popleft())
             now = time.monotonic()
             self._expire_exchanges(now)
             if now >= next_sweep:
                 next_sweep = now + sweep_s
-                self._close_idle(now)
+                self.connections.close_idle(now)
 
     def _time_to_wait(self, next_sweep: float) -> float:
+        """Seconds until something is due that no event announces."""
         due = next_sweep
-        if self.waiting:
-            due = min(due, self.waiting[0].deadline)
-        if self.accept_again_at is not None:
-            due = min(due, self.accept_again_at)
+        if self._unanswered:
+            due = min(due, self._unanswered[0].deadline)
+        if self.connections.accept_again_at is not None:
+            due = min(due, self.connections.accept_again_at)
         return max(0.0, due - time.monotonic())
 
-    def _attend_event(self, key: selectors.SelectorKey, events: int) -> None:
+    def _handle_event(self, key: selectors.SelectorKey, events: int) -> None:
         if key.data is None:
-            try:
-                self._accept()
-            except Exception:
-                log.exception("accepting connections failed; it goes on in a moment")
-                self._pause_accepting(time.monotonic())
-        elif key.data is self.wake_reader:
-            os.read(self.wake_reader, 4096)
+            self._accept_new()
+        elif key.data is self._waker:
+            self._waker.drain()
         else:
             if events & selectors.EVENT_WRITE:
                 self._guarded(self._send_rest, key.data)
             if events & selectors.EVENT_READ:
                 self._guarded(self._receive, key.data)
 
+    def _accept_new(self) -> None:
+        try:
+            self.connections.accept_new()
+        except Exception:
+            log.exception("accepting connections failed; it goes on in a moment")
+            self.connections.pause_accepting(time.monotonic())
+
     def _guarded(
         self, action: Callable[[ServerConnection], None], connection: ServerConnection
     ) -> None:
@@ -129,21 +142,16 @@
             action(connection)
         except Exception:
             log.exception("a request failed; its connection is closed")
-            self._close(connection)
-
-    def _wake(self) -> None:
-        if threading.get_ident() != self.thread_id:
-            os.write(self.wake_writer, b"w")
+            self.connections.close(connection)
 
     def shutdown(self) -> None:
         """Ends `serve_forever`; the sockets stay open until `server_close`."""
-        self.stopping = True
-        self._wake()
+        self._stopping = True
+        self._waker.wake()
 
     def server_close(self) -> None:
         """Closes the listening socket and all connections."""
-        for connection in [*self.users, *self.others]:
-            self._close(connection)
+        self.connections.close_all()
         super().server_close()
 
     # --- requests
@@ -156,11 +164,11 @@
         except OSError:
             data = b""
         if not data:
-            self._close(connection)
+            self.connections.close(connection)
             return
         connection.received += data
         if len(connection.received) > 2 * MAX_REQUEST_BYTES:
-            self._close(connection)
+            self.connections.close(connection)
             return
         self._serve_received(connection)
 
@@ -177,12 +185,17 @@
         if taken is None:
             return
         request, connection.received = taken
-        connection.active_at, connection.served = now, True
-        if not self._admit(connection, request.path):
+        connection.active_at = now
+        connection.served = True
+        if not self.connections.admit(connection, request.path):
             exchange = self._open_exchange(connection, False, now)
             exchange.reply(503, {"error": "too many connections here; ask again"}, OVERLOAD_RETRY_S)
             return
-        exchange = self._open_exchange(connection, request.keep_alive and not self.crowded, now)
+        keep_alive = request.keep_alive and not self.connections.is_crowded
+        self._route(request, self._open_exchange(connection, keep_alive, now))
+
+    def _route(self, request: Request, exchange: Exchange) -> None:
+        """Feeds a request to the route."""
         try:
             self.route(request.method, request.path, request.body, exchange.reply)
         except Exception:
@@ -190,7 +203,7 @@
             exchange.keep_alive = False
             exchange.reply(500, {"error": "the request failed here"})
         if not exchange.answered:
-            self.waiting.append(exchange)
+            self._unanswered.append(exchange)
 
     def _open_exchange(
         self, connection: ServerConnection, keep_alive: bool, now: float
@@ -200,8 +213,10 @@
         return exchange
 
     def _expire_exchanges(self, now: float) -> None:
-        while self.waiting and (self.waiting[0].answered or self.waiting[0].deadline <= now):
-            self.waiting.popleft().reply(
+        """Answers the requests that got no decision in time."""
+        waiting = self._unanswered
+        while waiting and (waiting[0].answered or waiting[0].deadline <= now):
+            waiting.popleft().reply(
                 503, {"error": "no decision in time; ask again"}, OVERLOAD_RETRY_S
             )
 
@@ -210,7 +225,10 @@
     def send_answer(
         self, exchange: Exchange, status: int, data: Any, retry_after: int | None
     ) -> None:
-        """Sends what the socket takes at once; the server's thread does the rest."""
+        """Sends what the socket takes at once; the server's thread does the rest.
+
+        From any thread. Nothing is sent if there was an answer already, or no connection any more.
+        """
         connection = exchange.connection
         response = encode_response(status, data, retry_after, not exchange.keep_alive)
         with connection.lock:
@@ -227,23 +245,24 @@
             connection.closing = not exchange.keep_alive
             connection.exchange = None
         if connection.closing or connection.unsent or connection.received:
-            self.attention.append(connection)
-            self._wake()
+            self._pending.append(connection)
+            self._waker.wake()
 
-    def _attend(self, connection: ServerConnection) -> None:
+    def _go_on(self, connection: ServerConnection) -> None:
         """What is left after an answer: its rest, the end of the connection, the next request."""
-        if connection.sock.fileno() < 0:
+        if connection.is_closed:
             return
         if connection.unsent:
-            self.selector.modify(
+            self._selector.modify(
                 connection.sock, selectors.EVENT_READ | selectors.EVENT_WRITE, connection
             )
         elif connection.closing:
-            self._close(connection)
+            self.connections.close(connection)
         elif connection.received:
             self._serve_received(connection)
 
     def _send_rest(self, connection: ServerConnection) -> None:
+        """Sends more of an answer that the socket could not take at once."""
         with connection.lock:
             try:
                 sent = connection.sock.send(connection.unsent, socket.MSG_DONTWAIT)
@@ -254,5 +273,5 @@
                 sent = len(connection.unsent)
             connection.unsent = connection.unsent[sent:]
         if not connection.unsent:
-            self.selector.modify(connection.sock, selectors.EVENT_READ, connection)
-            self._attend(connection)
+            self._selector.modify(connection.sock, selectors.EVENT_READ, connection)
+            self._go_on(connection)
