--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -70,9 +70,9 @@
     )
 
 
-def _check_range(field: str, value: float, least: float, most: float) -> None:
-    if not least <= value <= most:
-        raise DetectionError(field, value, f"is not from {least:g} to {most:g}")
+def _check_range(field: str, value: float, minimum: float, maximum: float) -> None:
+    if not minimum <= value <= maximum:
+        raise DetectionError(field, value, f"is not from {minimum:g} to {maximum:g}")
 
 
 def _refuse_contradiction(operators: "Operators", suspect_s: float, confirm_s: float) -> None:
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -53,7 +53,7 @@
         # Requests that nobody answered may still hold a thread; bounded in time.
         self.timeout_s = min(settings.lease_s / 4, MAX_TIMEOUT_S)
         self.pause_s = pause_s
-        self._queues: dict[Priority, deque[Request]] = {rank: deque() for rank in Priority}
+        self._queues: dict[Priority, deque[Request]] = {priority: deque() for priority in Priority}
         self._in_flight = 0
         self._submission_sent_at = float("-inf")
         self._paused_until = 0.0
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -148,7 +148,8 @@
         return None
     start = len(prefix)
     try:
-        rows = [Change(p["key"][start:], p["data"], p["stamp"]) for p in body.get("pairs") or []]
+        pairs = body.get("pairs") or []
+        rows = [Change(pair["key"][start:], pair["data"], pair["stamp"]) for pair in pairs]
     except (TypeError, KeyError):
         return None
     return Page(rows, bool(body.get("has_next")), at)
