--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -16,7 +16,7 @@
 from .jobs import JobManager
 from .membership import FormatUpgrade, Member, shard_count
 from .memory_guard import MemoryGuard
-from .state import Store, read_since
+from .state import Store, read_changes_request
 from .transport import Client, ClientPool, Server, ServerLimits
 from .user_api import UserApi
 
@@ -74,15 +74,17 @@
                 reply = self.peer_monitor.answering(reply)
             tell_inline(self.agents.on_heard, read_question(data), reply)
         elif path == "/peer/ping" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_ping, data, reply)
+            tell_inline(self.peer_monitor.probing.on_ping, data, reply)
         elif path == "/peer/probe" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_probe, data, reply)
+            tell_inline(self.peer_monitor.probing.on_probe, data, reply)
         elif path == "/peer/facts" and method == "POST" and isinstance(data, list):
             for update in read_task_updates(data):
                 tell(self.job_manager.on_task_update, update)
             reply(200, {})
-        elif path == "/peer/changes" and method == "POST" and read_since(data) is not None:
-            tell_inline(self.store.on_changes_for_peer, read_since(data), reply)
+        elif (
+            path == "/peer/changes" and method == "POST" and read_changes_request(data) is not None
+        ):
+            tell_inline(self.store.on_changes_for_peer, read_changes_request(data), reply)
         elif path == "/peer/withdrawn" and method == "POST" and read_cancellation(data) is not None:
             tell_inline(self.agents.on_hear_cancellation, *read_cancellation(data))
             reply(200, {})
@@ -104,7 +106,7 @@
     domains = failure_domains(settings, operators)
     member.watch_peers(
         ShardPlanner(settings.node, settings.names, shard_count(settings), bounds.heartbeat_s),
-        LeaderPlanner(settings.node, settings.names, bounds.heartbeat_s),
+        LeaderPlanner(settings.node, bounds.heartbeat_s),
     )
     return PeerMonitor(settings, bounds, domains, store, peer_clients)
 
