--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -5,7 +5,7 @@
 
 from ..actors import tell
 from ..fleet.taints import Taints
-from ..jobs.record import KEEP, Part, Spec, read_part_key
+from ..jobs import wire as jobs_wire
 from ..placement import read_machine_types
 from . import wire
 
@@ -57,7 +57,7 @@
     def on_changed(self, events, revision, whole):
         if whole:
             alive = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if "j/" + j not in alive]:
+            for job_id in [j for j in self.jobs if jobs_wire.job_key(j) not in alive]:
                 self.drop_job(job_id)
             self.nodes = set()
             self.taints.forget()
@@ -75,15 +75,15 @@
             self.command_directly(fresh)
 
     def absorb(self, key, data, mod_revision, tables):
-        if key.startswith("j/"):
-            job_id = key[2:]
+        if jobs_wire.is_job_key(key):
+            job_id = jobs_wire.job_id_of(key)
             if data is None:
                 self.drop_job(job_id)
                 return
             entry = self.jobs.get(job_id)
-            generation = data.get("g", "")
+            generation = jobs_wire.read_generation(data)
             if entry is None:
-                entry = self.jobs[job_id] = Entry(Spec.decode(job_id, data["s"]), generation)
+                entry = self.jobs[job_id] = Entry(jobs_wire.read_spec(job_id, data), generation)
                 if job_id in self.heard_cancelled:
                     self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
                 for number, (part, part_mod_revision) in self.take_loose(
@@ -92,10 +92,10 @@
                     self.put_part(job_id, entry, number, part, part_mod_revision)
             elif generation != entry.generation:
                 self.change_layout(job_id, entry, data, mod_revision)
-            if data.get("w") and not entry.cancelled:
+            if jobs_wire.is_cancelled(data) and not entry.cancelled:
                 self.see_cancellation(job_id, entry, mod_revision)
-            self.put_part(job_id, entry, 0, data.get("p", {}), mod_revision)
-        elif key.startswith("t/"):
+            self.put_part(job_id, entry, 0, jobs_wire.first_chunk(data), mod_revision)
+        elif jobs_wire.is_chunk_key(key):
             self.absorb_part(key, data, mod_revision)
         elif key.startswith("m/"):
             self.touched.update(self.taints.apply(key, data, mod_revision, self.now()))
@@ -126,7 +126,7 @@
             self.machine_types = read_machine_types(data)
 
     def absorb_part(self, key, data, mod_revision):
-        job_id, generation, number = read_part_key(key)
+        job_id, generation, number = jobs_wire.read_chunk_key(key)
         entry = self.jobs.get(job_id)
         if entry is not None and generation == entry.generation:
             self.put_part(job_id, entry, number, data or {}, mod_revision)
@@ -151,11 +151,13 @@
         """The record names other parts. The tasks that both show bound stay so, in one step."""
         old = dict(entry.bindings())
         parts = {
-            number: Part.binding_rows(part)
-            for number, (part, _) in self.take_loose(job_id, data["g"]).items()
+            number: jobs_wire.binding_rows(part)
+            for number, (part, _) in self.take_loose(
+                job_id, jobs_wire.read_generation(data)
+            ).items()
         }
-        parts[0] = Part.binding_rows(data.get("p", {}))
-        entry.generation, entry.parts = data["g"], parts
+        parts[0] = jobs_wire.binding_rows(jobs_wire.first_chunk(data))
+        entry.generation, entry.parts = jobs_wire.read_generation(data), parts
         self.rebind(job_id, old, dict(entry.bindings()), mod_revision)
 
     def drop_job(self, job_id):
@@ -168,7 +170,7 @@
 
     def put_part(self, job_id, entry, number, data, mod_revision):
         """Takes over one part; costs little for the tasks whose binding is the same as before."""
-        old, new = entry.parts.get(number, {}), Part.binding_rows(data)
+        old, new = entry.parts.get(number, {}), jobs_wire.binding_rows(data)
         self.rebind(job_id, old, new, mod_revision)
         entry.parts[number] = new
 
@@ -194,7 +196,7 @@
                 self.fresh.append((job_id, task, *row[:3]))
 
     def want(self, job_id, task, row, since):
-        attempt, machine, agent_epoch, *stop = row
-        wanted = Wanted(attempt, stop[0] if stop else KEEP, since, agent_epoch)
+        attempt, machine, agent_epoch = row[:3]
+        wanted = Wanted(attempt, jobs_wire.read_stop_mode(row), since, agent_epoch)
         self.bindings.setdefault(machine, {})[(job_id, task)] = wanted
         self.touched.add(row[1])
--- a/emberglade/agents/commands.py
+++ b/emberglade/agents/commands.py
@@ -3,7 +3,8 @@
 import logging
 
 from ..actors import callback
-from ..jobs.record import KEEP, SAVE, STOP, task_name
+from ..jobs.binding import StopMode
+from ..jobs.job import task_name
 from . import wire
 
 log = logging.getLogger("emberglade.agents")
@@ -28,10 +29,10 @@
                 if seen.state == "exited":
                     continue  # the holder is told; cleared once that is written
                 stop, since = self.stop_of(key, want)
-                if stop != KEEP:
+                if stop != StopMode.KEEP:
                     fencing_token = max(fencing_token, since)
                     grace = self.grace(self.jobs[key[0]], stop)
-                    if seen.state != "saving" or stop != SAVE:
+                    if seen.state != "saving" or stop != StopMode.SAVE:
                         commands.append(wire.halt(name, seen.attempt, grace))
             elif seen.state != "exited" and self.is_cancelled(key[0]):
                 # Whatever the copy lacks, nothing of a cancelled job is wanted anywhere.
@@ -59,7 +60,7 @@
             ) or heartbeat.agent_epoch != want.agent_epoch:
                 continue
             stop, since = self.stop_of(key, want)
-            if stop != KEEP:
+            if stop != StopMode.KEEP:
                 # Absent: with this token seen, no late start can bring it back.
                 fencing_token = max(fencing_token, since)
             elif seen is not None and seen.state != "exited":
@@ -74,12 +75,12 @@
 
     @staticmethod
     def grace(entry, stop):
-        return entry.spec.checkpoint_save_s * 1.5 + 1 if stop == SAVE else 0
+        return entry.spec.checkpoint_save_s * 1.5 + 1 if stop == StopMode.SAVE else 0
 
     def stop_of(self, key, want):
         entry = self.jobs[key[0]]
         if entry.cancelled:
-            return STOP, (
+            return StopMode.STOP, (
                 min(want.stop_seen, entry.cancelled_at) if want.stop else entry.cancelled_at
             )
         return want.stop, want.stop_seen
@@ -110,7 +111,7 @@
             name = task_name(job_id, task)
             machines.setdefault((machine, agent_epoch), []).append(
                 wire.start(name, attempt)
-                if want.stop == KEEP
+                if want.stop == StopMode.KEEP
                 else wire.halt(name, attempt, self.grace(entry, want.stop))
             )
         now = self.now()
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -5,7 +5,8 @@
 import orjson
 
 from ..actors import callback, tell, tell_after
-from ..jobs.record import KEEP, SAVE, shard_of
+from ..jobs.binding import StopMode
+from ..jobs.job import shard_of
 from ..jobs.task_updates import StopWanted, TaskExited, TaskGone
 from ..membership import shard_count
 from ..state import LIVE_PREFIX
@@ -54,13 +55,13 @@
                 )
         elif heartbeat.agent_epoch > want.agent_epoch or (
             heartbeat.agent_epoch == want.agent_epoch
-            and stop != KEEP
+            and stop != StopMode.KEEP
             and heartbeat.fencing_token >= since
         ):
             # Its session is over, or its start can't be accepted any more: it will never run.
             return TaskGone(*key, want.attempt, heartbeat.machine)
-        if stop == KEEP and spot_notice_s is not None:
-            return StopWanted(*key, want.attempt, SAVE, "its machine is taken back")
+        if stop == StopMode.KEEP and spot_notice_s is not None:
+            return StopWanted(*key, want.attempt, StopMode.SAVE, "its machine is taken back")
         return None
 
     def on_ask_stop(self, update):
--- /dev/null
+++ b/emberglade/jobs/chunking.py
@@ -0,0 +1,56 @@
+"""How a job's tasks are split into chunks, so that each fits the values that the store takes."""
+
+from collections.abc import Sequence
+
+import orjson
+
+from . import wire
+from .chunk import Chunk
+from .job import Job
+from .job_spec import JobSpec
+from .waiting_job import WaitingJobRecord, split_ids
+
+BINDING_BYTES = 48  # upper bound of one bound task in a record
+RECORD_BYTES = 128  # upper bound of a record's field names, flags and generation
+
+
+def chunk_size(value_bytes: int) -> int:
+    """Tasks of a chunk: three quarters of a value for tasks, the rest for the description."""
+    return max(1, value_bytes * 3 // 4 // BINDING_BYTES)
+
+
+def chunk_size_for(spec: JobSpec, value_bytes: int) -> int:
+    """Tasks of a chunk of this job, such that its first chunk fits a value.
+
+    0 if not even the description does.
+    """
+    free = value_bytes - len(orjson.dumps(wire.write_spec(spec))) - RECORD_BYTES
+    return max(0, min(chunk_size(value_bytes), free // BINDING_BYTES))
+
+
+def rechunk(job: Job, size: int) -> dict[int, Chunk]:
+    """{number: Chunk} of the job's tasks in chunks of another size; empty ones are left out."""
+    chunks: dict[int, Chunk] = {}
+
+    def chunk_of(task: int) -> Chunk:
+        return chunks.setdefault(task // size, Chunk())
+
+    for old in job.chunks.values():
+        for task in old.done:
+            chunk_of(task).done.add(task)
+        for task, binding in old.bindings.items():
+            chunk_of(task).bindings[task] = binding
+        for task, attempt in old.last_attempts.items():
+            chunk_of(task).last_attempts[task] = attempt
+    return chunks
+
+
+def waiting_record_with_segments(
+    spec: JobSpec, dependencies: Sequence[str], list_id: str, value_bytes: int
+) -> tuple[WaitingJobRecord, list[list[str]]]:
+    """(the WaitingJobRecord of a job, the segments of its dependencies): each fits a value."""
+    record = WaitingJobRecord(spec, tuple(dependencies))
+    if len(orjson.dumps(wire.waiting_record(record))) + RECORD_BYTES <= value_bytes:
+        return record, []
+    segments = split_ids(dependencies, value_bytes - RECORD_BYTES)
+    return WaitingJobRecord(spec, (), list_id, len(segments)), segments
--- a/emberglade/jobs/cleanup.py
+++ b/emberglade/jobs/cleanup.py
@@ -6,11 +6,7 @@
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
-from .record import (
-    job_key,
-    part_key,
-    read_part_key,
-)
+from . import wire
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -28,10 +24,10 @@
         some = {
             key: mod_revision
             for key, mod_revision in some.items()
-            if self.is_unused(read_part_key(key))
+            if self.is_unused(wire.read_chunk_key(key))
         }
         if some:
-            owners = {self.parts_unused_condition(key.split("/")[1]) for key in some}
+            owners = {self.parts_unused_condition(wire.job_id_of(key)) for key in some}
             tell(
                 self.store.on_commit,
                 DECISIONS,
@@ -54,8 +50,8 @@
         """
         job = self.jobs.get(job_id)
         if job is None:
-            return LIVE_PREFIX + job_key(job_id), 0
-        return self.epoch_of(job.request)
+            return LIVE_PREFIX + wire.job_key(job_id), 0
+        return self.epoch_of(job.stored_spec)
 
     def on_remains_dropped(self, some, status, revision, failed):
         if status not in (200, 409):
@@ -69,7 +65,7 @@
             job = self.jobs.get(job_id)
             if job is not None and self.mine(job) and not self.is_laid_out_anew(job_id):
                 self.remains.update(
-                    (part_key(job_id, number, generation), mod_revision)
+                    (wire.chunk_key(job_id, number, generation), mod_revision)
                     for (generation, number), (_, mod_revision) in loose.items()
                 )
 
@@ -86,6 +82,6 @@
         for job_id, since in self.loose_since.items():
             if now - since > 2 * self.settings.lease_s:
                 self.remains.update(
-                    (part_key(job_id, number, generation), mod_revision)
+                    (wire.chunk_key(job_id, number, generation), mod_revision)
                     for (generation, number), (_, mod_revision) in self.loose_parts[job_id].items()
                 )
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -8,11 +8,8 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from ..transport import status_text
-from .record import (
-    final_key,
-    job_key,
-    read_part_key,
-)
+from . import wire
+from .wire import Outcome
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -31,12 +28,12 @@
         self.written, self.written_at = 0.0, 0.0
 
     def touch(self, job, task, soon=True):
-        self.write_soon(job.part_key(task // job.size), soon)
+        self.write_soon(wire.key_of_chunk(job, task // job.chunk_size), soon)
 
     def settle(self, job):
         """Taints a job for its end when nothing more is to come of it."""
-        if job.over() and self.mine(job):
-            self.write_soon(job_key(job.id), True)
+        if job.is_over() and self.mine(job):
+            self.write_soon(wire.job_key(job.id), True)
 
     def write_soon(self, key, soon):
         """Exits wait for company, since each written key counts; starts, stops and ends don't.
@@ -81,40 +78,42 @@
         for key in sorted(
             (key for key, due in self.dirty.items() if due <= now), key=self.turn_to_write
         ):
-            job_id = key.split("/")[1]
+            job_id = wire.job_id_of(key)
             job = self.jobs.get(job_id)
             if job is None or not self.mine(job):
                 self.dirty.pop(key, None)
                 continue
-            ended = job.over()
+            ended = job.is_over()
             if not ended and self.needs_relayout(job):
                 continue  # its parts may be too large to be written; they are laid out anew first
-            if ended and key.startswith("t/"):
+            if ended and wire.is_chunk_key(key):
                 # The end says all that is still of use.
                 self.dirty.pop(key)
                 continue
             if writes and (len(writes) + (2 if ended else 1) > self.most_writes or size > 40_000):
                 break
-            part = job.part(0) if key.startswith("j/") else job.parts[read_part_key(key).number]
+            part = (
+                job.chunk_of(0)
+                if wire.is_job_key(key)
+                else job.chunks[wire.read_chunk_key(key).number]
+            )
             epoch, mod_revision = self.epoch_of(job.spec)
             conditions[epoch] = mod_revision
             conditions[LIVE_PREFIX + key] = part.mod_revision
             if ended:
                 # The final state outlives the job: polls and retries may come at any time.
-                end = {
-                    "glow": "withdrawn" if job.cancelled else "done",
-                    "n": job.spec.tasks,
-                    "d": job.done_count(),
-                }
+                outcome = Outcome.CANCELLED if job.cancelled else Outcome.DONE
+                end = wire.final_record(outcome, job.spec.tasks, job.done_count())
                 writes += [
-                    state_wire.put(FINAL_PREFIX + final_key(job_id), end),
+                    state_wire.put(FINAL_PREFIX + wire.final_key(job_id), end),
                     state_wire.remove(LIVE_PREFIX + key),
                 ]
-                ends.append((job_id, end["glow"]))
+                ends.append((job_id, outcome))
             else:
                 writes.append(
                     state_wire.put(
-                        LIVE_PREFIX + key, job.encode() if key.startswith("j/") else part.encode()
+                        LIVE_PREFIX + key,
+                        wire.job_record(job) if wire.is_job_key(key) else wire.chunk_record(part),
                     )
                 )
                 size += 400 + 48 * len(part.bindings)
@@ -141,7 +140,7 @@
         """When a third of the machines is lost, nearly every job has to be written: higher ranks go
         a little ahead, and nobody waits for ever.
         """
-        job = self.jobs.get(key.split("/")[1])
+        job = self.jobs.get(wire.job_id_of(key))
         return self.dirty[key] + (
             job.spec.priority if job is not None else 0
         ) * self.settings.agent_heartbeat_s / 4, key
@@ -152,19 +151,19 @@
             keys, self.flight = self.flight, None
             for part in keys.values():
                 part.mod_revision = revision
-            for job_id, glow in ends:
+            for job_id, outcome in ends:
                 job = self.jobs.get(job_id)
                 log.info(
                     "%s is %s after %.1f s",
                     job_id,
-                    glow,
+                    outcome.name.lower(),
                     self.system.wall() - job.spec.submitted_at if job else 0,
                 )
                 if job is not None:
                     self.drop(job_id)
                     self.remains.update(
-                        (job.part_key(number), part.mod_revision)
-                        for number, part in job.parts.items()
+                        (wire.key_of_chunk(job, number), part.mod_revision)
+                        for number, part in job.chunks.items()
                         if number
                     )
             # Others' starts follow from the copy; it is asked for at once.
@@ -274,8 +273,8 @@
         """The view falls back to what is committed: `found`, as the copy shows it."""
         for key in found:
             self.dirty.pop(key, None)
-            if found[key] is None and key.startswith("t/"):
-                job_id, generation, number = read_part_key(key)
+            if found[key] is None and wire.is_chunk_key(key):
+                job_id, generation, number = wire.read_chunk_key(key)
                 job = self.jobs.get(job_id)
                 if job is not None and job.generation == generation:
                     self.merge(job, number, {}, 0)
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -6,13 +6,8 @@
 from ..fleet.taints import Taints
 from ..membership import FORMAT_KEY, is_raised, shard_count
 from ..state import LIVE_PREFIX
-from .record import (
-    Binding,
-    Job,
-    job_key,
-    read_part_key,
-    shard_of,
-)
+from . import wire
+from .job import shard_of
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -37,7 +32,7 @@
         self.loaded = True
         if whole:
             seen = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if job_key(j) not in seen]:
+            for job_id in [j for j in self.jobs if wire.job_key(j) not in seen]:
                 self.drop(job_id)
             self.taints.forget()
         for event in events:
@@ -52,25 +47,25 @@
         self.soon_place()
 
     def absorb(self, key, data, mod_revision):
-        if key.startswith("j/"):
+        if wire.is_job_key(key):
             job_id = key[2:]
             job = self.jobs.get(job_id)
             if data is None:
                 self.drop(job_id)
                 return
-            if job is not None and job.mod_revision() >= mod_revision:
+            if job is not None and job.mod_revision >= mod_revision:
                 return
             if job is None:
-                job = self.jobs[job_id] = Job.decode(job_id, data)
-                job.borrow_urgency(self.graph.urgency.get(job_id))
+                job = self.jobs[job_id] = wire.read_job(job_id, data)
+                job.inherit_urgency(self.graph.urgency.get(job_id))
                 self.adopt_parts(job)
-            elif data.get("g", "") != job.generation:
+            elif wire.read_generation(data) != job.generation:
                 self.change_layout(job, data)
-            job.cancelled = bool(data.get("w"))
+            job.cancelled = wire.is_cancelled(data)
             self.dirty.pop(key, None)
-            self.merge(job, 0, data.get("p", {}), mod_revision)
+            self.merge(job, 0, wire.first_chunk(data), mod_revision)
             self.settle(job)
-        elif key.startswith("t/"):
+        elif wire.is_chunk_key(key):
             self.absorb_part(key, data, mod_revision)
         elif key.startswith("s/"):
             if data is None:
@@ -85,7 +80,7 @@
             self.format_raised = self.format_raised or is_raised(data)
 
     def absorb_part(self, key, data, mod_revision):
-        job_id, generation, number = read_part_key(key)
+        job_id, generation, number = wire.read_chunk_key(key)
         job = self.jobs.get(job_id)
         if job is None or generation != job.generation:
             loose = self.loose_parts.setdefault(job_id, {})
@@ -98,8 +93,8 @@
                 del self.loose_parts[job_id]
         elif data is None:
             self.merge(job, number, {}, mod_revision)
-            job.parts.pop(number, None)
-        elif number not in job.parts or job.parts[number].mod_revision < mod_revision:
+            job.chunks.pop(number, None)
+        elif number not in job.chunks or job.chunks[number].mod_revision < mod_revision:
             self.dirty.pop(key, None)
             self.merge(job, number, data, mod_revision)
             self.settle(job)
@@ -122,33 +117,37 @@
         loose = self.loose_parts.setdefault(job.id, {})
         for task in list(since):
             self.unbind(job, task)
-        for number, part in job.parts.items():
-            self.dirty.pop(job.part_key(number), None)
+        for number, part in job.chunks.items():
+            self.dirty.pop(wire.key_of_chunk(job, number), None)
             if number:
                 loose[(job.generation, number)] = ({}, part.mod_revision)
-        job.size, job.generation, job.parts = data["z"], data.get("g", ""), {}
+        job.chunk_size, job.generation, job.chunks = (
+            wire.read_chunk_size(data),
+            wire.read_generation(data),
+            {},
+        )
         self.adopt_parts(job)
-        self.merge(job, 0, data.get("p", {}), 0)
+        self.merge(job, 0, wire.first_chunk(data), 0)
         for task, binding in job.bindings():
             binding.since = since.get(task, binding.since)
 
     def merge(self, job, number, data, mod_revision):
         """Makes one part of the view what was committed; only differences cost anything."""
-        part = job.part(number * job.size)
-        rows = part.binding_rows(data)
+        part = job.chunk_of(number * job.chunk_size)
+        rows = wire.binding_rows(data)
         for task in [task for task in part.bindings if task not in rows]:
             self.unbind(job, task)
         for task, row in rows.items():
             binding = part.bindings.get(task)
-            if binding is None or binding.row() != row:
+            if binding is None or wire.binding_row(binding) != row:
                 if binding is not None:
                     self.unbind(job, task)
-                self.bind(job, task, Binding(*row))
-        part.take_over(data, mod_revision)
+                self.bind(job, task, wire.read_binding(row))
+        wire.update_chunk(part, data, mod_revision)
 
     def bind(self, job, task, binding):
         binding.since = job.last_bound_at = self.now()
-        job.part(task).bindings[task] = binding
+        job.chunk_of(task).bindings[task] = binding
         self.capacity.add(job, task, binding)
         machine = self.inventory.get(binding.machine)
         if machine is not None:
@@ -157,7 +156,7 @@
             )
 
     def unbind(self, job, task):
-        binding = job.part(task).bindings.pop(task)
+        binding = job.chunk_of(task).bindings.pop(task)
         self.capacity.remove(job, task, binding)
         return binding
 
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -1,180 +1,160 @@
-"""Which jobs wait for which, and what follows from it; derived from the committed copy alone.
+"""Which jobs wait for which, and what follows from it; derived from the replica alone.
 
-Every controller works out the same from the same copy: who may be released, who is cancelled with a
-job that it needs, and how urgent a job is for those that need it. Nothing of it is stored.
+Every controller works out the same from the same replica: who may be released, who is cancelled
+with a job that it needs, and how urgent a job is for those that need it. Nothing of it is stored.
 Walks along the graph use a stack of their own: chains may be long.
 """
 
-import enum
 from collections import OrderedDict
-from dataclasses import dataclass
+from collections.abc import Iterable
+from typing import Any
 
-from .record import Spec
-from .waiting import WaitingRecord, read_piece_key
+from . import wire
+from .urgency import InheritedUrgency
+from .waiting_job import WaitingJob, WaitingJobRecord
+from .wire import Outcome
 
-MAX_OUTCOMES = (
-    20_000  # jobs that are over whose outcome is kept at hand; others are read when needed
-)
+# Jobs that are over whose outcome is kept in memory; others are read when needed.
+MAX_OUTCOMES = 20_000
 
-
-class Outcome(enum.Enum):
-    """How a job ended."""
-
-    DONE = "done"
-    CANCELLED = "withdrawn"
-
-
-@dataclass(frozen=True)
-class Urgency:
-    """What the jobs that need a job lend to it: the highest rank, and the earliest time by which it
-    is due.
-    """
-
-    priority: int
-    due: float
-
-    def most(self, other):
-        """The more urgent of both, each by its own measure."""
-        if other is None:
-            return self
-        return Urgency(min(self.priority, other.priority), min(self.due, other.due))
-
-
-@dataclass
-class WaitingJob:
-    """A job that was accepted and waits for others."""
-
-    spec: Spec
-    needs: tuple
-    mod_revision: int
-    list_id: str = ""  # of the pieces that its needs are kept in, if they are
-    open_needs: int = 0  # needs that are not known to be done
-    cancelled: bool = False
-
-    def own_urgency(self):
-        due = (
-            self.spec.submitted_at + self.spec.deadline_s
-            if self.spec.deadline_s is not None
-            else float("inf")
-        )
-        return Urgency(self.spec.priority, due)
+Event = tuple[str, Any, int]  # (key, its record or None, mod revision)
 
 
 class DependencyGraph:
-    """The waiting jobs of the committed copy and what they wait for."""
-
-    def __init__(self):
-        self.waiting = {}  # job -> WaitingJob
-        self.dependents = {}  # need -> waiting jobs that need it
-        self.live = {}  # live job -> whether it is cancelled
-        self.outcomes = OrderedDict()  # job that is over -> Outcome
-        self.pieces = {}  # (job, list id) -> {number: (ids, stamp)}
-        self.ready = set()  # waiting jobs all of whose needs are done
-        self.cancelled = set()  # waiting jobs that are cancelled with a need
-        self.unresolved = set()  # needs of which the copy does not tell how they ended
-        self.urgency = {}  # needed job -> Urgency
-        self.urgency_changed = set()
-
-    # --- the committed copy
+    """The waiting jobs of the replica and what they wait for.
+
+    Attributes:
+        waiting: job -> WaitingJob.
+        dependents: job -> the waiting jobs that need it.
+        live: live job -> whether it is cancelled.
+        outcomes: Jobs that are over -> Outcome.
+        segments: (job, list id) -> {number: (job ids, mod revision)}.
+        ready: Waiting jobs all of whose dependencies are done.
+        cancelled: Waiting jobs that are cancelled with a dependency.
+        unresolved: Dependencies of which the replica does not tell how they ended.
+        urgency: What each job inherits from those that need it.
+    """
 
-    def apply(self, events, whole):
-        """Takes over changes of the copy, in their order."""
+    def __init__(self) -> None:
+        self.waiting: dict[str, WaitingJob] = {}
+        self.dependents: dict[str, set[str]] = {}
+        self.live: dict[str, bool] = {}
+        self.outcomes: OrderedDict[str, Outcome] = OrderedDict()
+        self.segments: dict[tuple[str, str], dict[int, tuple[list[str], int]]] = {}
+        self.ready: set[str] = set()
+        self.cancelled: set[str] = set()
+        self.unresolved: set[str] = set()
+        self.urgency = InheritedUrgency(self.waiting, self.dependents)
+
+    # --- following the replica
+
+    def apply(self, events: Iterable[Event], whole: bool) -> None:
+        """Takes in changes of the replica, in their order; `whole`: they are all of it."""
         if whole:
             self._forget()
-        # The order of keys puts a job before the pieces of its list.
-        for key, data, mod_revision in events:
-            if key.startswith("x/"):
-                self._apply_piece(key, data, mod_revision)
-        touched = set()
-        for key, data, mod_revision in events:
-            if key.startswith("j/"):
-                self._apply_live(key[2:], data, whole, touched)
-            elif key.startswith("w/"):
-                self._apply_waiting(key[2:], data, mod_revision, touched)
+        # The order of keys puts a job before the segments of its list.
+        for key, record, mod_revision in events:
+            if key.startswith(wire.SEGMENT_PREFIX):
+                self._apply_segment(key, record, mod_revision)
+        touched: set[str] = set()
+        for key, record, mod_revision in events:
+            if key.startswith(wire.JOB_PREFIX):
+                self._apply_live(wire.job_id_of(key), record, whole, touched)
+            elif key.startswith(wire.WAITING_PREFIX):
+                self._apply_waiting(wire.job_id_of(key), record, mod_revision, touched)
         for job_id in touched:
-            self._look_for_outcome(job_id)
+            self._note_if_unresolved(job_id)
 
-    def _forget(self):
+    def _forget(self) -> None:
         """Before everything is read anew. Outcomes never change."""
-        self.urgency_changed.update(self.urgency)
-        self.waiting, self.dependents, self.live, self.pieces, self.urgency = {}, {}, {}, {}, {}
+        self.urgency.forget()
+        self.waiting.clear()
+        self.dependents.clear()
+        self.live, self.segments = {}, {}
         self.ready, self.cancelled, self.unresolved = set(), set(), set()
 
-    def _apply_piece(self, key, data, mod_revision):
-        piece = read_piece_key(key)
-        pieces = self.pieces.setdefault((piece.job_id, piece.list_id), {})
-        if data is not None:
-            pieces[piece.number] = (data, mod_revision)
+    def _apply_segment(self, key: str, ids: list[str] | None, mod_revision: int) -> None:
+        job_id, list_id, number = wire.read_segment_key(key)
+        segments = self.segments.setdefault((job_id, list_id), {})
+        if ids is not None:
+            segments[number] = (ids, mod_revision)
             return
-        pieces.pop(piece.number, None)
-        if not pieces:
-            del self.pieces[(piece.job_id, piece.list_id)]
-
-    def _apply_live(self, job_id, data, whole, touched):
-        if data is not None:
-            cancelled = bool(data.get("w"))
-            before = self.live.get(job_id)
+        segments.pop(number, None)
+        if not segments:
+            del self.segments[(job_id, list_id)]
+
+    def _apply_live(
+        self, job_id: str, record: wire.Record | None, whole: bool, touched: set[str]
+    ) -> None:
+        if record is not None:
+            cancelled = wire.is_cancelled(record)
+            cancelled_before = self.live.get(job_id)
             self.live[job_id] = cancelled
             self.unresolved.discard(job_id)
-            if cancelled and not before:
+            if cancelled and not cancelled_before:
                 self._cancel_dependents(job_id)
             return
-        before = self.live.pop(job_id, None)
-        if before is None or whole:
+        cancelled_before = self.live.pop(job_id, None)
+        if cancelled_before is None or whole:
             touched.add(job_id)
             return
         # The end of a job is written on condition of its record, so the last record seen tells how
         # it ended.
-        self.resolve(job_id, Outcome.CANCELLED if before else Outcome.DONE)
-
-    def _apply_waiting(self, job_id, data, mod_revision, touched):
-        if data is None:
-            gone = self._remove(job_id)
-            if gone is not None and gone.cancelled:
+        self.resolve(job_id, Outcome.CANCELLED if cancelled_before else Outcome.DONE)
+
+    def _apply_waiting(
+        self, job_id: str, record: wire.Record | None, mod_revision: int, touched: set[str]
+    ) -> None:
+        if record is None:
+            removed = self._remove(job_id)
+            if removed is not None and removed.cancelled:
                 self.resolve(job_id, Outcome.CANCELLED)
             touched.add(job_id)  # released, or cancelled by its own user
         elif job_id not in self.waiting:
-            self._add(job_id, WaitingRecord.decode(job_id, data), mod_revision)
+            self._add(job_id, wire.read_waiting_record(job_id, record), mod_revision)
             touched.add(job_id)
-            touched.update(self.waiting[job_id].needs)
+            touched.update(self.waiting[job_id].dependencies)
 
-    def _add(self, job_id, record, mod_revision):
-        needs = record.needs
-        if record.pieces:
-            pieces = self.pieces.get((job_id, record.list_id), {})
-            needs = tuple(need for number in sorted(pieces) for need in pieces[number][0])
-        job = self.waiting[job_id] = WaitingJob(record.spec, needs, mod_revision, record.list_id)
+    def _add(self, job_id: str, record: WaitingJobRecord, mod_revision: int) -> None:
+        dependencies = self._dependencies_of(job_id, record)
+        job = WaitingJob(record.spec, dependencies, mod_revision, record.list_id)
+        self.waiting[job_id] = job
         cancelled = False
-        for need in needs:
-            self.dependents.setdefault(need, set()).add(job_id)
-            outcome = self.outcomes.get(need)
-            job.open_needs += outcome is not Outcome.DONE
-            cancelled = cancelled or outcome is Outcome.CANCELLED or self.is_cancelled(need)
-        self._lend(job_id)
+        for needed in dependencies:
+            self.dependents.setdefault(needed, set()).add(job_id)
+            job.open_dependencies += self.outcomes.get(needed) is not Outcome.DONE
+            cancelled = cancelled or self.is_cancelled(needed)
+        self.urgency.propagate(job_id)
         if cancelled:
             self._cancel([job_id])
-        elif not job.open_needs:
+        elif not job.open_dependencies:
             self.ready.add(job_id)
 
-    def _remove(self, job_id):
+    def _dependencies_of(self, job_id: str, record: WaitingJobRecord) -> tuple[str, ...]:
+        if not record.segments:
+            return record.dependencies
+        segments = self.segments.get((job_id, record.list_id), {})
+        return tuple(needed for number in sorted(segments) for needed in segments[number][0])
+
+    def _remove(self, job_id: str) -> WaitingJob | None:
         job = self.waiting.pop(job_id, None)
         if job is None:
             return None
         self.ready.discard(job_id)
         self.cancelled.discard(job_id)
-        for need in job.needs:
-            others = self.dependents.get(need)
+        for needed in job.dependencies:
+            others = self.dependents.get(needed)
             if others is None:
                 continue
             others.discard(job_id)
             if not others:
-                del self.dependents[need]
-                self.unresolved.discard(need)
-        self._borrow_again(job.needs)
+                del self.dependents[needed]
+                self.unresolved.discard(needed)
+        self.urgency.recompute(job.dependencies)
         return job
 
-    def _look_for_outcome(self, job_id):
-        """A need that is neither live nor waiting is over; its final key tells how."""
+    def _note_if_unresolved(self, job_id: str) -> None:
+        """A dependency that is neither live nor waiting is over; its final key tells how."""
         if (
             job_id in self.live
             or job_id in self.waiting
@@ -187,8 +167,8 @@
 
     # --- what follows
 
-    def resolve(self, job_id, outcome):
-        """A job has ended; its final key says so."""
+    def resolve(self, job_id: str, outcome: Outcome) -> None:
+        """A job has ended; its final key says so, or its last record did."""
         if job_id in self.outcomes:
             return
         self.outcomes[job_id] = outcome
@@ -200,12 +180,12 @@
             return
         for dependent in self.dependents.get(job_id, ()):
             job = self.waiting[dependent]
-            job.open_needs -= 1
-            if not job.open_needs and not job.cancelled:
+            job.open_dependencies -= 1
+            if not job.open_dependencies and not job.cancelled:
                 self.ready.add(dependent)
 
-    def is_cancelled(self, job_id):
-        """Whether the copy shows a job cancelled, by its own user or with a job that it needs."""
+    def is_cancelled(self, job_id: str) -> bool:
+        """Whether the replica shows a job cancelled, by its user or with a job that it needs."""
         waiting = self.waiting.get(job_id)
         return bool(
             self.live.get(job_id)
@@ -213,10 +193,26 @@
             or self.outcomes.get(job_id) is Outcome.CANCELLED
         )
 
-    def _cancel_dependents(self, job_id):
+    def unresolved_before(self, job_id: str) -> set[str]:
+        """The unresolved dependencies of a waiting job and of the waiting jobs that it needs."""
+        if not self.unresolved:
+            return set()
+        unresolved: set[str] = set()
+        seen, stack = {job_id}, [job_id]
+        while stack:
+            job = self.waiting.get(stack.pop())
+            for needed in job.dependencies if job is not None else ():
+                if needed in self.unresolved:
+                    unresolved.add(needed)
+                if needed not in seen:
+                    seen.add(needed)
+                    stack.append(needed)
+        return unresolved
+
+    def _cancel_dependents(self, job_id: str) -> None:
         self._cancel(list(self.dependents.get(job_id, ())))
 
-    def _cancel(self, stack):
+    def _cancel(self, stack: list[str]) -> None:
         """These waiting jobs are cancelled, and so are all that need them."""
         while stack:
             job_id = stack.pop()
@@ -226,69 +222,5 @@
             job.cancelled = True
             self.ready.discard(job_id)
             self.cancelled.add(job_id)
-            self._borrow_again(job.needs)
+            self.urgency.recompute(job.dependencies)
             stack.extend(self.dependents.get(job_id, ()))
-
-    def unresolved_before(self, job_id):
-        """The unresolved needs of a waiting job, its own and those of the waiting jobs that it
-        needs.
-        """
-        if not self.unresolved:
-            return set()
-        found, seen, stack = set(), {job_id}, [job_id]
-        while stack:
-            job = self.waiting.get(stack.pop())
-            for need in job.needs if job is not None else ():
-                if need in self.unresolved:
-                    found.add(need)
-                if need not in seen:
-                    seen.add(need)
-                    stack.append(need)
-        return found
-
-    # --- urgency
-
-    def _lent_by(self, job_id):
-        """What a waiting job lends to each of its needs: time for its own tasks is to be left."""
-        job = self.waiting[job_id]
-        urgency = job.own_urgency().most(self.urgency.get(job_id))
-        return Urgency(urgency.priority, urgency.due - job.spec.estimated_run_s)
-
-    def _lend(self, job_id):
-        """Spreads the urgency of a waiting job that grew more urgent to all that it needs."""
-        stack = [job_id]
-        while stack:
-            dependent = stack.pop()
-            lent = self._lent_by(dependent)
-            for need in self.waiting[dependent].needs:
-                if lent.most(self.urgency.get(need)) != self.urgency.get(need):
-                    self._set_urgency(need, lent.most(self.urgency.get(need)))
-                    if need in self.waiting:
-                        stack.append(need)
-
-    def _borrow_again(self, needs):
-        """Works the urgency of jobs out anew after one that needs them was cancelled."""
-        stack = list(needs)
-        while stack:
-            need = stack.pop()
-            urgency = None
-            for dependent in self.dependents.get(need, ()):
-                if not self.waiting[dependent].cancelled:
-                    urgency = self._lent_by(dependent).most(urgency)
-            if urgency == self.urgency.get(need):
-                continue
-            self._set_urgency(need, urgency)
-            if need in self.waiting:
-                stack.extend(self.waiting[need].needs)
-
-    def _set_urgency(self, job_id, urgency):
-        if urgency is None:
-            self.urgency.pop(job_id, None)
-        else:
-            self.urgency[job_id] = urgency
-        self.urgency_changed.add(job_id)
-
-    def take_urgency_changes(self):
-        """The jobs whose urgency changed since the last call."""
-        changed, self.urgency_changed = self.urgency_changed, set()
-        return changed
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -9,17 +9,13 @@
 from .. import placement
 from ..actors import tell_after
 from ..state import ReplicaSubscriber
+from .binding import StopMode
+from .chunking import chunk_size
 from .cleanup import Cleanup
 from .commits import Commits
 from .committed import CommittedJobs
+from .job import task_name
 from .preemption import Preemption
-from .record import (
-    KEEP,
-    SAVE,
-    STOP,
-    part_size,
-    task_name,
-)
 from .relayout import Relayout
 from .releases import Releases
 from .scheduler import Scheduler
@@ -47,7 +43,7 @@
         Releases.__init__(self)
         Relayout.__init__(self)
         Cleanup.__init__(self)
-        self.size = part_size(settings.value_bytes)
+        self.size = chunk_size(settings.value_bytes)
         self.inventory = {}  # machine -> placement.Machine
         self.errors = {}  # job -> machines on which a task of it ended in error
         self.agents = None  # set when the node is put together
@@ -74,7 +70,7 @@
         job = self.jobs.get(update.job_id)
         if job is None or not self.decides(job) or not 0 <= update.task < job.spec.tasks:
             return
-        binding = job.part(update.task).bindings.get(update.task)
+        binding = job.chunk_of(update.task).bindings.get(update.task)
         match update:
             case TaskExited():
                 self.task_exited(job, binding, update)
@@ -84,7 +80,7 @@
             case StopWanted():
                 if binding is not None and (binding.attempt, binding.stop) == (
                     update.attempt,
-                    KEEP,
+                    StopMode.KEEP,
                 ):
                     self.stop(job, update.task, update.mode, update.reason)
 
@@ -95,12 +91,12 @@
             update.machine,
         ):
             return
-        task, part = update.task, job.part(update.task)
+        task, part = update.task, job.chunk_of(update.task)
         self.unbind(job, task)
         if update.reason == "done" and not job.spec.service:
             part.done.add(task)
         else:
-            part.tried[task] = update.attempt
+            part.last_attempts[task] = update.attempt
             self.failed(job, task, update.machine, update.reason)
         self.touch(job, task, soon=False)
         self.settle(job)
@@ -117,7 +113,7 @@
             if not broken_job:
                 _, count = self.suspects.get(machine, (0, 0))
                 self.suspects[machine] = (now + lease * min(2**count, MAX_REST_LEASES), count + 1)
-            job.not_before[task] = now + (
+            job.retry_at[task] = now + (
                 lease * min(len(machines), MAX_REST_LEASES) if broken_job else 0
             )
             log.info(
@@ -132,18 +128,18 @@
                 self.suspects.get(machine, (0, 0))[1],
             )
         elif exit_reason in ("incomplete", "mates_gone"):
-            job.not_before[task] = now + self.settings.agent_heartbeat_s
+            job.retry_at[task] = now + self.settings.agent_heartbeat_s
         elif exit_reason == "no_such":
-            job.not_before[task] = now + lease / 2
+            job.retry_at[task] = now + lease / 2
         elif exit_reason == "done":
-            job.not_before[task] = now + self.settings.agent_heartbeat_s
+            job.retry_at[task] = now + self.settings.agent_heartbeat_s
 
     def release(self, job, task, attempt, machine):
-        part = job.part(task)
+        part = job.chunk_of(task)
         binding = part.bindings.get(task)
         if binding is not None and (binding.attempt, binding.machine) == (attempt, machine):
             self.unbind(job, task)
-            part.tried[task] = attempt
+            part.last_attempts[task] = attempt
             self.touch(job, task)
 
     def obey_taints(self, machines):
@@ -160,8 +156,8 @@
                     moved.setdefault(machine, []).append(task_name(job.id, task))
                     self.release(job, task, binding.attempt, machine)
                     self.settle(job)
-                elif taint == "drain" and binding.stop == KEEP:
-                    self.stop(job, task, SAVE, "its machine is drained")
+                elif taint == "drain" and binding.stop == StopMode.KEEP:
+                    self.stop(job, task, StopMode.SAVE, "its machine is drained")
         if moved:
             log.info(
                 "%d tasks of %d machines move, whose leases are over: %s",
@@ -174,9 +170,13 @@
             )
 
     def stop(self, job, task, how, reason):
-        binding = job.part(task).bindings[task]
+        binding = job.chunk_of(task).bindings[task]
         log.info("stopping %s on %s: %s", task_name(job.id, task), binding.machine, reason)
-        binding.stop = SAVE if how == SAVE and job.spec.checkpoint_interval_s > 0 else STOP
+        binding.stop = (
+            StopMode.SAVE
+            if how == StopMode.SAVE and job.spec.checkpoint_interval_s > 0
+            else StopMode.STOP
+        )
         self.touch(job, task)
 
     # --- now and then
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -2,7 +2,7 @@
 
 from .. import placement
 from ..actors import tell
-from .record import SAVE
+from .binding import StopMode
 from .task_updates import StopWanted
 
 MAX_STOPS = 16  # in a round: each costs a look at all machines, and the next round comes soon
@@ -63,7 +63,7 @@
         pressing = [
             job
             for job in waiting
-            if self.mine(job) and job.waiting_count() and self.pressing(job, now)
+            if self.mine(job) and job.pending_count() and self.pressing(job, now)
         ]
         if not pressing:
             return []
@@ -88,7 +88,7 @@
                 placement_round.give(job.spec, binding.machine)
         for job_id, task, attempt in self.asked:
             job = self.jobs.get(job_id)
-            binding = job.part(task).bindings.get(task) if job is not None else None
+            binding = job.chunk_of(task).bindings.get(task) if job is not None else None
             if (
                 binding is not None
                 and binding.attempt == attempt
@@ -129,7 +129,7 @@
         """Picks victims for one task after the other, and asks for their stop."""
         stops_left = MAX_STOPS
         for job in pressing:
-            for _ in range(min(job.waiting_count(), MAX_STOPS_FOR_JOB)):
+            for _ in range(min(job.pending_count(), MAX_STOPS_FOR_JOB)):
                 victims = self.victims_for(now, job, rows, placement_round)
                 if victims is None:
                     break
@@ -162,8 +162,8 @@
     def ask_stop(self, now, row, reason):
         job, task, binding = row
         if self.mine(job):
-            self.stop(job, task, SAVE, reason)
+            self.stop(job, task, StopMode.SAVE, reason)
         else:
             self.asked[(job.id, task, binding.attempt)] = now
-            update = StopWanted(job.id, task, binding.attempt, SAVE, reason)
+            update = StopWanted(job.id, task, binding.attempt, StopMode.SAVE, reason)
             tell(self.agents.on_ask_stop, update)
--- a/emberglade/jobs/relayout.py
+++ b/emberglade/jobs/relayout.py
@@ -14,7 +14,10 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from ..transport import status_text
-from .record import Job, Part, job_key, part_key, part_size_for, shard_of
+from . import wire
+from .chunk import Chunk
+from .chunking import chunk_size_for, rechunk
+from .job import Job, shard_of
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -29,7 +32,7 @@
     generation: str
     mod_revision: int = 0  # of the record that the new parts were made from
     record: dict | None = None
-    parts: list = None  # (key, value) of those that are still to be written
+    chunks: list = None  # (key, value) of those that are still to be written
 
 
 class Relayout:
@@ -43,13 +46,13 @@
         """Whether a part of the job may be too large to be written."""
         if not self.format_raised:
             return False
-        if job.fitting_size is None:
-            job.fitting_size = part_size_for(job.request, self.settings.value_bytes)
-        return 0 < job.fitting_size < min(job.size, job.request.tasks)
+        if job.fitting_chunk_size is None:
+            job.fitting_chunk_size = chunk_size_for(job.stored_spec, self.settings.value_bytes)
+        return 0 < job.fitting_chunk_size < min(job.chunk_size, job.stored_spec.tasks)
 
     def waits_for_relayout(self, key):
-        job = self.jobs.get(key.split("/")[1])
-        return job is not None and not job.over() and self.needs_relayout(job)
+        job = self.jobs.get(wire.job_id_of(key))
+        return job is not None and not job.is_over() and self.needs_relayout(job)
 
     def is_laid_out_anew(self, job_id):
         return self.layout_change is not None and self.layout_change.job_id == job_id
@@ -60,8 +63,8 @@
         """
         if self.layout_change is not None or not self.format_raised or self.incarnation is None:
             return
-        urgent = {key.split("/")[1] for key in self.dirty}
-        busy = {key.split("/")[1] for key in self.flight or ()}
+        urgent = {wire.job_id_of(key) for key in self.dirty}
+        busy = {wire.job_id_of(key) for key in self.flight or ()}
         own = [
             job
             for job in self.jobs.values()
@@ -72,25 +75,25 @@
         job = max(own, key=lambda job: (job.id in urgent, job.binding_count(), job.id))
         self.layout_changes += 1
         self.layout_change = LayoutChange(job.id, f"{self.incarnation}-{self.layout_changes}")
-        keys = [job.part_key(number) for number in {0, *job.parts}]
+        keys = [wire.key_of_chunk(job, number) for number in {0, *job.chunks}]
         tell(self.store.on_read_replica, keys, callback(self.on_layout_looked, self.layout_change))
 
     def on_layout_looked(self, change, found):
         """Falls back to what is committed and works out the new parts."""
         job = self.jobs.get(change.job_id)
-        if job is None or not self.mine(job) or found.get(job_key(job.id)) is None:
+        if job is None or not self.mine(job) or found.get(wire.job_key(job.id)) is None:
             self.end_layout_change()
             return
-        for part in job.parts.values():
+        for part in job.chunks.values():
             part.mod_revision = -1
         self.forget_wishes(found)
-        size = job.fitting_size
-        parts = split_parts(job, size)
-        laid_out = Job(job.request, size, job.cancelled, change.generation)
-        laid_out.parts = {0: parts.pop(0, Part())}
-        change.mod_revision, change.record = job.mod_revision(), laid_out.encode()
-        change.parts = [
-            (part_key(job.id, number, change.generation), part.encode())
+        size = job.fitting_chunk_size
+        parts = rechunk(job, size)
+        laid_out = Job(job.stored_spec, size, job.cancelled, change.generation)
+        laid_out.chunks = {0: parts.pop(0, Chunk())}
+        change.mod_revision, change.record = job.mod_revision, wire.job_record(laid_out)
+        change.chunks = [
+            (wire.chunk_key(job.id, number, change.generation), wire.chunk_record(part))
             for number, part in sorted(parts.items())
         ]
         self.write_layout(change)
@@ -98,14 +101,14 @@
     def write_layout(self, change):
         """Writes the next of the new parts, or switches to them when all are there."""
         job = self.jobs.get(change.job_id)
-        if job is None or not self.mine(job) or job.mod_revision() != change.mod_revision:
+        if job is None or not self.mine(job) or job.mod_revision != change.mod_revision:
             self.end_layout_change()
             return
-        if not change.parts:
+        if not change.chunks:
             self.switch_layout(job, change)
             return
-        some = change.parts[: self.most_writes]
-        conditions = [self.epoch_of(job.request), *((LIVE_PREFIX + key, 0) for key, _ in some)]
+        some = change.chunks[: self.most_writes]
+        conditions = [self.epoch_of(job.stored_spec), *((LIVE_PREFIX + key, 0) for key, _ in some)]
         writes = [state_wire.put(LIVE_PREFIX + key, value) for key, value in some]
         tell(
             self.store.on_commit,
@@ -117,7 +120,7 @@
 
     def on_layout_written(self, change, count, status, revision, failed):
         if status == 200:
-            del change.parts[:count]
+            del change.chunks[:count]
             self.write_layout(change)
         elif status in NOT_EXECUTED:
             tell_after(self.settings.agent_heartbeat_s / 8, self.on_write_layout_again, change)
@@ -137,9 +140,9 @@
         if self.flight is not None:
             tell_after(self.settings.agent_heartbeat_s / 40, self.on_write_layout_again, change)
             return
-        key, (epoch, mod_revision) = job_key(job.id), self.epoch_of(job.request)
-        self.flight = {key: job.part(0)}
-        self.flight_shards = {shard_of(job.request, self.settings.teams, self.shards)}
+        key, (epoch, mod_revision) = wire.job_key(job.id), self.epoch_of(job.stored_spec)
+        self.flight = {key: job.chunk_of(0)}
+        self.flight_shards = {shard_of(job.stored_spec, self.settings.teams, self.shards)}
         self.deferred = {key: []}
         tell(
             self.store.on_commit,
@@ -156,7 +159,11 @@
             tell_after(self.settings.agent_heartbeat_s / 8, self.on_write_layout_again, change)
             return
         if status == 200:
-            log.info("%s is laid out anew, in parts of %d tasks", change.job_id, change.record["z"])
+            log.info(
+                "%s is laid out anew, in parts of %d tasks",
+                change.job_id,
+                wire.read_chunk_size(change.record),
+            )
         else:
             self.refused_layout(change, status, failed)
         self.layout_change = None
@@ -178,20 +185,3 @@
 
     def end_layout_change(self):
         self.layout_change = None
-
-
-def split_parts(job, size):
-    """{number: Part} of the job's tasks in parts of another size; empty ones are left out."""
-    parts = {}
-
-    def part_of(task):
-        return parts.setdefault(task // size, Part())
-
-    for old in job.parts.values():
-        for task in old.done:
-            part_of(task).done.add(task)
-        for task, binding in old.bindings.items():
-            part_of(task).bindings[task] = binding
-        for task, attempt in old.tried.items():
-            part_of(task).tried[task] = attempt
-    return parts
--- a/emberglade/jobs/releases.py
+++ b/emberglade/jobs/releases.py
@@ -11,9 +11,12 @@
 from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
-from .dependencies import DependencyGraph, Outcome
-from .record import Job, final_key, job_key, part_size_for
-from .waiting import piece_key, released, waiting_key
+from . import wire
+from .chunking import chunk_size_for
+from .dependencies import DependencyGraph
+from .job import Job
+from .waiting_job import released_spec
+from .wire import Outcome
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -32,10 +35,10 @@
 
     def follow_dependencies(self, events, whole):
         self.graph.apply(events, whole)
-        for job_id in self.graph.take_urgency_changes():
+        for job_id in self.graph.urgency.take_changes():
             job = self.jobs.get(job_id)
             if job is not None:
-                job.borrow_urgency(self.graph.urgency.get(job_id))
+                job.inherit_urgency(self.graph.urgency.get(job_id))
         self.soon_release()
 
     def own_waiting(self, job_ids):
@@ -53,15 +56,15 @@
                 tell(
                     self.store.on_read,
                     DECISIONS,
-                    FINAL_PREFIX + final_key(need),
+                    FINAL_PREFIX + wire.final_key(need),
                     callback(self.on_need_read, need),
                 )
 
     def on_need_read(self, need, status, data, mod_revision):
         self.needs_read.discard(need)
-        outcome = read_outcome(status, data)
-        if outcome is not None:
-            self.graph.resolve(need, outcome)
+        final = wire.read_final(status, data)
+        if final is not None:
+            self.graph.resolve(need, final.outcome)
             self.soon_release()
 
     # --- releases and ends
@@ -80,7 +83,7 @@
         ready = sorted(
             self.own_waiting(graph.ready),
             key=lambda job_id: (
-                graph.waiting[job_id].own_urgency().most(graph.urgency.get(job_id)).priority,
+                graph.urgency.of_waiting(job_id).priority,
                 job_id,
             ),
         )
@@ -93,13 +96,15 @@
         for job_id in ready + ends:
             job = graph.waiting[job_id]
             conditions.add(self.epoch_of(job.spec))
-            conditions.add((LIVE_PREFIX + waiting_key(job_id), job.mod_revision))
+            conditions.add((LIVE_PREFIX + wire.waiting_key(job_id), job.mod_revision))
             if job_id in graph.ready:
-                writes.append(state_wire.put(LIVE_PREFIX + job_key(job_id), self.live_record(job)))
+                writes.append(
+                    state_wire.put(LIVE_PREFIX + wire.job_key(job_id), self.live_record(job))
+                )
             else:
-                end = {"glow": Outcome.CANCELLED.value, "n": job.spec.tasks, "d": 0}
-                writes.append(state_wire.put(FINAL_PREFIX + final_key(job_id), end))
-            writes.append(state_wire.remove(LIVE_PREFIX + waiting_key(job_id)))
+                end = wire.final_record(Outcome.CANCELLED, job.spec.tasks, 0)
+                writes.append(state_wire.put(FINAL_PREFIX + wire.final_key(job_id), end))
+            writes.append(state_wire.remove(LIVE_PREFIX + wire.waiting_key(job_id)))
         self.release_busy = True
         self.write_rate(self.now(), len(writes))
         tell(
@@ -111,8 +116,8 @@
         )
 
     def live_record(self, job):
-        spec = released(job.spec, self.system.wall())
-        return Job(spec, max(1, part_size_for(spec, self.settings.value_bytes))).encode()
+        spec = released_spec(job.spec, self.system.wall())
+        return wire.job_record(Job(spec, max(1, chunk_size_for(spec, self.settings.value_bytes))))
 
     def on_released(self, ready, ends, status, revision, failed):
         if status == 200:
@@ -156,7 +161,7 @@
         now, graph = self.now(), self.graph
         unused = [
             (job_id, list_id)
-            for job_id, list_id in graph.pieces
+            for job_id, list_id in graph.segments
             if job_id not in graph.waiting or graph.waiting[job_id].list_id != list_id
         ]
         self.unused_lists = {name: self.unused_lists.get(name, now) for name in unused}
@@ -166,14 +171,17 @@
                 return
 
     def remove_pieces(self, job_id, list_id):
-        rows = sorted(self.graph.pieces[(job_id, list_id)].items())[: self.most_writes]
+        rows = sorted(self.graph.segments[(job_id, list_id)].items())[: self.most_writes]
         keys = [
-            (LIVE_PREFIX + piece_key(job_id, list_id, number), mod_revision)
+            (LIVE_PREFIX + wire.segment_key(job_id, list_id, number), mod_revision)
             for number, (_, mod_revision) in rows
         ]
         waiting = self.graph.waiting.get(job_id)
         conditions = [
-            (LIVE_PREFIX + waiting_key(job_id), waiting.mod_revision if waiting is not None else 0),
+            (
+                LIVE_PREFIX + wire.waiting_key(job_id),
+                waiting.mod_revision if waiting is not None else 0,
+            ),
             *keys,
         ]
         tell(
@@ -183,13 +191,3 @@
             [state_wire.remove(key) for key, _ in keys],
             lambda *_: None,
         )
-
-
-def read_outcome(status, data):
-    """The Outcome in a final key's value, or None if it was not to be had."""
-    if status != 200 or not isinstance(data, dict):
-        return None
-    try:
-        return Outcome(data.get("glow"))
-    except ValueError:
-        return None
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -5,7 +5,7 @@
 
 from .. import placement
 from ..actors import tell_after
-from .record import Binding
+from .binding import Binding
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -46,7 +46,7 @@
         waiting = [
             job
             for job in self.jobs.values()
-            if not job.cancelled and job.waiting_count() and not self.needs_relayout(job)
+            if not job.cancelled and job.pending_count() and not self.needs_relayout(job)
         ]
         if not any(self.mine(job) for job in waiting):
             return
@@ -95,7 +95,7 @@
                 for row in [row for row in ahead if row[0].spec.priority < job.spec.priority]:
                     ahead.remove(row)
                     placement_round.fill(row[0], math.ceil(row[1]))
-                most = min(job.waiting_count(), placement_round.most(job.spec), 256)
+                most = min(job.pending_count(), placement_round.most(job.spec), 256)
                 if within and job.spec.priority:
                     most = min(most, self.capacity.tasks_within_guarantee(job.spec))
                 if job.id in starving:
@@ -112,12 +112,12 @@
                     hopeful = job.binding_count() or job.done_count()
                     tasks = [
                         task
-                        for task in job.waiting(now, most + past)
-                        if hopeful or job.part(task).tried.get(task, 0) <= 3
+                        for task in job.pending_tasks(now, most + past)
+                        if hopeful or job.chunk_of(task).last_attempts.get(task, 0) <= 3
                     ]
                     played[job.id] = past + len(placement_round.fill(job, len(tasks) - past))
                 elif budget > 0:
-                    budget -= self.place(job, job.waiting(now, most), placement_round, wall)
+                    budget -= self.place(job, job.pending_tasks(now, most), placement_round, wall)
         self.preempt(now, waiting, placement_round)
         # A round costs more the more there is; so that rounds leave time for reports, the next one
         # comes no sooner than a few times what this one took, and a tenth of a report interval.
@@ -130,17 +130,21 @@
         found = placement_round.fill(job, len(tasks))
         placement_round.forget(len(found))
         if not found or (
-            job.spec.gang and not job.binding_count() and len(found) < job.waiting_count()
+            job.spec.gang and not job.binding_count() and len(found) < job.pending_count()
         ):
             return 0
         missing = 0
         for task, machine in zip(tasks, found, strict=False):
             missing += not self.images.has(machine, job.spec.image)
-            part = job.part(task)
+            part = job.chunk_of(task)
             self.bind(
                 job,
                 task,
-                Binding(part.tried.pop(task, 0) + 1, machine, self.inventory[machine].agent_epoch),
+                Binding(
+                    part.last_attempts.pop(task, 0) + 1,
+                    machine,
+                    self.inventory[machine].agent_epoch,
+                ),
             )
             self.touch(job, task)
         log.info(
--- /dev/null
+++ b/emberglade/jobs/wire.py
@@ -0,0 +1,372 @@
+"""The jobs' keys and records in the store: the one place that knows their names and fields.
+
+Keys are without LIVE_PREFIX (or FINAL_PREFIX), as the replica holds them:
+
+    j/JOB                   a live job: its description and its first chunk of tasks
+    t/JOB/N                 a further chunk of its tasks
+    t/JOB/GENERATION/N      the same of a job that was rechunked
+    w/JOB                   a job that waits for others
+    x/JOB/LIST/N            a segment of its list of dependencies, if that is long
+    JOB                     (under FINAL_PREFIX) how a job ended
+
+Records are JSON objects, a segment is a list of job ids.
+"""
+
+import enum
+from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+from .binding import Binding, StopMode
+from .chunk import Chunk
+from .job import Job
+from .job_spec import JobSpec
+from .waiting_job import WaitingJobRecord
+
+JOB_PREFIX = "j/"
+CHUNK_PREFIX = "t/"
+WAITING_PREFIX = "w/"
+SEGMENT_PREFIX = "x/"
+
+Record = dict[str, Any]
+
+
+class Outcome(enum.Enum):
+    """How a job ended. The values are stored, and told to users."""
+
+    DONE = "done"
+    CANCELLED = "withdrawn"
+
+
+class FinalState(NamedTuple):
+    """How a job ended, and how many of its tasks were done."""
+
+    outcome: Outcome
+    done: int
+    tasks: int
+
+
+class ChunkKey(NamedTuple):
+    """The key of a further chunk; `generation` is empty unless the job was rechunked."""
+
+    job_id: str
+    generation: str
+    number: int
+
+
+class SegmentKey(NamedTuple):
+    """The key of a segment; `list_id` is unique to one attempt to submit the job."""
+
+    job_id: str
+    list_id: str
+    number: int
+
+
+# --- keys
+
+
+def job_key(job_id: str) -> str:
+    """The key of a live job."""
+    return JOB_PREFIX + job_id
+
+
+def is_job_key(key: str) -> bool:
+    """Whether a key is a live job's."""
+    return key.startswith(JOB_PREFIX)
+
+
+def chunk_key(job_id: str, number: int, generation: str = "") -> str:
+    """The key of a further chunk of a live job."""
+    if generation:
+        return f"{CHUNK_PREFIX}{job_id}/{generation}/{number}"
+    return f"{CHUNK_PREFIX}{job_id}/{number}"
+
+
+def key_of_chunk(job: Job, number: int) -> str:
+    """The key that holds a chunk of a job: of the first one, the job's own."""
+    return chunk_key(job.id, number, job.generation) if number else job_key(job.id)
+
+
+def is_chunk_key(key: str) -> bool:
+    """Whether a key is a further chunk's."""
+    return key.startswith(CHUNK_PREFIX)
+
+
+def read_chunk_key(key: str) -> ChunkKey:
+    """The ChunkKey of a further chunk's key."""
+    _, job_id, *generation, number = key.split("/")
+    return ChunkKey(job_id, "".join(generation), int(number))
+
+
+def waiting_key(job_id: str) -> str:
+    """The key of a waiting job."""
+    return WAITING_PREFIX + job_id
+
+
+def segment_key(job_id: str, list_id: str, number: int) -> str:
+    """The key of one segment of a list of dependencies."""
+    return f"{SEGMENT_PREFIX}{job_id}/{list_id}/{number}"
+
+
+def read_segment_key(key: str) -> SegmentKey:
+    """The SegmentKey of a segment's key."""
+    _, job_id, list_id, number = key.split("/")
+    return SegmentKey(job_id, list_id, int(number))
+
+
+def final_key(job_id: str) -> str:
+    """The key of a job's final state, under FINAL_PREFIX."""
+    return job_id
+
+
+def job_id_of(key: str) -> str:
+    """The id of the job that a key under any of the prefixes belongs to."""
+    return key.split("/")[1]
+
+
+# --- descriptions
+
+
+def write_spec(spec: JobSpec) -> list[Any]:
+    """A description as it is stored: a row without the id, which is in the key."""
+    return [
+        spec.job_class,
+        spec.team,
+        int(spec.service),
+        spec.priority,
+        spec.tasks,
+        spec.cpus,
+        spec.gpus,
+        spec.ram_gb,
+        spec.image,
+        spec.image_gb,
+        list(spec.allowed_types) if spec.allowed_types is not None else None,
+        spec.zone,
+        int(spec.single_zone),
+        int(spec.zone_spread),
+        int(spec.spot),
+        spec.estimated_run_s,
+        spec.checkpoint_interval_s,
+        spec.checkpoint_save_s,
+        spec.deadline_s,
+        spec.submitted_at,
+        int(spec.gang),
+    ]
+
+
+def read_spec(job_id: str, record: Record) -> JobSpec:
+    """The description in the record of a live or a waiting job."""
+    (
+        job_class,
+        team,
+        service,
+        priority,
+        tasks,
+        cpus,
+        gpus,
+        ram_gb,
+        image,
+        image_gb,
+        allowed_types,
+        zone,
+        single_zone,
+        zone_spread,
+        spot,
+        estimated_run_s,
+        checkpoint_interval_s,
+        checkpoint_save_s,
+        deadline_s,
+        submitted_at,
+        gang,
+    ) = record["s"]
+    return JobSpec(
+        id=job_id,
+        job_class=job_class,
+        team=team,
+        service=bool(service),
+        priority=priority,
+        tasks=tasks,
+        cpus=cpus,
+        gpus=gpus,
+        ram_gb=ram_gb,
+        image=image,
+        image_gb=image_gb,
+        allowed_types=tuple(allowed_types) if allowed_types is not None else None,
+        zone=zone,
+        single_zone=bool(single_zone),
+        zone_spread=bool(zone_spread),
+        spot=bool(spot),
+        estimated_run_s=estimated_run_s,
+        checkpoint_interval_s=checkpoint_interval_s,
+        checkpoint_save_s=checkpoint_save_s,
+        deadline_s=deadline_s,
+        submitted_at=submitted_at,
+        gang=bool(gang),
+    )
+
+
+# --- live jobs
+
+
+def job_record(job: Job) -> Record:
+    """The record of a live job, its first chunk included."""
+    record: Record = {"s": write_spec(job.stored_spec), "z": job.chunk_size}
+    if job.generation:
+        record["g"] = job.generation
+    if job.cancelled:
+        record["w"] = 1
+    chunk = chunk_record(job.chunk_of(0))
+    if chunk:
+        record["p"] = chunk
+    return record
+
+
+def read_job(job_id: str, record: Record) -> Job:
+    """The job of a record, without its chunks."""
+    return Job(
+        read_spec(job_id, record),
+        read_chunk_size(record),
+        is_cancelled(record),
+        read_generation(record),
+    )
+
+
+def cancelled_record(record: Record) -> Record:
+    """The record of a live job that its user has cancelled."""
+    return {**record, "w": 1}
+
+
+def is_cancelled(record: Record) -> bool:
+    """Whether the record of a live job shows it cancelled."""
+    return bool(record.get("w"))
+
+
+def read_chunk_size(record: Record) -> int:
+    """How many tasks a chunk of a live job holds."""
+    return record["z"]
+
+
+def read_generation(record: Record) -> str:
+    """The generation of a live job's chunks; empty unless it was rechunked."""
+    return record.get("g", "")
+
+
+def first_chunk(record: Record) -> Record:
+    """The record of the first chunk, out of that of a live job."""
+    return record.get("p", {})
+
+
+# --- chunks of tasks
+
+
+def chunk_record(chunk: Chunk) -> Record:
+    """The record of a chunk; empty if all its tasks are pending and were never tried."""
+    record: Record = {}
+    if chunk.done:
+        record["d"] = write_ranges(chunk.done)
+    if chunk.bindings:
+        record["b"] = {str(task): binding_row(b) for task, b in chunk.bindings.items()}
+    if chunk.last_attempts:
+        record["t"] = {str(task): attempt for task, attempt in chunk.last_attempts.items()}
+    return record
+
+
+def update_chunk(chunk: Chunk, record: Record, mod_revision: int) -> None:
+    """Makes a chunk what was committed, but for its bindings, which the caller compares."""
+    chunk.done = read_ranges(record.get("d", ()))
+    chunk.last_attempts = {int(task): attempt for task, attempt in record.get("t", {}).items()}
+    chunk.mod_revision = mod_revision
+
+
+def bound_count(record: Record) -> int:
+    """How many tasks a chunk's record shows bound."""
+    return len(record.get("b", ()))
+
+
+def done_count(record: Record) -> int:
+    """How many tasks a chunk's record shows done."""
+    return sum(last - first + 1 for first, last in record.get("d", ()))
+
+
+def write_ranges(numbers: Iterable[int]) -> list[list[int]]:
+    """Numbers as a list of [first, last]."""
+    ranges: list[list[int]] = []
+    for number in sorted(numbers):
+        if ranges and ranges[-1][1] == number - 1:
+            ranges[-1][1] = number
+        else:
+            ranges.append([number, number])
+    return ranges
+
+
+def read_ranges(ranges: Iterable[Iterable[int]]) -> set[int]:
+    """The set of numbers in a list of [first, last]."""
+    numbers: set[int] = set()
+    for first, last in ranges:
+        numbers.update(range(first, last + 1))
+    return numbers
+
+
+# --- bindings: rows [attempt, machine, agent epoch], and the StopMode if there is one
+
+
+def binding_rows(record: Record) -> dict[int, list[Any]]:
+    """{task: its binding's row} of a chunk's record."""
+    return {int(task): row for task, row in record.get("b", {}).items()}
+
+
+def binding_row(binding: Binding) -> list[Any]:
+    """The row that stores a binding."""
+    row: list[Any] = [binding.attempt, binding.machine, binding.agent_epoch]
+    if binding.stop:
+        row.append(int(binding.stop))
+    return row
+
+
+def read_binding(row: list[Any]) -> Binding:
+    """The binding that a row stores."""
+    attempt, machine, agent_epoch = row[:3]
+    return Binding(attempt, machine, agent_epoch, read_stop_mode(row))
+
+
+def read_stop_mode(row: list[Any]) -> StopMode:
+    """How a binding's row says that its task is to be stopped."""
+    return StopMode(row[3]) if len(row) > 3 else StopMode.KEEP
+
+
+# --- waiting jobs
+
+
+def waiting_record(waiting: WaitingJobRecord) -> Record:
+    """The record of a waiting job."""
+    record: Record = {"s": write_spec(waiting.spec)}
+    if waiting.segments:
+        record["x"] = [waiting.list_id, waiting.segments]
+    else:
+        record["a"] = list(waiting.dependencies)
+    return record
+
+
+def read_waiting_record(job_id: str, record: Record) -> WaitingJobRecord:
+    """The WaitingJobRecord of a waiting job's record."""
+    list_id, segments = record.get("x", ("", 0))
+    spec = read_spec(job_id, record)
+    return WaitingJobRecord(spec, tuple(record.get("a", ())), list_id, segments)
+
+
+# --- final states
+
+
+def final_record(outcome: Outcome, tasks: int, done: int) -> Record:
+    """The record of how a job ended."""
+    return {"glow": outcome.value, "n": tasks, "d": done}
+
+
+def read_final(status: int, record: Any) -> FinalState | None:
+    """The FinalState in the store's answer to a read of a final key; None if it has none."""
+    if status != 200 or not isinstance(record, dict):
+        return None
+    try:
+        outcome = Outcome(record.get("glow"))
+    except ValueError:
+        return None
+    return FinalState(outcome, record.get("d", 0), record.get("n", 0))
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -56,7 +56,7 @@
     counts: dict[tuple, float] = {}
     for job in jobs:
         spec, zone = job.spec, job.spec.zone
-        waiting = min(job.waiting_count(), capacity.tasks_within_quota(spec))
+        waiting = min(job.pending_count(), capacity.tasks_within_quota(spec))
         if zone is None and spec.single_zone and waiting:
             zone = next(iter(capacity.zones_of(job)[0]), None)
         if zone is None or not waiting:
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -9,7 +9,10 @@
 import orjson
 
 from ..actors import callback, tell, tell_inline
-from ..jobs.record import Job, final_key, job_key, part_size_for, read_part_key
+from ..jobs import wire as jobs_wire
+from ..jobs.chunking import chunk_size_for
+from ..jobs.job import Job
+from ..jobs.wire import Outcome, final_key, job_key
 from ..membership import FORMAT_KEY, is_raised
 from ..placement import fits_some_type, read_machine_types
 from ..state import FINAL_PREFIX, LIVE_PREFIX, ReplicaSubscriber
@@ -34,7 +37,7 @@
         self.store, self.agents = store, agents
         self.machine_types = {}
         self.live = {}  # job -> (its key's value, stamp, {(generation, part): value}) as committed
-        self.final = OrderedDict()  # job -> (glow, done, tasks): final states never change
+        self.final = OrderedDict()  # job -> FinalState; these never change
         self.open_submissions = 0
         self.memory_short = False
         # Questions wait for a sync together; more than a few syncs' worth would time out.
@@ -48,8 +51,8 @@
         if whole:
             self.live = {}
         for key, data, mod_revision in events:
-            if key.startswith("j/"):
-                job_id = key[2:]
+            if jobs_wire.is_job_key(key):
+                job_id = jobs_wire.job_id_of(key)
                 if data is None:
                     self.live.pop(job_id, None)
                 else:
@@ -58,9 +61,9 @@
                         mod_revision,
                         self.live[job_id][2] if job_id in self.live else {},
                     )
-            elif key.startswith("t/"):
+            elif jobs_wire.is_chunk_key(key):
                 # Only for the counts that users are shown.
-                job_id, generation, number = read_part_key(key)
+                job_id, generation, number = jobs_wire.read_chunk_key(key)
                 if job_id in self.live:
                     self.live[job_id][2][(generation, number)] = data or {}
             elif key == "catalog" and data is not None:
@@ -135,7 +138,7 @@
             data = orjson.loads(body)
             spec = wire.read_submission(data, self.system.wall())
             needs = wire.read_awaits(data)
-            if not part_size_for(spec, self.settings.value_bytes):
+            if not chunk_size_for(spec, self.settings.value_bytes):
                 raise wire.MalformedSubmissionError("the description is too long to be kept")
         except ValueError:
             reply(400, wire.error("the body is not JSON"))
@@ -176,12 +179,12 @@
             self.commit_submission(spec, reply)
 
     def commit_submission(self, spec, reply):
-        job = Job(spec, part_size_for(spec, self.settings.value_bytes))
+        job = Job(spec, chunk_size_for(spec, self.settings.value_bytes))
         tell(
             self.store.on_commit,
             SUBMISSIONS,
             self.absent(spec.id),
-            [state_wire.put(LIVE_PREFIX + job_key(spec.id), job.encode())],
+            [state_wire.put(LIVE_PREFIX + job_key(spec.id), jobs_wire.job_record(job))],
             callback(self.on_submitted, spec, reply),
         )
 
@@ -291,26 +294,31 @@
             )
             return
         data, _, further = row
-        generation = data.get("g", "")
+        generation = jobs_wire.read_generation(data)
         parts = [
-            data.get("p", {}),
+            jobs_wire.first_chunk(data),
             *(part for (of, _), part in further.items() if of == generation),
         ]
-        running = sum(len(part.get("b", ())) for part in parts)
-        done = sum(last - first + 1 for part in parts for first, last in part.get("d", ()))
+        running = sum(jobs_wire.bound_count(part) for part in parts)
+        done = sum(jobs_wire.done_count(part) for part in parts)
         reply(
             True,
             wire.state(
                 job_id,
-                "withdrawn" if data.get("w") else "running" if running else "pending",
+                Outcome.CANCELLED.value
+                if jobs_wire.is_cancelled(data)
+                else "running"
+                if running
+                else "pending",
                 done,
                 running,
             ),
         )
 
     def on_look_read(self, job_id, reply, status, data, mod_revision):
-        if status == 200 and isinstance(data, dict) and data.get("glow") in ("done", "withdrawn"):
-            self.final[job_id] = (data["glow"], data.get("d", 0), data.get("n", 0))
+        final = jobs_wire.read_final(status, data)
+        if final is not None:
+            self.final[job_id] = final
             if len(self.final) > MAX_FINAL_STATES:
                 self.final.popitem(last=False)
             reply(True, self.final_answer(job_id))
@@ -320,8 +328,8 @@
             reply(None, None)
 
     def final_answer(self, job_id):
-        glow, done, _ = self.final[job_id]
-        return wire.state(job_id, glow, done, 0)
+        final = self.final[job_id]
+        return wire.state(job_id, final.outcome.value, final.done, 0)
 
     def tell_final(self, job_id, reply):
         reply(200, self.final_answer(job_id))
@@ -364,15 +372,15 @@
             self.look_up(job_id, callback(self.on_polled, reply))
             return
         data, mod_revision, _ = row
-        if data.get("w"):
+        if jobs_wire.is_cancelled(data):
             tell(self.agents.on_confirm_cancellation, job_id)
-            reply(200, wire.state(job_id, "withdrawn"))
+            reply(200, wire.state(job_id, Outcome.CANCELLED.value))
             return
         tell(
             self.store.on_commit,
             DECISIONS,
             [(LIVE_PREFIX + job_key(job_id), mod_revision)],
-            [state_wire.put(LIVE_PREFIX + job_key(job_id), {**data, "w": 1})],
+            [state_wire.put(LIVE_PREFIX + job_key(job_id), jobs_wire.cancelled_record(data))],
             callback(self.on_aborted, job_id, reply, tries),
         )
 
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -8,10 +8,11 @@
 from dataclasses import dataclass, field
 
 from ..actors import callback, tell
-from ..jobs.dependencies import DependencyGraph, Outcome
-from ..jobs.record import Spec, final_key, job_key
-from ..jobs.releases import read_outcome
-from ..jobs.waiting import lay_out, piece_key, waiting_key
+from ..jobs import wire as jobs_wire
+from ..jobs.chunking import waiting_record_with_segments
+from ..jobs.dependencies import DependencyGraph
+from ..jobs.job_spec import JobSpec
+from ..jobs.wire import Outcome, final_key, job_key, segment_key, waiting_key
 from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS, SUBMISSIONS
@@ -37,7 +38,7 @@
 class DependentSubmission:
     """A submission that awaits other jobs, until it is answered."""
 
-    spec: Spec
+    spec: JobSpec
     needs: tuple
     reply: object
     record: object = None
@@ -76,14 +77,14 @@
             )
 
     def on_need_read(self, need, status, data, mod_revision):
-        outcome = read_outcome(status, data)
-        if outcome is not None:
-            self.graph.resolve(need, outcome)
+        final = jobs_wire.read_final(status, data)
+        if final is not None:
+            self.graph.resolve(need, final.outcome)
         for waiting in self.reads.pop(need, ()):
             waiting.left.discard(need)
             if status == 404:
                 waiting.never_accepted.append(need)
-            elif outcome is None:
+            elif final is None:
                 waiting.failed = True
             if not waiting.left:
                 waiting.then(waiting)
@@ -122,7 +123,7 @@
     def is_service(self, job_id):
         row, waiting = self.live.get(job_id), self.graph.waiting.get(job_id)
         if row is not None:
-            return Spec.decode(job_id, row[0]["s"]).service
+            return jobs_wire.read_spec(job_id, row[0]).service
         return waiting is not None and waiting.spec.service
 
     def needs_read(self, submission, read):
@@ -154,9 +155,11 @@
             return
         self.lists += 1
         list_id = f"{self.incarnation}-{self.lists}"
-        submission.record, pieces = lay_out(spec, needs, list_id, self.settings.value_bytes)
+        submission.record, pieces = waiting_record_with_segments(
+            spec, needs, list_id, self.settings.value_bytes
+        )
         submission.pieces = [
-            (piece_key(spec.id, list_id, number), ids) for number, ids in enumerate(pieces)
+            (segment_key(spec.id, list_id, number), ids) for number, ids in enumerate(pieces)
         ]
         self.write_pieces(submission, None)
 
@@ -186,15 +189,15 @@
     def write_waiting(self, submission, first_mod_revision):
         spec, record = submission.spec, submission.record
         conditions = self.absent(spec.id)
-        if record.pieces:
+        if record.segments:
             conditions.append(
-                (LIVE_PREFIX + piece_key(spec.id, record.list_id, 0), first_mod_revision)
+                (LIVE_PREFIX + segment_key(spec.id, record.list_id, 0), first_mod_revision)
             )
         tell(
             self.store.on_commit,
             SUBMISSIONS,
             conditions,
-            [state_wire.put(LIVE_PREFIX + waiting_key(spec.id), record.encode())],
+            [state_wire.put(LIVE_PREFIX + waiting_key(spec.id), jobs_wire.waiting_record(record))],
             callback(self.on_dependent_submitted, submission),
         )
 
@@ -249,7 +252,7 @@
     def abort_waiting(self, job_id, reply, tries):
         """A job that waits has no task, so it is over as soon as it is cancelled."""
         waiting = self.graph.waiting[job_id]
-        end = {"glow": Outcome.CANCELLED.value, "n": waiting.spec.tasks, "d": 0}
+        end = jobs_wire.final_record(Outcome.CANCELLED, waiting.spec.tasks, 0)
         tell(
             self.store.on_commit,
             DECISIONS,
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -3,7 +3,7 @@
 import math
 import re
 
-from ..jobs.record import PRIORITIES, Spec
+from ..jobs.job_spec import PRIORITIES, JobSpec
 
 JOB_ID = re.compile(r"job-[0-9A-Za-z_-]{1,64}\Z", re.ASCII)
 MAX_TASKS = 100_000
@@ -52,7 +52,7 @@
 
 
 def read_submission(data, submitted_at):
-    """A Spec, or Malformed."""
+    """A JobSpec, or Malformed."""
     if not isinstance(data, dict):
         raise MalformedSubmissionError("the body is not a JSON object")
     job_id = read_id(data)
@@ -76,7 +76,7 @@
     ):
         raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
     due = None if data.get("due_s") is None else _amount(data, "due_s")
-    return Spec(
+    return JobSpec(
         id=job_id,
         job_class=_text(data, "breed"),
         team=_text(data, "crew"),
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -4,8 +4,8 @@
 
 from emberglade.actors import callback, tell
 from emberglade.jobs.dependencies import DependencyGraph
+from emberglade.jobs.job import Job
 from emberglade.jobs.manager import JobManager
-from emberglade.jobs.record import Job
 
 
 def moves_without_proof(patch):
@@ -28,7 +28,7 @@
     """A job counts as done when half of it is."""
     patch.setattr(
         Job,
-        "finished",
+        "is_done",
         lambda self: (
             not self.spec.service
             and not self.cancelled
@@ -70,8 +70,8 @@
 
 def passes_over(patch):
     """One job's tasks are never placed."""
-    original = Job.waiting_count
-    patch.setattr(Job, "waiting_count", lambda self: 0 if self.id == "job-1" else original(self))
+    original = Job.pending_count
+    patch.setattr(Job, "pending_count", lambda self: 0 if self.id == "job-1" else original(self))
 
 
 def releases_at_once(patch):
