--- a/emberglade/fleet/scaling.py
+++ b/emberglade/fleet/scaling.py
@@ -113,7 +113,9 @@
             and self.moves >= 1
             and self.machine_types[name].boot_s < self.now() - self.since
         ):
-            tell(self.job_manager.on_thin_machine, name, int(self.moves), callback(self.on_thin))
+            tell(
+                self.job_manager.on_underused_machine, name, int(self.moves), callback(self.on_thin)
+            )
 
     def on_replicas(self, total):
         """Grants moves for one round."""
--- a/emberglade/jobs/chunking.py
+++ b/emberglade/jobs/chunking.py
@@ -28,6 +28,32 @@
     return max(0, min(chunk_size(value_bytes), free // BINDING_BYTES))
 
 
+class ChunkLimits:
+    """Which jobs have chunks that may be too large to be written.
+
+    Records written under larger limits stay readable, but their next version might be refused.
+
+    Attributes:
+        format_raised: Whether every controller reads records of the new format.
+    """
+
+    def __init__(self, value_bytes: int) -> None:
+        self._value_bytes = value_bytes
+        self.format_raised = False
+
+    def chunk_size_for(self, spec: JobSpec) -> int:
+        """Tasks of a chunk of this job that fits a value; 0 if not even its description does."""
+        return chunk_size_for(spec, self._value_bytes)
+
+    def needs_rechunking(self, job: Job) -> bool:
+        """Whether a chunk of the job may be too large to be written."""
+        if not self.format_raised:
+            return False
+        if job.fitting_chunk_size is None:
+            job.fitting_chunk_size = self.chunk_size_for(job.stored_spec)
+        return 0 < job.fitting_chunk_size < min(job.chunk_size, job.stored_spec.tasks)
+
+
 def rechunk(job: Job, size: int) -> dict[int, Chunk]:
     """{number: Chunk} of the job's tasks in chunks of another size; empty ones are left out."""
     chunks: dict[int, Chunk] = {}
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -1,282 +1,279 @@
 """The job manager's writes: what changed is committed together, one commit at a time."""
 
 import logging
-import math
+from typing import TYPE_CHECKING, Any, Protocol
 
-from ..actors import callback, tell, tell_after
-from ..state import FINAL_PREFIX, LIVE_PREFIX
-from ..state import wire as state_wire
+from ..actors import ActorPart, callback, tell, tell_after
 from ..state.store import DECISIONS
 from ..transport import status_text
 from . import wire
-from .wire import Outcome
+from .chunking import ChunkLimits
+from .commit_settlement import CommitSettlement
+from .garbage_collection import GarbageCollection
+from .job import Job
+from .job_table import JobTable
+from .pending_writes import WRITE_DELAY_S, PendingWrites
+from .shard_holders import ShardHolders
+from .transaction import CommitInFlight, Event, JobEnd, Transaction
+from .write_budget import WriteBudget
+
+if TYPE_CHECKING:
+    from ..config import Settings
+    from ..state import Store
+    from .manager import JobManager
 
 log = logging.getLogger("emberglade.jobs")
 
+# The store refuses for now, and has carried nothing out.
+NOT_EXECUTED = (429, 503)
+TOO_MANY_REQUESTS = 429
+MAX_KEYS_LOGGED = 8
 
-class Commits:
-    """The part of the job manager that commits decisions and settles commits of unknown outcome."""
 
-    def __init__(self, settings):
-        self.dirty = {}  # key -> when it should be written
-        self.flight = None  # keys of the commit on its way
-        self.flight_shards = set()
-        self.deferred = {}  # changes of these keys that came meanwhile
-        self.flush_at = float("inf")  # when the next flush is due
-        self.most_writes = settings.txn_ops  # of one commit; fewer while the state service refuses
-        self.write_share = settings.state_write_rps / settings.size
-        self.written, self.written_at = 0.0, 0.0
+class CommitListener(Protocol):
+    """What the commits need of the rest of the job manager."""
 
-    def touch(self, job, task, soon=True):
-        self.write_soon(wire.key_of_chunk(job, task // job.chunk_size), soon)
+    def before_commit(self) -> None:
+        """A commit is about to be put together: what is due to be decided goes into it."""
 
-    def settle(self, job):
-        """Taints a job for its end when nothing more is to come of it."""
-        if job.is_over() and self.mine(job):
-            self.write_soon(wire.job_key(job.id), True)
+    def apply_event(self, key: str, record: Any, mod_revision: int) -> None:
+        """Takes in a change of the replica."""
 
-    def write_soon(self, key, soon):
-        """Exits wait for company, since each written key counts; starts, stops and ends don't.
+    def after_reset(self) -> None:
+        """Decisions that were not committed were taken back."""
 
-        They wait the less the fewer writes there are, since others see the free room only then.
-        """
-        now = self.now()
-        delay = (
-            0.02
-            if soon
-            else self.settings.agent_heartbeat_s
-            * min(1.0, max(0.1, 2 * self.write_rate(now, 0) / self.write_share))
-        )
-        due = now + (0.0 if soon else delay)
-        if due < self.dirty.get(key, float("inf")):
-            self.dirty[key] = due
-        self.flush_in(delay)
-
-    def write_rate(self, now, more):
-        """Keys written a second, over the last few seconds; `more` of them just now."""
-        window = 3 * self.settings.agent_heartbeat_s
-        self.written = self.written * math.exp((self.written_at - now) / window) + more
-        self.written_at = now
-        return self.written / window
-
-    def flush_in(self, delay):
-        at = self.now() + delay
-        if self.flight is None and at < self.flush_at:
-            self.flush_at = at
-            tell_after(delay, self.on_flush)
-
-    def on_flush(self):
-        self.flush_at = float("inf")
-        if self.flight is not None or not self.dirty:
+    def schedule_placement(self) -> None:
+        """The next round of placing is to come soon."""
+
+
+class Commits(ActorPart):
+    """Commits decisions. Nothing is written while the outcome of a commit is unknown.
+
+    Attributes:
+        pending: The records that changed and are not written yet.
+        in_flight: The commit whose outcome is not known yet, or None.
+    """
+
+    def __init__(
+        self,
+        actor: "JobManager",
+        settings: "Settings",
+        store: "Store",
+        jobs: JobTable,
+        holders: ShardHolders,
+        chunk_limits: ChunkLimits,
+        budget: WriteBudget,
+        garbage: GarbageCollection,
+        listener: CommitListener,
+    ) -> None:
+        super().__init__(actor)
+        self._settings, self._store = settings, store
+        self._jobs, self._holders, self._chunk_limits = jobs, holders, chunk_limits
+        self._budget, self._garbage, self._listener = budget, garbage, listener
+        self._flush_at = float("inf")  # when the next flush is due
+        self.pending = PendingWrites(settings, jobs, budget)
+        self.in_flight: CommitInFlight | None = None
+        self._settlement = CommitSettlement(actor, settings, store, holders, self.on_settled)
+
+    # --- what is to be written
+
+    def mark_changed(self, job: Job, task: int, soon: bool = True) -> None:
+        """Notes that a task's chunk has changed; `soon`: it does not wait for other changes."""
+        self._mark(wire.key_of_chunk(job, task // job.chunk_size), soon)
+
+    def mark_if_over(self, job: Job) -> None:
+        """Notes an own job for its end when nothing more is to come of it."""
+        if job.is_over() and self._holders.holds(job):
+            self._mark(wire.job_key(job.id), soon=True)
+
+    def _mark(self, key: str, soon: bool) -> None:
+        self._flush_in(self.pending.add(key, self.now(), soon))
+
+    def _flush_in(self, delay_s: float) -> None:
+        at = self.now() + delay_s
+        if self.in_flight is None and at < self._flush_at:
+            self._flush_at = at
+            tell_after(delay_s, self.on_flush)
+
+    def _flush_rest(self) -> None:
+        """Sees to what is pending still, but for jobs that have to be rechunked first."""
+        due = [due for key, due in self.pending.due.items() if not self._waits_for_rechunking(key)]
+        if due:
+            self._flush_in(max(WRITE_DELAY_S, min(due) - self.now()))
+
+    def _waits_for_rechunking(self, key: str) -> bool:
+        job = self._jobs.get(wire.job_id_of(key))
+        return job is not None and not job.is_over() and self._chunk_limits.needs_rechunking(job)
+
+    # --- one commit
+
+    def on_flush(self) -> None:
+        """Handles `flush`, sent to itself: commits what is due, unless a commit is in flight."""
+        self._flush_at = float("inf")
+        if self.in_flight is not None or not self.pending:
             return
-        if self.place_due and self.now() >= self.placed_at:
-            # What has just become free or loose is placed first: one write a job instead of two.
-            self.on_place()
+        self._listener.before_commit()
         now = self.now()
-        conditions, writes, keys, size = {}, [], {}, 0
-        ends = []
-        for key in sorted(
-            (key for key, due in self.dirty.items() if due <= now), key=self.turn_to_write
-        ):
-            job_id = wire.job_id_of(key)
-            job = self.jobs.get(job_id)
-            if job is None or not self.mine(job):
-                self.dirty.pop(key, None)
-                continue
-            ended = job.is_over()
-            if not ended and self.needs_relayout(job):
-                continue  # its parts may be too large to be written; they are laid out anew first
-            if ended and wire.is_chunk_key(key):
-                # The end says all that is still of use.
-                self.dirty.pop(key)
-                continue
-            if writes and (len(writes) + (2 if ended else 1) > self.most_writes or size > 40_000):
-                break
-            part = (
-                job.chunk_of(0)
-                if wire.is_job_key(key)
-                else job.chunks[wire.read_chunk_key(key).number]
-            )
-            epoch, mod_revision = self.epoch_of(job.spec)
-            conditions[epoch] = mod_revision
-            conditions[LIVE_PREFIX + key] = part.mod_revision
-            if ended:
-                # The final state outlives the job: polls and retries may come at any time.
-                outcome = Outcome.CANCELLED if job.cancelled else Outcome.DONE
-                end = wire.final_record(outcome, job.spec.tasks, job.done_count())
-                writes += [
-                    state_wire.put(FINAL_PREFIX + wire.final_key(job_id), end),
-                    state_wire.remove(LIVE_PREFIX + key),
-                ]
-                ends.append((job_id, outcome))
-            else:
-                writes.append(
-                    state_wire.put(
-                        LIVE_PREFIX + key,
-                        wire.job_record(job) if wire.is_job_key(key) else wire.chunk_record(part),
-                    )
-                )
-                size += 400 + 48 * len(part.bindings)
-            keys[key] = part
-            self.dirty.pop(key)
-        if not writes:
-            self.flush_rest()
+        transaction = self._transaction_of_due(now)
+        if not transaction.writes:
+            self._flush_rest()
             return
-        self.write_rate(now, len(writes))
-        self.flight = keys
-        self.flight_shards = {
-            int(key.rpartition("/")[2]) for key in conditions if key.startswith(LIVE_PREFIX + "s/")
-        }
-        self.deferred = {key: [] for key in keys}
+        self._budget.count_writes(now, len(transaction.writes))
+        self.in_flight = transaction.in_flight()
         tell(
-            self.store.on_commit,
+            self._store.on_commit,
             DECISIONS,
-            list(conditions.items()),
-            writes,
-            callback(self.on_flushed, ends),
+            list(transaction.conditions.items()),
+            transaction.writes,
+            callback(self.on_flushed, transaction.ends),
         )
 
-    def turn_to_write(self, key):
-        """When a third of the machines is lost, nearly every job has to be written: higher ranks go
-        a little ahead, and nobody waits for ever.
-        """
-        job = self.jobs.get(wire.job_id_of(key))
-        return self.dirty[key] + (
-            job.spec.priority if job is not None else 0
-        ) * self.settings.agent_heartbeat_s / 4, key
+    def _transaction_of_due(self, now: float) -> Transaction:
+        """As many of the records that are due as one transaction takes."""
+        transaction = Transaction(self._budget.max_writes)
+        for key in self.pending.in_turn(now):
+            job = self._jobs.get(wire.job_id_of(key))
+            if job is None or not self._holders.holds(job):
+                self.pending.discard(key)
+                continue
+            over = job.is_over()
+            if not over and self._chunk_limits.needs_rechunking(job):
+                continue  # its chunks may be too large to be written; it is rechunked first
+            if over and wire.is_chunk_key(key):
+                self.pending.discard(key)  # the end says all that is still of use
+                continue
+            if not transaction.has_space(over):
+                break
+            shard, epoch = self._holders.shard_of(job.spec), self._holders.epoch_condition(job.spec)
+            if over:
+                transaction.add_end(job, shard, epoch)
+            else:
+                transaction.add_record(key, job, shard, epoch)
+            self.pending.discard(key)
+        return transaction
 
-    def on_flushed(self, ends, status, revision, failed):
+    def on_flushed(
+        self, ends: list[JobEnd], status: int, revision: int | None, failed: Any
+    ) -> None:
+        """Handles the store's answer to a commit; `ends` are the jobs that it ends."""
         if status == 200 and revision is not None:
-            self.most_writes = min(self.settings.txn_ops, 2 * self.most_writes)
-            keys, self.flight = self.flight, None
-            for part in keys.values():
-                part.mod_revision = revision
-            for job_id, outcome in ends:
-                job = self.jobs.get(job_id)
-                log.info(
-                    "%s is %s after %.1f s",
-                    job_id,
-                    outcome.name.lower(),
-                    self.system.wall() - job.spec.submitted_at if job else 0,
-                )
-                if job is not None:
-                    self.drop(job_id)
-                    self.remains.update(
-                        (wire.key_of_chunk(job, number), part.mod_revision)
-                        for number, part in job.chunks.items()
-                        if number
-                    )
-            # Others' starts follow from the copy; it is asked for at once.
-            tell(self.store.on_sync, lambda revision: None)
-            self.absorb_deferred(revision)
-        elif status in (503, 429):
-            # Not executed: the same wish is written again a little later, in smaller commits if
-            # there were too many writes for the moment.
-            if status == 429:
-                self.most_writes = max(1, self.most_writes // 2)
-            keys, self.flight = self.flight, None
-            now = self.now()
-            self.dirty.update(dict.fromkeys(keys, now))
-            self.absorb_deferred(-1)
-            self.flush_in(self.settings.agent_heartbeat_s / 8)
-            return
+            self._carried_out(ends, revision)
+        elif status in NOT_EXECUTED:
+            self._not_executed(status)
         else:
-            log.info(
-                "a commit of %d keys got %s (%s); they are read again",
-                len(self.flight),
-                status_text(status),
+            self._log_failure(status, failed)
+            self.settle(decided=status in (400, 409))
+
+    def _carried_out(self, ends: list[JobEnd], revision: int) -> None:
+        in_flight = self._end_flight()
+        self._budget.grow()
+        for chunk in in_flight.chunks.values():
+            chunk.mod_revision = revision
+        for end in ends:
+            self._end_job(end)
+        # Others' starts follow from the replica; it is asked for at once.
+        tell(self._store.on_sync, lambda revision: None)
+        self._apply_deferred(in_flight, revision)
+        self._garbage.collect()
+        self._flush_rest()
+        self._listener.schedule_placement()
+
+    def _end_job(self, end: JobEnd) -> None:
+        job = self._jobs.get(end.job_id)
+        log.info(
+            "%s is %s after %.1f s",
+            end.job_id,
+            end.outcome.name.lower(),
+            self.system.wall() - job.spec.submitted_at if job else 0,
+        )
+        if job is not None:
+            self._jobs.remove(end.job_id)
+            self._garbage.add_chunks_of(job)
+
+    def _not_executed(self, status: int) -> None:
+        """The same is written again a little later.
+
+        In smaller commits if there were too many writes for the moment.
+        """
+        if status == TOO_MANY_REQUESTS:
+            self._budget.shrink()
+        in_flight = self._end_flight()
+        self.pending.add_again(list(in_flight.chunks), self.now())
+        self._apply_deferred(in_flight, -1)
+        self._flush_in(self._settings.agent_heartbeat_s / 8)
+
+    def _log_failure(self, status: int, failed: Any) -> None:
+        keys = self._flight().chunks
+        log.info(
+            "a commit of %d keys got %s (%s); they are read again",
+            len(keys),
+            status_text(status),
+            failed,
+        )
+        if status == 400:
+            log.error(
+                "the state service refuses a commit (%s); "
+                "what it was to write is worked out anew: %s",
                 failed,
+                " ".join(sorted(keys)[:MAX_KEYS_LOGGED]),
             )
-            if status == 400:
-                log.error(
-                    "the state service refuses a commit (%s); "
-                    "what it was to write is worked out anew: %s",
-                    failed,
-                    " ".join(sorted(self.flight)[:8]),
-                )
-            if status in (400, 409):
-                tell(self.store.on_sync, callback(self.on_resync))
-            else:
-                self.on_fence_flight()
-            return
-        self.drop_remains()
-        self.flush_rest()
-        self.soon_place()
 
-    def flush_rest(self):
-        due = [due for key, due in self.dirty.items() if not self.waits_for_relayout(key)]
-        if due:
-            self.flush_in(max(0.02, min(due) - self.now()))
+    # --- commits of others that write a job's own key: nothing else is written meanwhile
+
+    def begin_flight(self, in_flight: CommitInFlight) -> None:
+        """A commit has been sent, whose outcome is to be known before anything else is written."""
+        self.in_flight = in_flight
 
-    def absorb_deferred(self, revision):
-        deferred, self.deferred = self.deferred, {}
-        for events in deferred.values():
-            for event in events:
-                if event[2] > revision:
-                    self.absorb(*event)
+    def abandon_flight(self) -> None:
+        """The commit was not executed."""
+        self._apply_deferred(self._end_flight(), -1)
 
-    def on_fence_flight(self):
-        """Makes sure that a commit of unknown outcome is either applied by now or never will be.
+    def _flight(self) -> CommitInFlight:
+        assert self.in_flight is not None, "no commit is in flight"
+        return self.in_flight
 
-        Once broken: it was applied late, when the room and the limit that it counted on had been
-        given to others (rules/late_commit.txt). All that it hangs on are the epochs of its shards,
-        so these are written anew.
+    def _end_flight(self) -> CommitInFlight:
+        in_flight = self._flight()
+        self.in_flight = None
+        return in_flight
+
+    def _apply_deferred(self, in_flight: CommitInFlight, revision: int) -> None:
+        """Takes in the changes that came while the commit was in flight, if they are newer."""
+        for event in in_flight.later_events(revision):
+            self._listener.apply_event(*event)
+
+    def defer(self, event: Event) -> bool:
+        """Keeps a change of a key that a commit in flight writes; False if none does."""
+        return self.in_flight is not None and self.in_flight.defer(event)
+
+    # --- commits that were not carried out, or of which it is unknown
+
+    def settle(self, decided: bool) -> None:
+        """Has the view fall back to what became of the commit in flight.
+
+        `decided`: it is known that the commit has been carried out, or never will be.
         """
-        epochs = {
-            (shard, holder[2])
-            for shard, holder in self.holders.items()
-            if shard in self.flight_shards and holder[:2] == (self.settings.node, self.incarnation)
-        }
-        if not epochs:
-            tell(self.store.on_sync, callback(self.on_resync))
-            return
-        tell(
-            self.store.on_commit,
-            DECISIONS,
-            [(f"{LIVE_PREFIX}s/{shard}", mod_revision) for shard, mod_revision in sorted(epochs)],
-            [
-                state_wire.put(
-                    f"{LIVE_PREFIX}s/{shard}", {"node": self.settings.node, "inc": self.incarnation}
-                )
-                for shard, _ in sorted(epochs)
-            ],
-            callback(self.on_fenced_flight),
-        )
+        self._settlement.settle(self._flight(), decided)
 
-    def on_fenced_flight(self, status, revision, failed):
-        if status in (200, 409):
-            # With 409 the epochs are others' already, or ours from a try that got no answer.
-            tell(self.store.on_sync, callback(self.on_resync))
-        else:
-            tell_after(self.settings.agent_heartbeat_s / 3, self.on_fence_flight)
+    def on_settled(self, found: dict[str, Any]) -> None:
+        """Handles what the replica shows of the commit's keys: that is the state from now on."""
+        for chunk in self._end_flight().chunks.values():
+            chunk.mod_revision = -1
+        self.reset_to_committed(found)
+        self._listener.after_reset()
+        self._flush_rest()
 
-    def on_resync(self, revision):
-        if revision is None:
-            tell_after(0.5, self.on_retry_sync)
-            return
-        tell(self.store.on_read_replica, list(self.flight), callback(self.on_looked))
-
-    def on_retry_sync(self):
-        tell(self.store.on_sync, callback(self.on_resync))
-
-    def on_looked(self, found):
-        keys, self.flight = self.flight, None
-        self.deferred = {}
-        for part in keys.values():
-            part.mod_revision = -1
-        self.forget_wishes(found)
-        self.soon_relayout()
-        self.soon_place()
-        self.flush_rest()
-
-    def forget_wishes(self, found):
-        """The view falls back to what is committed: `found`, as the copy shows it."""
+    def reset_to_committed(self, found: dict[str, Any]) -> None:
+        """Takes back all decisions on these keys that are not committed.
+
+        `found` is {key: (record, mod revision), or None if it is absent}, as the replica shows it.
+        """
         for key in found:
-            self.dirty.pop(key, None)
+            self.pending.discard(key)
             if found[key] is None and wire.is_chunk_key(key):
                 job_id, generation, number = wire.read_chunk_key(key)
-                job = self.jobs.get(job_id)
+                job = self._jobs.get(job_id)
                 if job is not None and job.generation == generation:
-                    self.merge(job, number, {}, 0)
+                    self._jobs.update_chunk(job, number, {}, 0)
             else:
-                self.absorb(key, *(found[key] or (None, 0)))
+                self._listener.apply_event(key, *(found[key] or (None, 0)))
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -1,192 +1,142 @@
-"""The job manager's view of the live jobs, kept in step with the committed copy."""
+"""Keeps the job table in step with the replica."""
 
-import logging
+from collections.abc import Callable
+from typing import Any
 
-from .. import placement
-from ..fleet.taints import Taints
-from ..membership import FORMAT_KEY, is_raised, shard_count
-from ..state import LIVE_PREFIX
+from ..membership import FORMAT_KEY, is_raised
+from ..membership import wire as membership_wire
 from . import wire
-from .job import shard_of
-
-log = logging.getLogger("emberglade.jobs")
-
-
-class CommittedJobs:
-    """The part of the job manager that follows the copy and says who holds what."""
-
-    def __init__(self, settings):
-        self.format_raised = False  # whether every controller reads the new record format
-        self.loaded = False
-        self.shards = shard_count(settings)
-        self.jobs = {}
-        # Parts seen before their job, or of another layout than its own:
-        # {job: {(generation, number): (data, stamp)}}
-        self.loose_parts = {}
-        self.holders = {}  # shard -> (node, incarnation, stamp)
-        self.taints = Taints()
-        self.fresh_taints = set()  # machines whose taints came with the change at hand
-        self.machine_types = {}
-
-    def on_changed(self, events, revision, whole):
-        self.loaded = True
-        if whole:
-            seen = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if wire.job_key(j) not in seen]:
-                self.drop(job_id)
-            self.taints.forget()
-        for event in events:
-            if event[0] in self.deferred:
-                self.deferred[event[0]].append(event)
-            else:
-                self.absorb(*event)
-        self.follow_dependencies(events, whole)
-        if self.fresh_taints:
-            machines, self.fresh_taints = self.fresh_taints, set()
-            self.obey_taints(machines)
-        self.soon_place()
-
-    def absorb(self, key, data, mod_revision):
+from .chunking import ChunkLimits
+from .cluster_view import ClusterView
+from .commits import Commits
+from .dependencies import DependencyGraph
+from .garbage_collection import GarbageCollection
+from .job import Job
+from .job_table import JobTable
+from .shard_holders import ShardHolders
+from .unattached_chunks import ChunkVersion, UnattachedChunks
+
+# Keys of the leader: taints, and the machine types.
+TAINT_PREFIX = "m/"
+MACHINE_TYPES_KEY = "catalog"
+
+
+class CommittedState:
+    """Takes in what the replica shows: jobs, chunks, holders, taints, machine types, the format.
+
+    What was decided here and is not committed yet gives way to what others have committed.
+    """
+
+    def __init__(
+        self,
+        jobs: JobTable,
+        unattached: UnattachedChunks,
+        cluster: ClusterView,
+        holders: ShardHolders,
+        chunk_limits: ChunkLimits,
+        graph: DependencyGraph,
+        commits: Commits,
+        garbage: GarbageCollection,
+        clock: Callable[[], float],
+    ) -> None:
+        self._jobs, self._unattached, self._cluster = jobs, unattached, cluster
+        self._holders, self._chunk_limits, self._graph = holders, chunk_limits, graph
+        self._commits, self._garbage, self._clock = commits, garbage, clock
+        self._changed_taints: set[str] = set()
+
+    def begin_anew(self, keys: set[str]) -> None:
+        """All is about to be told anew, and these are all keys that are there."""
+        for job_id in [job_id for job_id in self._jobs.jobs if wire.job_key(job_id) not in keys]:
+            self._jobs.remove(job_id)
+        self._cluster.taints.forget()
+
+    def take_changed_taints(self) -> set[str]:
+        """The machines whose taints changed since the last call."""
+        machines, self._changed_taints = self._changed_taints, set()
+        return machines
+
+    def apply(self, key: str, record: Any, mod_revision: int) -> None:
+        """Takes in one change: the key's record, None if it was removed."""
         if wire.is_job_key(key):
-            job_id = key[2:]
-            job = self.jobs.get(job_id)
-            if data is None:
-                self.drop(job_id)
-                return
-            if job is not None and job.mod_revision >= mod_revision:
-                return
-            if job is None:
-                job = self.jobs[job_id] = wire.read_job(job_id, data)
-                job.inherit_urgency(self.graph.urgency.get(job_id))
-                self.adopt_parts(job)
-            elif wire.read_generation(data) != job.generation:
-                self.change_layout(job, data)
-            job.cancelled = wire.is_cancelled(data)
-            self.dirty.pop(key, None)
-            self.merge(job, 0, wire.first_chunk(data), mod_revision)
-            self.settle(job)
+            self._apply_job(key, record, mod_revision)
         elif wire.is_chunk_key(key):
-            self.absorb_part(key, data, mod_revision)
-        elif key.startswith("s/"):
-            if data is None:
-                self.holders.pop(int(key[2:]), None)
-            else:
-                self.holders[int(key[2:])] = (data.get("node"), data.get("inc"), mod_revision)
-        elif key.startswith("m/"):
-            self.fresh_taints.update(self.taints.apply(key, data, mod_revision, self.now()))
-        elif key == "catalog" and data is not None:
-            self.machine_types = placement.read_machine_types(data)
+            self._apply_chunk(key, record, mod_revision)
+        elif key.startswith(membership_wire.SHARD_PREFIX):
+            self._holders.apply(key, record, mod_revision)
+        elif key.startswith(TAINT_PREFIX):
+            taints = self._cluster.taints
+            self._changed_taints.update(taints.apply(key, record, mod_revision, self._clock()))
+        elif key == MACHINE_TYPES_KEY and record is not None:
+            self._cluster.update_machine_types(record)
         elif key == FORMAT_KEY:
-            self.format_raised = self.format_raised or is_raised(data)
-
-    def absorb_part(self, key, data, mod_revision):
-        job_id, generation, number = wire.read_chunk_key(key)
-        job = self.jobs.get(job_id)
-        if job is None or generation != job.generation:
-            loose = self.loose_parts.setdefault(job_id, {})
-            if data is not None:
-                loose[(generation, number)] = (data, mod_revision)
-            else:
-                loose.pop((generation, number), None)
-                self.remains.pop(key, None)
-            if not loose:
-                del self.loose_parts[job_id]
-        elif data is None:
-            self.merge(job, number, {}, mod_revision)
-            job.chunks.pop(number, None)
-        elif number not in job.chunks or job.chunks[number].mod_revision < mod_revision:
-            self.dirty.pop(key, None)
-            self.merge(job, number, data, mod_revision)
-            self.settle(job)
-
-    def adopt_parts(self, job):
-        """Takes over the parts of the job's layout that were seen before its record named them."""
-        loose = self.loose_parts.pop(job.id, {})
-        others = {}
-        for (generation, number), (data, mod_revision) in loose.items():
-            if generation == job.generation:
-                self.merge(job, number, data, mod_revision)
-            else:
-                others[(generation, number)] = (data, mod_revision)
-        if others:
-            self.loose_parts[job.id] = others
-
-    def change_layout(self, job, data):
-        """The job's record names another layout of its parts; they were written before it."""
+            raised = self._chunk_limits.format_raised or is_raised(record)
+            self._chunk_limits.format_raised = raised
+
+    def _apply_job(self, key: str, record: wire.Record | None, mod_revision: int) -> None:
+        job_id = wire.job_id_of(key)
+        job = self._jobs.get(job_id)
+        if record is None:
+            self._jobs.remove(job_id)
+            return
+        if job is not None and job.mod_revision >= mod_revision:
+            return
+        if job is None:
+            job = self._add_job(job_id, record)
+        elif wire.read_generation(record) != job.generation:
+            self._change_generation(job, record)
+        job.cancelled = wire.is_cancelled(record)
+        self._commits.pending.discard(key)
+        self._jobs.update_chunk(job, 0, wire.first_chunk(record), mod_revision)
+        self._commits.mark_if_over(job)
+
+    def _add_job(self, job_id: str, record: wire.Record) -> Job:
+        job = self._jobs.jobs[job_id] = wire.read_job(job_id, record)
+        job.inherit_urgency(self._graph.urgency.get(job_id))
+        self._attach_chunks(job)
+        return job
+
+    def _attach_chunks(self, job: Job) -> None:
+        """Takes in the job's chunks that were seen before its record named them."""
+        for number, chunk in self._unattached.take(job.id, job.generation):
+            self._jobs.update_chunk(job, number, chunk.record, chunk.mod_revision)
+
+    def _change_generation(self, job: Job, record: wire.Record) -> None:
+        """The job's record names other chunks, which were written before it."""
         since = {task: binding.since for task, binding in job.bindings()}
-        loose = self.loose_parts.setdefault(job.id, {})
-        for task in list(since):
-            self.unbind(job, task)
-        for number, part in job.chunks.items():
-            self.dirty.pop(wire.key_of_chunk(job, number), None)
+        for task in since:
+            self._jobs.unbind(job, task)
+        for number, chunk in job.chunks.items():
+            self._commits.pending.discard(wire.key_of_chunk(job, number))
             if number:
-                loose[(job.generation, number)] = ({}, part.mod_revision)
-        job.chunk_size, job.generation, job.chunks = (
-            wire.read_chunk_size(data),
-            wire.read_generation(data),
-            {},
-        )
-        self.adopt_parts(job)
-        self.merge(job, 0, wire.first_chunk(data), 0)
+                old_key = wire.ChunkKey(job.id, job.generation, number)
+                self._unattached.put(old_key, ChunkVersion({}, chunk.mod_revision))
+        job.chunk_size = wire.read_chunk_size(record)
+        job.generation = wire.read_generation(record)
+        job.chunks = {}
+        self._attach_chunks(job)
+        self._jobs.update_chunk(job, 0, wire.first_chunk(record), 0)
         for task, binding in job.bindings():
             binding.since = since.get(task, binding.since)
 
-    def merge(self, job, number, data, mod_revision):
-        """Makes one part of the view what was committed; only differences cost anything."""
-        part = job.chunk_of(number * job.chunk_size)
-        rows = wire.binding_rows(data)
-        for task in [task for task in part.bindings if task not in rows]:
-            self.unbind(job, task)
-        for task, row in rows.items():
-            binding = part.bindings.get(task)
-            if binding is None or wire.binding_row(binding) != row:
-                if binding is not None:
-                    self.unbind(job, task)
-                self.bind(job, task, wire.read_binding(row))
-        wire.update_chunk(part, data, mod_revision)
-
-    def bind(self, job, task, binding):
-        binding.since = job.last_bound_at = self.now()
-        job.chunk_of(task).bindings[task] = binding
-        self.capacity.add(job, task, binding)
-        machine = self.inventory.get(binding.machine)
-        if machine is not None:
-            self.images.note(
-                binding.machine, job.spec.image, job.spec.image_gb, machine.type.cache_gb
-            )
-
-    def unbind(self, job, task):
-        binding = job.chunk_of(task).bindings.pop(task)
-        self.capacity.remove(job, task, binding)
-        return binding
-
-    def drop(self, job_id):
-        job = self.jobs.pop(job_id, None)
-        self.errors.pop(job_id, None)
-        if job is not None:
-            for task, _ in list(job.bindings()):
-                self.unbind(job, task)
-
-    def holder(self, job):
-        return self.holders.get(shard_of(job.spec, self.settings.teams, self.shards))
-
-    def mine(self, job):
-        holder = self.holder(job)
-        return (
-            holder is not None
-            and self.incarnation is not None
-            and holder[:2] == (self.settings.node, self.incarnation)
-        )
-
-    def decides(self, job):
-        """Whether this controller holds the job, and may change it now."""
-        return self.mine(job) and not self.needs_relayout(job)
-
-    def epoch_of(self, spec):
-        """The condition that this controller still holds a job's shard: (key, stamp)."""
-        shard = shard_of(spec, self.settings.teams, self.shards)
-        return f"{LIVE_PREFIX}s/{shard}", self.holders[shard][2]
-
-    def holds_first_shard(self):
-        """Whether this controller is the one that removes what others left behind."""
-        return self.holders.get(0, (None, None))[:2] == (self.settings.node, self.incarnation)
+    def _apply_chunk(self, key: str, record: wire.Record | None, mod_revision: int) -> None:
+        chunk_key = wire.read_chunk_key(key)
+        job = self._jobs.get(chunk_key.job_id)
+        number = chunk_key.number
+        if job is None or chunk_key.generation != job.generation:
+            self._apply_unattached(key, chunk_key, record, mod_revision)
+        elif record is None:
+            self._jobs.update_chunk(job, number, {}, mod_revision)
+            job.chunks.pop(number, None)
+        elif number not in job.chunks or job.chunks[number].mod_revision < mod_revision:
+            self._commits.pending.discard(key)
+            self._jobs.update_chunk(job, number, record, mod_revision)
+            self._commits.mark_if_over(job)
+
+    def _apply_unattached(
+        self, key: str, chunk_key: wire.ChunkKey, record: wire.Record | None, mod_revision: int
+    ) -> None:
+        if record is not None:
+            self._unattached.put(chunk_key, ChunkVersion(record, mod_revision))
+        else:
+            self._unattached.discard(chunk_key)
+            self._garbage.discard(key)
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -24,6 +24,7 @@
         fitting_chunk_size: Tasks of a chunk that fits a value, once that was worked out.
         last_bound_at: When this controller last saw a task of it bound; not stored.
         retry_at: task -> when it may be tried again, on the steady clock; not stored.
+        failed_machines: Those on which a task of it ended in error; not stored.
     """
 
     def __init__(
@@ -38,6 +39,7 @@
         self.chunks: dict[int, Chunk] = {}
         self.last_bound_at = float("-inf")
         self.retry_at: dict[int, float] = {}
+        self.failed_machines: set[str] = set()
 
     @property
     def id(self) -> str:
--- /dev/null
+++ b/emberglade/jobs/job_table.py
@@ -0,0 +1,56 @@
+"""All live jobs as this controller sees them, own decisions included that are not committed yet."""
+
+from collections.abc import Callable
+
+from . import wire
+from .binding import Binding
+from .cluster_view import ClusterView
+from .job import Job
+
+
+class JobTable:
+    """The live jobs. All bindings are made and ended here, so capacity is always right.
+
+    Attributes:
+        jobs: job id -> Job.
+    """
+
+    def __init__(self, cluster: ClusterView, clock: Callable[[], float]) -> None:
+        self._cluster, self._clock = cluster, clock
+        self.jobs: dict[str, Job] = {}
+
+    def get(self, job_id: str) -> Job | None:
+        """The live job of this id, or None."""
+        return self.jobs.get(job_id)
+
+    def bind(self, job: Job, task: int, binding: Binding) -> None:
+        """Binds a task to a machine."""
+        binding.since = job.last_bound_at = self._clock()
+        job.chunk_of(task).bindings[task] = binding
+        self._cluster.bind(job, task, binding)
+
+    def unbind(self, job: Job, task: int) -> None:
+        """Ends a task's binding."""
+        binding = job.chunk_of(task).bindings.pop(task)
+        self._cluster.unbind(job, task, binding)
+
+    def remove(self, job_id: str) -> None:
+        """Removes a job that is live no longer, with all its bindings."""
+        job = self.jobs.pop(job_id, None)
+        if job is not None:
+            for task, _ in list(job.bindings()):
+                self.unbind(job, task)
+
+    def update_chunk(self, job: Job, number: int, record: wire.Record, mod_revision: int) -> None:
+        """Makes one chunk what was committed; only differences cost anything."""
+        chunk = job.chunk_of(number * job.chunk_size)
+        rows = wire.binding_rows(record)
+        for task in [task for task in chunk.bindings if task not in rows]:
+            self.unbind(job, task)
+        for task, row in rows.items():
+            binding = chunk.bindings.get(task)
+            if binding is None or wire.binding_row(binding) != row:
+                if binding is not None:
+                    self.unbind(job, task)
+                self.bind(job, task, wire.read_binding(row))
+        wire.update_chunk(chunk, record, mod_revision)
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -1,236 +1,271 @@
-"""The job manager: every controller's view of all live jobs, and the decisions on those it holds.
+"""The job manager: every controller's view of all live jobs, and the decisions on own ones.
 
-What is decided here is only wished for until the commit has succeeded; nothing leaves for a worker
-from here. Workers are commanded by the agents slice, out of the committed copy.
+What is decided here only counts once the commit has succeeded; nothing leaves for an agent from
+here. Agents are commanded by `emberglade/agents`, out of the replica.
 """
 
-import logging
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any
 
 from .. import placement
-from ..actors import tell_after
+from ..actors import tell, tell_after
+from ..membership import Holder
 from ..state import ReplicaSubscriber
-from .binding import StopMode
-from .chunking import chunk_size
-from .cleanup import Cleanup
+from .chunking import ChunkLimits
+from .cluster_view import ClusterView
 from .commits import Commits
-from .committed import CommittedJobs
-from .job import task_name
+from .committed import CommittedState
+from .dependencies import DependencyGraph
+from .dependency_release import DependencyRelease
+from .failure_backoff import FailureBackoff
+from .garbage_collection import GarbageCollection
+from .job import Job
+from .job_table import JobTable
 from .preemption import Preemption
-from .relayout import Relayout
-from .releases import Releases
+from .rechunking import Rechunking
 from .scheduler import Scheduler
-from .task_updates import StopWanted, TaskExited, TaskGone
+from .segment_collection import SegmentCollection
+from .shard_holders import ShardHolders
+from .task_lifecycle import TaskLifecycle
+from .task_updates import StopWanted, TaskUpdate
+from .transaction import Event
+from .unattached_chunks import UnattachedChunks
+from .underused_machine import find_underused_machine
+from .write_budget import WriteBudget
 
-log = logging.getLogger("emberglade.jobs")
+if TYPE_CHECKING:
+    from ..agents import AgentManager
+    from ..config import Settings
+    from ..state import Store
 
+TICK_S = 0.5
 
-# Leases that a machine rests after errors, or a job that fails everywhere: nobody may wait beside
-# free room for much longer than a minute.
-MAX_REST_LEASES = 4
 
+class JobManager(ReplicaSubscriber):
+    """Every controller's view of all live jobs, and the decisions on those that it holds.
 
-class JobManager(
-    CommittedJobs, Scheduler, Preemption, Commits, Releases, Relayout, Cleanup, ReplicaSubscriber
-):
-    """Every controller's view of all live jobs, and the decisions on those that it holds."""
+    Its parts do the work, each in this actor's turn:
 
-    def __init__(self, settings, store):
+    - `committed` keeps the view in step with the replica; `shard_holders` knows who decides.
+    - `tasks` changes bindings by what agents report; `scheduler` places, `preemption` stops others.
+    - `commits` writes what was decided; `rechunking` and `garbage` look after chunks.
+    - `release` turns waiting jobs into live ones.
+
+    Attributes:
+        agents: The agent manager; set when the controller is put together.
+    """
+
+    agents: "AgentManager"
+
+    def __init__(self, settings: "Settings", store: "Store") -> None:
         self.settings, self.store = settings, store
-        CommittedJobs.__init__(self, settings)
-        Scheduler.__init__(self, settings)
-        Preemption.__init__(self)
-        Commits.__init__(self, settings)
-        Releases.__init__(self)
-        Relayout.__init__(self)
-        Cleanup.__init__(self)
-        self.size = chunk_size(settings.value_bytes)
-        self.inventory = {}  # machine -> placement.Machine
-        self.errors = {}  # job -> machines on which a task of it ended in error
-        self.agents = None  # set when the node is put together
-
-    def on_begin(self):
+        self.shard_holders = ShardHolders(settings)
+        self.cluster = ClusterView(settings)
+        self.table = JobTable(self.cluster, self.now)
+        self.graph = DependencyGraph()
+        self._chunk_limits = ChunkLimits(settings.value_bytes)
+        self._budget = WriteBudget(settings)
+        self._add_writers()
+        self._add_deciders()
+
+    def _add_writers(self) -> None:
+        """Adds the parts that write records and follow what is committed."""
+        settings, store, jobs, holders = self.settings, self.store, self.table, self.shard_holders
+        limits, budget = self._chunk_limits, self._budget
+        unattached = UnattachedChunks()
+        self.garbage = GarbageCollection(self, settings, store, jobs, holders, budget, unattached)
+        self.commits = Commits(
+            self, settings, store, jobs, holders, limits, budget, self.garbage, listener=self
+        )
+        self.rechunking = Rechunking(
+            self, settings, store, jobs, holders, limits, budget, self.commits
+        )
+        self.release = DependencyRelease(self, settings, store, self.graph, holders, limits, budget)
+        self.segments = SegmentCollection(self, settings, store, self.graph, holders, budget)
+        self.committed = CommittedState(
+            jobs,
+            unattached,
+            self.cluster,
+            holders,
+            limits,
+            self.graph,
+            self.commits,
+            self.garbage,
+            self.now,
+        )
+
+    def _add_deciders(self) -> None:
+        """Adds the parts that decide what runs where."""
+        settings, jobs, cluster, holders = (
+            self.settings,
+            self.table,
+            self.cluster,
+            self.shard_holders,
+        )
+        limits, backoff = self._chunk_limits, FailureBackoff(settings)
+        self.tasks = TaskLifecycle(
+            self, jobs, cluster, holders, limits, self.commits, backoff, self.schedule_placement
+        )
+        self.preemption = Preemption(
+            self, settings, jobs, cluster, holders, limits, self.tasks, self.request_stop
+        )
+        self.scheduler = Scheduler(
+            self,
+            settings,
+            jobs,
+            cluster,
+            holders,
+            limits,
+            self.commits,
+            backoff,
+            self.preemption,
+        )
+
+    @property
+    def jobs(self) -> dict[str, Job]:
+        """Job id -> Job, of all live jobs."""
+        return self.table.jobs
+
+    @property
+    def holders(self) -> dict[int, Holder]:
+        """Shard -> Holder, as the replica shows them."""
+        return self.shard_holders.holders
+
+    def on_begin(self) -> None:
+        """Handles `begin` from the actor system: subscribes to the store, and ticks."""
         super().on_begin()
-        tell_after(0.5, self.on_tick)
+        tell_after(TICK_S, self.on_tick)
 
-    # --- what the agents saw: stable facts about one attempt on one machine
+    def on_identity(self, incarnation: int) -> None:
+        """Handles `identity(incarnation)` from the member: which process this is."""
+        super().on_identity(incarnation)
+        self.shard_holders.incarnation = incarnation
 
-    def on_inventory(self, machines):
-        self.inventory = machines
-        self.open_machines = {name for name, machine in machines.items() if machine.open}
-        self.capacity.inventory(machines)
-        self.images.keep_only(machines)
-        self.soon_place()
+    # --- what agents and the store tell
 
-    def on_task_update(self, update):
-        """Handles `task_update(update)` from the agent manager, or from a peer's through the wire.
+    def on_inventory(self, machines: Mapping[str, placement.Machine]) -> None:
+        """Handles `inventory(machines)` from the agent manager: what machines there are now."""
+        self.cluster.update_machines(machines)
+        self.schedule_placement()
 
-        Updates on jobs that this controller does not hold, or may not change now, are left out:
-        workers' reports repeat them.
-        """
-        job = self.jobs.get(update.job_id)
-        if job is None or not self.decides(job) or not 0 <= update.task < job.spec.tasks:
-            return
-        binding = job.chunk_of(update.task).bindings.get(update.task)
-        match update:
-            case TaskExited():
-                self.task_exited(job, binding, update)
-            case TaskGone():
-                self.release(job, update.task, update.attempt, update.machine)
-                self.settle(job)
-            case StopWanted():
-                if binding is not None and (binding.attempt, binding.stop) == (
-                    update.attempt,
-                    StopMode.KEEP,
-                ):
-                    self.stop(job, update.task, update.mode, update.reason)
-
-    def task_exited(self, job, binding, update):
-        """Records the end of an attempt, unless another attempt is bound by now."""
-        if binding is None or (binding.attempt, binding.machine) != (
-            update.attempt,
-            update.machine,
-        ):
-            return
-        task, part = update.task, job.chunk_of(update.task)
-        self.unbind(job, task)
-        if update.reason == "done" and not job.spec.service:
-            part.done.add(task)
-        else:
-            part.last_attempts[task] = update.attempt
-            self.failed(job, task, update.machine, update.reason)
-        self.touch(job, task, soon=False)
-        self.settle(job)
-        self.soon_place()
-
-    def failed(self, job, task, machine, exit_reason):
-        now = self.now()
-        lease = self.settings.lease_s
-        if exit_reason == "error":
-            # Mostly the machine is faulty, so it rests; a job that fails everywhere is slowed.
-            machines = self.errors.setdefault(job.id, set())
-            machines.add(machine)
-            broken_job = len(machines) >= 3
-            if not broken_job:
-                _, count = self.suspects.get(machine, (0, 0))
-                self.suspects[machine] = (now + lease * min(2**count, MAX_REST_LEASES), count + 1)
-            job.retry_at[task] = now + (
-                lease * min(len(machines), MAX_REST_LEASES) if broken_job else 0
-            )
-            log.info(
-                "%s ended in error on %s; %s",
-                task_name(job.id, task),
-                machine,
-                "the job fails everywhere and is slowed" if broken_job else "the machine rests",
-            )
-        elif exit_reason in ("full", "busy"):
-            self.suspects[machine] = (
-                now + self.settings.agent_heartbeat_s * 2,
-                self.suspects.get(machine, (0, 0))[1],
-            )
-        elif exit_reason in ("incomplete", "mates_gone"):
-            job.retry_at[task] = now + self.settings.agent_heartbeat_s
-        elif exit_reason == "no_such":
-            job.retry_at[task] = now + lease / 2
-        elif exit_reason == "done":
-            job.retry_at[task] = now + self.settings.agent_heartbeat_s
-
-    def release(self, job, task, attempt, machine):
-        part = job.chunk_of(task)
-        binding = part.bindings.get(task)
-        if binding is not None and (binding.attempt, binding.machine) == (attempt, machine):
-            self.unbind(job, task)
-            part.last_attempts[task] = attempt
-            self.touch(job, task)
-
-    def obey_taints(self, machines):
-        """Moves own tasks off machines whose leases are proven over, and stops them where it
-        drains.
+    def on_task_update(self, update: TaskUpdate) -> None:
+        """Handles `task_update(update)` from the agent manager, or from a peer's."""
+        self.tasks.apply(update)
+
+    def on_changed(self, events: list[Event], revision: int, whole: bool) -> None:
+        """Handles `changed(events, revision, whole)` from the store: the replica has changed.
+
+        Changes of what is being written just now wait for the outcome.
         """
-        moved = {}
-        for machine in machines:
-            taint = self.taints.get(machine)
-            for (_, task), (job, binding) in list(self.capacity.on.get(machine, {}).items()):
-                if not self.decides(job):
-                    continue
-                if taint in ("ended", "gone"):
-                    moved.setdefault(machine, []).append(task_name(job.id, task))
-                    self.release(job, task, binding.attempt, machine)
-                    self.settle(job)
-                elif taint == "drain" and binding.stop == StopMode.KEEP:
-                    self.stop(job, task, StopMode.SAVE, "its machine is drained")
-        if moved:
-            log.info(
-                "%d tasks of %d machines move, whose leases are over: %s",
-                sum(map(len, moved.values())),
-                len(moved),
-                ", ".join(
-                    f"{machine} ({' '.join(names)})" for machine, names in list(moved.items())[:4]
-                )
-                + (" and more" if len(moved) > 4 else ""),
-            )
-
-    def stop(self, job, task, how, reason):
-        binding = job.chunk_of(task).bindings[task]
-        log.info("stopping %s on %s: %s", task_name(job.id, task), binding.machine, reason)
-        binding.stop = (
-            StopMode.SAVE
-            if how == StopMode.SAVE and job.spec.checkpoint_interval_s > 0
-            else StopMode.STOP
-        )
-        self.touch(job, task)
+        if whole:
+            self.committed.begin_anew({key for key, record, _ in events if record is not None})
+        for event in events:
+            if not self.commits.defer(event):
+                self.committed.apply(*event)
+        self._follow_dependencies(events, whole)
+        machines = self.committed.take_changed_taints()
+        if machines:
+            self.tasks.apply_taints(machines)
+        self.schedule_placement()
 
-    # --- now and then
+    def _follow_dependencies(self, events: list[Event], whole: bool) -> None:
+        self.graph.apply(events, whole)
+        for job_id in self.graph.urgency.take_changes():
+            job = self.table.get(job_id)
+            if job is not None:
+                job.inherit_urgency(self.graph.urgency.get(job_id))
+        self.release.advance()
 
-    def on_tick(self):
-        tell_after(0.5, self.on_tick)
+    def on_tick(self) -> None:
+        """Handles `tick`, sent to itself every TICK_S: looks after what no message brings about."""
+        tell_after(TICK_S, self.on_tick)
         for job in list(self.jobs.values()):
-            self.settle(job)
+            self.commits.mark_if_over(job)
         # Once broken: the stops for a drained machine went with a commit that was not carried out,
         # and nobody asked for them again; its tasks neither ran nor moved
         # (rules/random_meetings_small_values.txt, 39).
-        self.obey_taints(
-            [
-                machine
-                for machine, taint in self.taints.items()
-                if taint in ("ended", "gone", "drain") and machine in self.capacity.on
-            ]
-        )
-        self.sweep()
-        self.sweep_layouts()
-        self.sweep_lists()
-        if self.flight is None:
-            self.drop_remains()
-        self.soon_release()
-        self.soon_relayout()
-        self.soon_place()
-
-    # --- questions of other slices
-
-    def on_demand(self, reply):
-        """`reply({pool: machines}, {(type, spot, zone): machines})`: what own jobs ask for, in
-        whole machines, and what of it has no room in the only zone where it can run.
+        self.tasks.apply_taints(self.tasks.tainted_machines())
+        self.garbage.sweep_orphans()
+        self.garbage.sweep_generations(self.rechunking.job_id)
+        self.segments.sweep()
+        if self.commits.in_flight is None:
+            self.garbage.collect()
+        self.release.advance()
+        self.rechunking.start_next()
+        self.schedule_placement()
+
+    # --- what the parts need of each other
+
+    def before_commit(self) -> None:
+        """A commit is about to be put together.
+
+        What has just become free or unbound is placed first: one write a job instead of two.
+        """
+        self.scheduler.play_if_due()
+
+    def apply_event(self, key: str, record: Any, mod_revision: int) -> None:
+        """Takes in a change of the replica that had to wait for a commit."""
+        self.committed.apply(key, record, mod_revision)
+
+    def after_reset(self) -> None:
+        """Decisions that were not committed were taken back: they are made anew."""
+        self.rechunking.start_next()
+        self.schedule_placement()
+
+    def schedule_placement(self) -> None:
+        """Has a round of placing played soon."""
+        self.scheduler.schedule_round()
+
+    def request_stop(self, update: StopWanted) -> None:
+        """Has the holder of another's task asked to stop it."""
+        tell(self.agents.on_ask_stop, update)
+
+    # --- questions of other actors
+
+    def on_demand(
+        self,
+        reply: Callable[[dict[tuple[str, bool], float], dict[tuple[str, bool, str], float]], None],
+    ) -> None:
+        """Handles `demand(reply)` from the agent manager: what own jobs request, in machines.
+
+        `reply({(type, spot): machines}, {(type, spot, zone): machines})`: the demand per pool, and
+        what of it finds no capacity in the only zone where it can run.
         """
-        own = [job for job in self.jobs.values() if self.mine(job) and not job.cancelled]
+        settings, cluster = self.settings, self.cluster
+        own = [
+            job for job in self.jobs.values() if self.shard_holders.holds(job) and not job.cancelled
+        ]
+        buffer = placement.capacity_buffer(
+            own, settings.objectives, cluster.machine_types, self.system.wall()
+        )
         reply(
-            placement.demand(
-                own,
-                placement.capacity_buffer(
-                    own, self.settings.objectives, self.machine_types, self.system.wall()
-                ),
-                self.machine_types,
-                self.settings.teams,
-            ),
+            placement.demand(own, buffer, cluster.machine_types, settings.teams),
             placement.zone_shortage(
-                own,
-                self.capacity,
-                self.open_machines.difference(self.taints.of),
-                self.machine_types,
+                own, cluster.capacity, cluster.untainted_machines(), cluster.machine_types
             ),
         )
 
-    def on_occupied(self, reply):
-        """`reply(machines that any bound task names)`."""
-        reply(set(self.capacity.on))
+    def on_occupied(self, reply: Callable[[set[str]], None]) -> None:
+        """Handles `occupied(reply)` from the autoscaler.
+
+        `reply(the machines that any task is bound to)`.
+        """
+        reply(set(self.cluster.bound_machines()))
+
+    def on_replicas(self, reply: Callable[[int], None]) -> None:
+        """Handles `replicas(reply)` from the autoscaler: `reply(how many replicas are bound)`."""
+        reply(sum(self.cluster.capacity.replicas.values()))
+
+    def on_underused_machine(
+        self, type_name: str, limit: int, reply: Callable[[str | None, int], None]
+    ) -> None:
+        """Handles `underused_machine(type_name, limit, reply)` from the autoscaler.
 
-    def on_replicas(self, reply):
-        reply(sum(self.capacity.replicas.values()))
+        `reply(machine, count)`: one that only holds up to `limit` replicas, which could all move to
+        other machines in use; `reply(None, 0)` if there is none.
+        """
+        found = find_underused_machine(self.cluster, type_name, limit)
+        if found is None:
+            reply(None, 0)
+        else:
+            reply(found.name, found.replicas)
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -1,76 +1,121 @@
-"""The job manager's preemption: which running tasks are stopped so that pressing jobs find room."""
+"""Which running tasks are stopped so that pressing jobs find capacity."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from .. import placement
-from ..actors import tell
-from .binding import StopMode
+from ..actors import ActorPart
+from .binding import Binding, StopMode
+from .chunking import ChunkLimits
+from .cluster_view import ClusterView
+from .job import Job
+from .job_table import JobTable
+from .shard_holders import ShardHolders
+from .task_lifecycle import TaskLifecycle
 from .task_updates import StopWanted
 
+if TYPE_CHECKING:
+    from ..config import Settings
+    from .manager import JobManager
+
 MAX_STOPS = 16  # in a round: each costs a look at all machines, and the next round comes soon
 MAX_STOPS_FOR_JOB = 64
 # A start that is stopped sooner does not count as one for its user (PROTOCOL, "How aims are
 # counted").
 FRESH_START_S = 30
 
-
-class Preemption:
-    """The part of the job manager that stops tasks for others, within a round of placing."""
-
-    preempted_at = float("-inf")
-
-    def __init__(self):
-        self.asked = {}  # (job, task, attempt) -> when its holder was asked to stop it
-
-    def late_start(self, job, binding, now):
-        """Whether a task is the first sign of a job that waited that long: it is left alone for a
-        while.
-
-        Once broken: what had its turn was stopped for a higher rank before it began, had its turn
-        again, and so on; neither ran (meetings/turn_and_stop.txt).
+ROUNDS_IN_HEARTBEAT = 5  # rounds of stops in an agent heartbeat, at most
+REQUEST_HEARTBEATS = 2  # agent heartbeats after which a stop that was asked for is asked for again
+LATE_START_LEASES = 4  # agent leases for which the first sign of a job that waited long is left
+MAX_PRESSING_PRIORITY = 1  # index into PRIORITIES: jobs of lower priority are not pressing by age
+
+STOP_REASON = "room for "  # for the log; sent to other holders, so it stays as it is
+
+RunningTask = tuple[Job, int, Binding]
+
+
+class Preemption(ActorPart):
+    """Stops tasks for others, within a round of placing.
+
+    `request_stop` is called with a StopWanted for a task of a job that another controller holds.
+    """
+
+    def __init__(
+        self,
+        actor: "JobManager",
+        settings: "Settings",
+        jobs: JobTable,
+        cluster: ClusterView,
+        holders: ShardHolders,
+        chunk_limits: ChunkLimits,
+        tasks: TaskLifecycle,
+        request_stop: Callable[[StopWanted], None],
+    ) -> None:
+        super().__init__(actor)
+        self._settings, self._jobs, self._cluster = settings, jobs, cluster
+        self._holders, self._chunk_limits, self._tasks = holders, chunk_limits, tasks
+        self._request_stop = request_stop
+        self._last_round_at = float("-inf")
+        # (job, task, attempt) -> when its holder was asked to stop it
+        self._requested: dict[tuple[str, int, int], float] = {}
+
+    def preempt(
+        self,
+        now: float,
+        pending: list[Job],
+        guaranteed: set[str],
+        placement_round: placement.PlacementRound,
+    ) -> None:
+        """Stops what the pressing ones among the pending jobs need to find capacity.
+
+        `guaranteed` are the ids of the jobs within their team's guarantee.
         """
-        age = self.system.wall() - job.spec.submitted_at - (now - binding.since)
-        return now - binding.since < 4 * self.settings.lease_s < age / 2 and not job.done_count()
+        heartbeat_s = self._settings.agent_heartbeat_s
+        if now - self._last_round_at < heartbeat_s / ROUNDS_IN_HEARTBEAT:
+            return
+        pressing = self._jobs_worth_preempting_for(now, pending, guaranteed)
+        if not pressing:
+            return
+        self._last_round_at = now
+        self._requested = {
+            key: at
+            for key, at in self._requested.items()
+            if now - at < REQUEST_HEARTBEATS * heartbeat_s
+        }
+        self._count_stopping_as_free(placement_round)
+        stoppable = self._stoppable_tasks(now, pressing)
+        self._preempt_for(now, pressing, stoppable, placement_round)
 
-    def pressing(self, job, now):
-        """Whether a waiting job may have others stopped now: a deadline allows patience."""
+    def _is_pressing(self, job: Job, guaranteed: set[str]) -> bool:
+        """Whether a pending job may have others stopped now: a deadline allows patience."""
         spec = job.spec
+        heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
         age = self.system.wall() - spec.submitted_at
         if spec.service:
-            return age > 2 * self.settings.agent_heartbeat_s / 10
-        if job.id in self.guaranteed and age > self.settings.agent_heartbeat_s:
+            return age > 2 * heartbeat_s / 10
+        if job.id in guaranteed and age > heartbeat_s:
             return True
         if spec.deadline_s is not None:
-            return spec.deadline_s - age < spec.estimated_run_s * 1.5 + self.settings.lease_s
-        return spec.priority < 2 and age > self.settings.lease_s
+            return spec.deadline_s - age < spec.estimated_run_s * 1.5 + lease_s
+        return spec.priority <= MAX_PRESSING_PRIORITY and age > lease_s
 
-    def preempt(self, now, waiting, placement_round):
-        """Stops what the pressing ones among the waiting jobs need to find room."""
-        if now - self.preempted_at < self.settings.agent_heartbeat_s / 5:
-            return
-        pressing = self.jobs_worth_preempting_for(now, waiting)
-        if not pressing:
-            return
-        self.preempted_at = now
-        self.asked = {
-            key: at
-            for key, at in self.asked.items()
-            if now - at < 2 * self.settings.agent_heartbeat_s
-        }
-        self.count_stopping_as_free(placement_round)
-        self.preempt_for(now, pressing, self.stoppable_rows(now, pressing), placement_round)
-
-    def jobs_worth_preempting_for(self, now, waiting):
+    def _jobs_worth_preempting_for(
+        self, now: float, pending: list[Job], guaranteed: set[str]
+    ) -> list[Job]:
         """Own pressing jobs for which some running job may be stopped at all."""
         pressing = [
             job
-            for job in waiting
-            if self.mine(job) and job.pending_count() and self.pressing(job, now)
+            for job in pending
+            if self._holders.holds(job)
+            and job.pending_count()
+            and self._is_pressing(job, guaranteed)
         ]
         if not pressing:
             return []
-        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
+        rules = self._stop_rules()
         running = {
             placement.preempt.stop_class(job.spec): job.spec
-            for job in self.jobs.values()
+            for job in self._jobs.jobs.values()
             if job.binding_count()
         }
         return [
@@ -79,91 +124,119 @@
             if any(rules.may_stop(job.spec, victim) for victim in running.values())
         ]
 
-    def count_stopping_as_free(self, placement_round):
-        """What is being stopped already will be room; it is not stopped for twice."""
-        for job in self.jobs.values():
+    def _stop_rules(self) -> placement.preempt.StopRules:
+        return placement.preempt.StopRules(self._cluster.capacity, self._settings.teams)
+
+    def _count_stopping_as_free(self, placement_round: placement.PlacementRound) -> None:
+        """What is being stopped already will be free; it is not stopped for twice."""
+        for job in self._jobs.jobs.values():
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
             ]:
                 placement_round.give(job.spec, binding.machine)
-        for job_id, task, attempt in self.asked:
-            job = self.jobs.get(job_id)
-            binding = job.chunk_of(task).bindings.get(task) if job is not None else None
-            if (
-                binding is not None
-                and binding.attempt == attempt
-                and not binding.stop
-                and not job.cancelled
-            ):
-                placement_round.give(job.spec, binding.machine)
-
-    def stoppable_rows(self, now, pressing):
-        """{machine: [(job, task, bound)]} of what may be stopped there, the cheapest first."""
-        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
-        kinds = list({(job.spec.priority, job.spec.team): job.spec for job in pressing}.values())
-        rows = {}
-        for job in self.jobs.values():
+        for job_id, task, attempt in self._requested:
+            requested = self._jobs.get(job_id)
+            if requested is None:
+                continue
+            bound = requested.chunk_of(task).bindings.get(task)
+            if bound is None or bound.attempt != attempt or bound.stop or requested.cancelled:
+                continue
+            placement_round.give(requested.spec, bound.machine)
+
+    def _stoppable_tasks(self, now: float, pressing: list[Job]) -> dict[str, list[RunningTask]]:
+        """{machine: [(job, task, binding)]} of what may be stopped there, the cheapest first."""
+        rules = self._stop_rules()
+        classes = {(job.spec.priority, job.spec.team): job.spec for job in pressing}
+        specs = list(classes.values())
+        stoppable: dict[str, list[RunningTask]] = {}
+        for job in self._jobs.jobs.values():
             if (
                 job.cancelled
-                or self.needs_relayout(job)
-                or not any(rules.may_stop(spec, job.spec) for spec in kinds)
+                or self._chunk_limits.needs_rechunking(job)
+                or not any(rules.may_stop(spec, job.spec) for spec in specs)
             ):
                 continue
             for task, binding in job.bindings():
                 if (
                     not binding.stop
-                    and (job.id, task, binding.attempt) not in self.asked
-                    and not self.late_start(job, binding, now)
+                    and (job.id, task, binding.attempt) not in self._requested
+                    and not self._is_late_start(job, binding, now)
                 ):
-                    rows.setdefault(binding.machine, []).append((job, task, binding))
-        for there in rows.values():
-            there.sort(key=lambda row: placement.preempt.turn_to_go(row, self.is_fresh(row, now)))
-        return rows
+                    stoppable.setdefault(binding.machine, []).append((job, task, binding))
+        for tasks in stoppable.values():
+            tasks.sort(key=lambda row: placement.preempt.turn_to_go(row, self._is_fresh(row, now)))
+        return stoppable
+
+    def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
+        """Whether a task is the first sign of a job that waited long: it is left for a while.
+
+        Once broken: what had its turn was stopped for a higher priority before it began, had its
+        turn again, and so on; neither ran (meetings/turn_and_stop.txt).
+        """
+        bound_s = now - binding.since
+        age = self.system.wall() - job.spec.submitted_at - bound_s
+        return bound_s < LATE_START_LEASES * self._settings.lease_s < age / 2 and (
+            not job.done_count()
+        )
 
     @staticmethod
-    def is_fresh(row, now):
+    def _is_fresh(running: RunningTask, now: float) -> bool:
         """Whether a task has been bound too lately to count as a start once it is stopped."""
-        return now - row[2].since < FRESH_START_S
-
-    def preempt_for(self, now, pressing, rows, placement_round):
+        return now - running[2].since < FRESH_START_S
+
+    def _preempt_for(
+        self,
+        now: float,
+        pressing: list[Job],
+        stoppable: dict[str, list[RunningTask]],
+        placement_round: placement.PlacementRound,
+    ) -> None:
         """Picks victims for one task after the other, and asks for their stop."""
         stops_left = MAX_STOPS
         for job in pressing:
             for _ in range(min(job.pending_count(), MAX_STOPS_FOR_JOB)):
-                victims = self.victims_for(now, job, rows, placement_round)
+                victims = self._victims_for(now, job, stoppable, placement_round)
                 if victims is None:
                     break
                 if not victims:
                     continue
-                for row in victims:
-                    rows[row[2].machine].remove(row)
-                    placement_round.give(row[0].spec, row[2].machine)
-                    self.ask_stop(now, row, f"room for {job.id}")
+                for victim in victims:
+                    victim_job, _, binding = victim
+                    stoppable[binding.machine].remove(victim)
+                    placement_round.give(victim_job.spec, binding.machine)
+                    self._stop(now, victim, STOP_REASON + job.id)
                 placement_round.fill(job, 1)
                 stops_left -= 1
                 if stops_left <= 0:
                     return
 
-    def victims_for(self, now, job, rows, placement_round):
-        """What to stop for one more task: nothing if it has found room; None if nothing helps."""
-        capacity, teams = self.capacity, self.settings.teams
+    def _victims_for(
+        self,
+        now: float,
+        job: Job,
+        stoppable: dict[str, list[RunningTask]],
+        placement_round: placement.PlacementRound,
+    ) -> list[RunningTask] | None:
+        """What to stop for one more task: nothing if there is capacity; None if nothing helps."""
+        capacity, teams = self._cluster.capacity, self._settings.teams
 
-        def fresh(row):
-            return self.is_fresh(row, now)
+        def fresh(running: RunningTask) -> bool:
+            return self._is_fresh(running, now)
 
         if not capacity.tasks_within_quota(job.spec):
-            victims = placement.preempt.victims_for_quota(job.spec, rows, capacity, teams, fresh)
+            victims = placement.preempt.victims_for_quota(
+                job.spec, stoppable, capacity, teams, fresh
+            )
             helps = victims and placement.preempt.has_fit(job, victims, placement_round)
             return victims if helps else None
         if placement_round.fill(job, 1):
             return []
-        return placement.preempt.victims_for_capacity(job, rows, placement_round, teams, fresh)
+        return placement.preempt.victims_for_capacity(job, stoppable, placement_round, teams, fresh)
 
-    def ask_stop(self, now, row, reason):
-        job, task, binding = row
-        if self.mine(job):
-            self.stop(job, task, StopMode.SAVE, reason)
+    def _stop(self, now: float, running: RunningTask, reason: str) -> None:
+        job, task, binding = running
+        if self._holders.holds(job):
+            self._tasks.stop(job, task, StopMode.SAVE, reason)
         else:
-            self.asked[(job.id, task, binding.attempt)] = now
-            update = StopWanted(job.id, task, binding.attempt, StopMode.SAVE, reason)
-            tell(self.agents.on_ask_stop, update)
+            self._requested[(job.id, task, binding.attempt)] = now
+            self._request_stop(StopWanted(job.id, task, binding.attempt, StopMode.SAVE, reason))
--- /dev/null
+++ b/emberglade/jobs/segment_collection.py
@@ -0,0 +1,79 @@
+"""Removes segments of dependency lists that no waiting job names."""
+
+from typing import TYPE_CHECKING
+
+from ..actors import ActorPart, tell
+from ..state import LIVE_PREFIX
+from ..state import wire as state_wire
+from ..state.store import DECISIONS
+from . import wire
+from .dependencies import DependencyGraph
+from .shard_holders import ShardHolders
+from .write_budget import WriteBudget
+
+if TYPE_CHECKING:
+    from ..config import Settings
+    from ..state import Store
+    from .manager import JobManager
+
+UNUSED_LEASES = 2  # agent leases after which a list is taken for left behind
+
+
+class SegmentCollection(ActorPart):
+    """Removes lists of attempts that came to nothing, or of jobs that wait no more."""
+
+    def __init__(
+        self,
+        actor: "JobManager",
+        settings: "Settings",
+        store: "Store",
+        graph: DependencyGraph,
+        holders: ShardHolders,
+        budget: WriteBudget,
+    ) -> None:
+        super().__init__(actor)
+        self._settings, self._store = settings, store
+        self._graph, self._holders, self._budget = graph, holders, budget
+        self._unused_since: dict[tuple[str, str], float] = {}  # (job, list id) -> when first seen
+
+    def sweep(self) -> None:
+        """One controller removes segments that no waiting job names for long, one list at a time.
+
+        The first segment goes first, since a job's key hangs on it.
+        """
+        if not self._holders.holds_first_shard():
+            self._unused_since = {}
+            return
+        now = self.now()
+        self._unused_since = {
+            name: self._unused_since.get(name, now) for name in self._unused_lists()
+        }
+        for (job_id, list_id), since in self._unused_since.items():
+            if now - since > UNUSED_LEASES * self._settings.lease_s:
+                self._remove(job_id, list_id)
+                return
+
+    def _unused_lists(self) -> list[tuple[str, str]]:
+        waiting = self._graph.waiting
+        return [
+            (job_id, list_id)
+            for job_id, list_id in self._graph.segments
+            if job_id not in waiting or waiting[job_id].list_id != list_id
+        ]
+
+    def _remove(self, job_id: str, list_id: str) -> None:
+        """Removes as many segments of a list as one commit may write."""
+        segments = sorted(self._graph.segments[(job_id, list_id)].items())
+        keys = [
+            (LIVE_PREFIX + wire.segment_key(job_id, list_id, number), mod_revision)
+            for number, (_, mod_revision) in segments[: self._budget.max_writes]
+        ]
+        waiting = self._graph.waiting.get(job_id)
+        waiting_revision = waiting.mod_revision if waiting is not None else 0
+        tell(
+            self._store.on_commit,
+            DECISIONS,
+            [(LIVE_PREFIX + wire.waiting_key(job_id), waiting_revision), *keys],
+            [state_wire.remove(key) for key, _ in keys],
+            lambda *_: None,
+        )
--- /dev/null
+++ b/emberglade/jobs/task_lifecycle.py
@@ -0,0 +1,147 @@
+"""What becomes of bound tasks: they end, are stopped, or move off a lost machine."""
+
+import logging
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from ..actors import ActorPart
+from .binding import Binding, StopMode
+from .chunking import ChunkLimits
+from .cluster_view import ClusterView
+from .commits import Commits
+from .failure_backoff import DONE, FailureBackoff
+from .job import Job, task_name
+from .job_table import JobTable
+from .shard_holders import ShardHolders
+from .task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+
+if TYPE_CHECKING:
+    from .manager import JobManager
+
+log = logging.getLogger("emberglade.jobs")
+
+# Taints of the leader (emberglade/fleet/taints.py).
+LEASE_OVER = ("ended", "gone")  # its agent has proven to run nothing any more
+DRAIN = "drain"
+
+MAX_MACHINES_LOGGED = 4
+
+
+class TaskLifecycle(ActorPart):
+    """Changes the bindings of own jobs by what agents report and the leader's taints say."""
+
+    def __init__(
+        self,
+        actor: "JobManager",
+        jobs: JobTable,
+        cluster: ClusterView,
+        holders: ShardHolders,
+        chunk_limits: ChunkLimits,
+        commits: Commits,
+        backoff: FailureBackoff,
+        schedule_placement: Callable[[], None],
+    ) -> None:
+        super().__init__(actor)
+        self._jobs, self._cluster, self._holders = jobs, cluster, holders
+        self._chunk_limits, self._commits, self._backoff = chunk_limits, commits, backoff
+        self._schedule_placement = schedule_placement
+
+    def may_change(self, job: Job) -> bool:
+        """Whether this controller holds the job, and may change it now."""
+        return self._holders.holds(job) and not self._chunk_limits.needs_rechunking(job)
+
+    def apply(self, update: TaskUpdate) -> None:
+        """Takes in what is proven of one attempt, or asked for it.
+
+        Updates on jobs that this controller does not hold, or may not change now, are left out:
+        agents' heartbeats repeat them.
+        """
+        job = self._jobs.get(update.job_id)
+        if job is None or not self.may_change(job) or not 0 <= update.task < job.spec.tasks:
+            return
+        binding = job.chunk_of(update.task).bindings.get(update.task)
+        match update:
+            case TaskExited():
+                self.task_exited(job, binding, update)
+            case TaskGone():
+                self.release(job, update.task, update.attempt, update.machine)
+                self._commits.mark_if_over(job)
+            case StopWanted():
+                if (
+                    binding is not None
+                    and binding.attempt == update.attempt
+                    and binding.stop == StopMode.KEEP
+                ):
+                    self.stop(job, update.task, update.mode, update.reason)
+
+    def task_exited(self, job: Job, binding: Binding | None, update: TaskExited) -> None:
+        """Records the end of an attempt, unless another attempt is bound by now."""
+        if binding is None or not binding.is_attempt(update.attempt, update.machine):
+            return
+        task, chunk = update.task, job.chunk_of(update.task)
+        self._jobs.unbind(job, task)
+        if update.reason == DONE and not job.spec.service:
+            chunk.done.add(task)
+        else:
+            chunk.last_attempts[task] = update.attempt
+            self._backoff.note_exit(job, update, self.now())
+        self._commits.mark_changed(job, task, soon=False)
+        self._commits.mark_if_over(job)
+        self._schedule_placement()
+
+    def release(self, job: Job, task: int, attempt: int, machine: str) -> None:
+        """Ends the binding of an attempt that will never run again, if it is bound still."""
+        chunk = job.chunk_of(task)
+        binding = chunk.bindings.get(task)
+        if binding is not None and binding.is_attempt(attempt, machine):
+            self._jobs.unbind(job, task)
+            chunk.last_attempts[task] = attempt
+            self._commits.mark_changed(job, task)
+
+    def stop(self, job: Job, task: int, mode: int, reason: str) -> None:
+        """Has a bound task stopped; `mode` is a StopMode, `reason` is for the log."""
+        binding = job.chunk_of(task).bindings[task]
+        log.info("stopping %s on %s: %s", task_name(job.id, task), binding.machine, reason)
+        saves = mode == StopMode.SAVE and job.spec.checkpoint_interval_s > 0
+        binding.stop = StopMode.SAVE if saves else StopMode.STOP
+        self._commits.mark_changed(job, task)
+
+    def tainted_machines(self) -> list[str]:
+        """The machines with tasks whose taint says what becomes of these."""
+        return [
+            machine
+            for machine, taint in self._cluster.taints.items()
+            if (taint in LEASE_OVER or taint == DRAIN) and machine in self._cluster.bound_machines()
+        ]
+
+    def apply_taints(self, machines: Iterable[str]) -> None:
+        """Moves own tasks off machines whose leases are over, stops those on draining ones."""
+        moved: dict[str, list[str]] = {}
+        for machine in machines:
+            taint = self._cluster.taints.get(machine)
+            for (_, task), (job, binding) in list(self._cluster.tasks_on(machine).items()):
+                if not self.may_change(job):
+                    continue
+                if taint in LEASE_OVER:
+                    moved.setdefault(machine, []).append(task_name(job.id, task))
+                    self.release(job, task, binding.attempt, machine)
+                    self._commits.mark_if_over(job)
+                elif taint == DRAIN and binding.stop == StopMode.KEEP:
+                    self.stop(job, task, StopMode.SAVE, "its machine is drained")
+        if moved:
+            log_moved(moved)
+
+
+def log_moved(moved: dict[str, list[str]]) -> None:
+    """Logs which tasks move; `moved` is {machine: names of its tasks}."""
+    shown = [
+        f"{machine} ({' '.join(names)})"
+        for machine, names in list(moved.items())[:MAX_MACHINES_LOGGED]
+    ]
+    log.info(
+        "%d tasks of %d machines move, whose leases are over: %s%s",
+        sum(map(len, moved.values())),
+        len(moved),
+        ", ".join(shown),
+        " and more" if len(moved) > MAX_MACHINES_LOGGED else "",
+    )
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -1,6 +1,6 @@
 """What one controller tells a job's holder about one attempt of a task.
 
-Each is a stable fact or a wish about one attempt on one machine: told late or twice, it changes
+Each is proven of one attempt on one machine, or asked for it: told late or twice, it changes
 nothing that it should not.
 """
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskExited:
-    """The attempt has ended on its machine; `reason` is the worker's, such as `done` or `error`."""
+    """The attempt has ended on its machine; `reason` is the agent's, such as `done` or `error`."""
 
     job_id: str
     task: int
@@ -55,7 +55,7 @@
     job_id: str
     task: int
     attempt: int
-    mode: int  # STOP or SAVE
+    mode: int  # StopMode.STOP or StopMode.SAVE
     reason: str  # for the log
 
     @property
--- /dev/null
+++ b/emberglade/jobs/wire/__init__.py
@@ -0,0 +1,107 @@
+"""The jobs' keys and records in the store: the one place that knows their names and fields.
+
+Keys are without LIVE_PREFIX (or FINAL_PREFIX), as the replica holds them:
+
+    j/JOB                   a live job: its description and its first chunk of tasks
+    t/JOB/N                 a further chunk of its tasks
+    t/JOB/GENERATION/N      the same of a job that was rechunked
+    w/JOB                   a job that waits for others
+    x/JOB/LIST/N            a segment of its list of dependencies, if that is long
+    JOB                     (under FINAL_PREFIX) how a job ended
+
+Records are JSON objects, a segment is a list of job ids.
+"""
+
+from .keys import (
+    CHUNK_PREFIX,
+    JOB_PREFIX,
+    SEGMENT_PREFIX,
+    WAITING_PREFIX,
+    ChunkKey,
+    SegmentKey,
+    chunk_key,
+    final_key,
+    is_chunk_key,
+    is_job_key,
+    job_id_of,
+    job_key,
+    key_of_chunk,
+    read_chunk_key,
+    read_segment_key,
+    segment_key,
+    waiting_key,
+)
+from .records import (
+    FinalState,
+    Outcome,
+    Record,
+    binding_row,
+    binding_rows,
+    bound_count,
+    cancelled_record,
+    chunk_record,
+    done_count,
+    final_record,
+    first_chunk,
+    is_cancelled,
+    job_record,
+    read_binding,
+    read_chunk_size,
+    read_final,
+    read_generation,
+    read_job,
+    read_ranges,
+    read_spec,
+    read_stop_mode,
+    read_waiting_record,
+    update_chunk,
+    waiting_record,
+    write_ranges,
+    write_spec,
+)
+
+__all__ = [
+    "CHUNK_PREFIX",
+    "ChunkKey",
+    "FinalState",
+    "JOB_PREFIX",
+    "Outcome",
+    "Record",
+    "SEGMENT_PREFIX",
+    "SegmentKey",
+    "WAITING_PREFIX",
+    "binding_row",
+    "binding_rows",
+    "bound_count",
+    "cancelled_record",
+    "chunk_key",
+    "chunk_record",
+    "done_count",
+    "final_key",
+    "final_record",
+    "first_chunk",
+    "is_cancelled",
+    "is_chunk_key",
+    "is_job_key",
+    "job_id_of",
+    "job_key",
+    "job_record",
+    "key_of_chunk",
+    "read_binding",
+    "read_chunk_key",
+    "read_chunk_size",
+    "read_final",
+    "read_generation",
+    "read_job",
+    "read_ranges",
+    "read_segment_key",
+    "read_spec",
+    "read_stop_mode",
+    "read_waiting_record",
+    "segment_key",
+    "update_chunk",
+    "waiting_key",
+    "waiting_record",
+    "write_ranges",
+    "write_spec",
+]
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -3,9 +3,12 @@
 from dataclasses import replace
 
 from emberglade.actors import callback, tell
+from emberglade.jobs.commit_settlement import CommitSettlement
 from emberglade.jobs.dependencies import DependencyGraph
 from emberglade.jobs.job import Job
 from emberglade.jobs.manager import JobManager
+from emberglade.jobs.scheduler import Scheduler
+from emberglade.jobs.task_lifecycle import TaskLifecycle
 
 
 def moves_without_proof(patch):
@@ -14,11 +17,11 @@
 
     def on_tick(self):
         for job in list(self.jobs.values()):
-            if self.mine(job):
+            if self.shard_holders.holds(job):
                 for task, binding in list(job.bindings()):
-                    machine = self.inventory.get(binding.machine)
+                    machine = self.cluster.machines.get(binding.machine)
                     if machine is not None and not machine.open:
-                        self.release(job, task, binding.attempt, binding.machine)
+                        self.tasks.release(job, task, binding.attempt, binding.machine)
         original(self)
 
     patch.setattr(JobManager, "on_tick", on_tick)
@@ -39,32 +42,32 @@
 
 def starts_nothing(patch):
     """Nothing is ever placed."""
-    patch.setattr(JobManager, "on_place", lambda self: None)
+    patch.setattr(Scheduler, "on_place", lambda self: None)
 
 
 def never_starving(patch):
     """What has waited for long gets no turn of its own."""
-    patch.setattr(JobManager, "starves", lambda self, job, wall: False)
+    patch.setattr(Scheduler, "is_starving", lambda self, job, wall: False)
 
 
 def any_attempt(patch):
     """An exit counts for whichever attempt is bound now."""
-    original = JobManager.task_exited
+    original = TaskLifecycle.task_exited
 
     def task_exited(self, job, binding, update):
         if binding is not None:
             update = replace(update, attempt=binding.attempt, machine=binding.machine)
         original(self, job, binding, update)
 
-    patch.setattr(JobManager, "task_exited", task_exited)
+    patch.setattr(TaskLifecycle, "task_exited", task_exited)
 
 
 def unfenced_flights(patch):
     """A commit without an answer is taken for one that was not carried out."""
     patch.setattr(
-        JobManager,
-        "on_fence_flight",
-        lambda self: tell(self.store.on_sync, callback(self.on_resync)),
+        CommitSettlement,
+        "on_fence",
+        lambda self, in_flight: tell(self._store.on_sync, callback(self.on_synced, in_flight)),
     )
 
 
