--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -4,6 +4,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..actors import ActorPart, callback, tell, tell_after
+from ..state import Change
 from ..state.store import DECISIONS
 from ..transport import status_text
 from . import wire
@@ -14,7 +15,7 @@
 from .job_table import JobTable
 from .pending_writes import WRITE_DELAY_S, PendingWrites
 from .shard_holders import ShardHolders
-from .transaction import CommitInFlight, Event, JobEnd, Transaction
+from .transaction import CommitInFlight, JobEnd, Transaction
 from .write_budget import WriteBudget
 
 if TYPE_CHECKING:
@@ -242,7 +243,7 @@
         for event in in_flight.later_events(revision):
             self._listener.apply_event(*event)
 
-    def defer(self, event: Event) -> bool:
+    def defer(self, event: Change) -> bool:
         """Keeps a change of a key that a commit in flight writes; False if none does."""
         return self.in_flight is not None and self.in_flight.defer(event)
 
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -7,8 +7,8 @@
 
 from collections import OrderedDict
 from collections.abc import Iterable
-from typing import Any
 
+from ..state import Change
 from . import wire
 from .urgency import InheritedUrgency
 from .waiting_job import WaitingJob, WaitingJobRecord
@@ -17,8 +17,6 @@
 # Jobs that are over whose outcome is kept in memory; others are read when needed.
 MAX_OUTCOMES = 20_000
 
-Event = tuple[str, Any, int]  # (key, its record or None, mod revision)
-
 
 class DependencyGraph:
     """The waiting jobs of the replica and what they wait for.
@@ -48,7 +46,7 @@
 
     # --- following the replica
 
-    def apply(self, events: Iterable[Event], whole: bool) -> None:
+    def apply(self, events: Iterable[Change], whole: bool) -> None:
         """Takes in changes of the replica, in their order; `whole`: they are all of it."""
         if whole:
             self._forget()
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -10,7 +10,7 @@
 from .. import placement
 from ..actors import tell, tell_after
 from ..membership import Holder
-from ..state import ReplicaSubscriber
+from ..state import Change, ReplicaSubscriber
 from .chunking import ChunkLimits
 from .cluster_view import ClusterView
 from .commits import Commits
@@ -28,7 +28,6 @@
 from .shard_holders import ShardHolders
 from .task_lifecycle import TaskLifecycle
 from .task_updates import StopWanted, TaskUpdate
-from .transaction import Event
 from .unattached_chunks import UnattachedChunks
 from .underused_machine import find_underused_machine
 from .write_budget import WriteBudget
@@ -152,7 +151,7 @@
         """Handles `task_update(update)` from the agent manager, or from a peer's."""
         self.tasks.apply(update)
 
-    def on_changed(self, events: list[Event], revision: int, whole: bool) -> None:
+    def on_changed(self, events: list[Change], revision: int, whole: bool) -> None:
         """Handles `changed(events, revision, whole)` from the store: the replica has changed.
 
         Changes of what is being written just now wait for the outcome.
@@ -168,7 +167,7 @@
             self.tasks.apply_taints(machines)
         self.schedule_placement()
 
-    def _follow_dependencies(self, events: list[Event], whole: bool) -> None:
+    def _follow_dependencies(self, events: list[Change], whole: bool) -> None:
         self.graph.apply(events, whole)
         for job_id in self.graph.urgency.take_changes():
             job = self.table.get(job_id)
--- a/emberglade/jobs/shard_holders.py
+++ b/emberglade/jobs/shard_holders.py
@@ -29,11 +29,11 @@
 
     def apply(self, key: str, record: dict[str, Any] | None, mod_revision: int) -> None:
         """Takes in a change of a shard's key."""
-        shard = int(key[len(membership_wire.SHARD_PREFIX) :])
+        shard = membership_wire.read_shard_key(key)
         if record is None:
             self.holders.pop(shard, None)
         else:
-            self.holders[shard] = Holder(*membership_wire.read_holder(record), mod_revision)
+            self.holders[shard] = membership_wire.read_holder(record, mod_revision)
 
     def is_own(self, holder: Holder) -> bool:
         """Whether this process is the holder."""
@@ -55,7 +55,7 @@
         """Whether this process is the one that removes what others left behind."""
         return self.is_own(self.holders.get(0, NOBODY))
 
-    def own_record(self) -> dict[str, Any]:
+    def own_record(self) -> membership_wire.Record:
         """The record of a shard's key that this process holds."""
         return membership_wire.holder_record(self._settings.node, self.incarnation)
 
--- a/emberglade/jobs/transaction.py
+++ b/emberglade/jobs/transaction.py
@@ -3,14 +3,13 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..state import FINAL_PREFIX, LIVE_PREFIX
+from ..state import FINAL_PREFIX, LIVE_PREFIX, Change
 from ..state import wire as state_wire
 from . import wire
 from .chunk import Chunk
 from .job import Job
 from .wire import Outcome
 
-Event = tuple[str, Any, int]  # (key, its record or None, mod revision)
 Condition = tuple[str, int]  # (full key, its mod revision)
 
 # PROTOCOL allows 64 KiB a transaction; what a record adds is estimated, so that it need not be
@@ -42,12 +41,12 @@
 
     chunks: dict[str, Chunk]
     shards: set[int]
-    deferred: dict[str, list[Event]] = field(init=False)
+    deferred: dict[str, list[Change]] = field(init=False)
 
     def __post_init__(self) -> None:
         self.deferred = {key: [] for key in self.chunks}
 
-    def defer(self, event: Event) -> bool:
+    def defer(self, event: Change) -> bool:
         """Keeps a change of one of its keys for later; False if the key is not its own."""
         events = self.deferred.get(event[0])
         if events is None:
@@ -55,7 +54,7 @@
         events.append(event)
         return True
 
-    def later_events(self, revision: int) -> list[Event]:
+    def later_events(self, revision: int) -> list[Change]:
         """The deferred changes that are newer than this revision."""
         return [
             event for events in self.deferred.values() for event in events if event[2] > revision
