--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -19,6 +19,7 @@
 from .state import Store, read_since
 from .transport import Client, ClientPool, Server, ServerLimits
 from .user_api import UserApi
+from .user_api.wire import is_user_path
 
 if TYPE_CHECKING:
     from .failure_detection import PeerMonitor
@@ -53,13 +54,14 @@
 
     def tell_memory(self, short):
         """Memory has become short, or enough again."""
-        tell(self.api.on_memory, short)
+        tell(self.api.on_memory_pressure, short)
 
     def describe(self):
         """How much there is of what takes memory."""
         return (
             f"{len(self.store.replica)} live keys, {len(self.job_manager.jobs)} jobs, "
-            f"{len(self.agents.evidence.view)} machines, {len(self.api.final)} final states at hand"
+            f"{len(self.agents.evidence.view)} machines, "
+            f"{len(self.api.lookup.final_states)} final states at hand"
         )
 
     def peer_route(self, method, path, body, reply):
@@ -148,11 +150,6 @@
         self.users = max(1, self.front // 3)
 
 
-def is_user_path(path):
-    """Whether a path is one that users ask for."""
-    return path.startswith("/submissions")
-
-
 def serve(settings, operators):
     """Runs a controller until the process ends."""
     threading.stack_size(256 * 1024)
@@ -176,7 +173,7 @@
     )
     front = Server(
         settings.front,
-        node.api.route,
+        node.api.routes.route,
         ServerLimits(
             max_connections=descriptors.front,
             max_user_connections=descriptors.users,
--- a/emberglade/user_api/__init__.py
+++ b/emberglade/user_api/__init__.py
@@ -1,4 +1,4 @@
-"""The front api: submissions, polls, aborts, readiness; strict validation."""
+"""The users' API: submissions, polls, cancellations, readiness; strict validation."""
 
 from .api import UserApi
 
--- /dev/null
+++ b/emberglade/user_api/acceptance.py
@@ -0,0 +1,104 @@
+"""Commits accepted jobs, and bounds how many submissions are open at the same time."""
+
+import logging
+from typing import Any
+
+from ..actors import Actor, ActorPart, callback, tell
+from ..config import Settings
+from ..jobs.record import Job, Spec, final_key, job_key, part_size_for
+from ..jobs.waiting import waiting_key
+from ..state import FINAL_PREFIX, LIVE_PREFIX, Store
+from ..state import wire as state_wire
+from ..state.store import SUBMISSIONS
+from . import wire
+from .answers import STORE_SILENT, Reply, too_many
+from .job_state import JobState, JobStatus
+from .lookup import JobLookup
+
+log = logging.getLogger("emberglade.user_api")
+
+MIN_OPEN_SUBMISSIONS = 8  # that may be open at the same time, however small the write budget is
+OPEN_SUBMISSIONS_S = 2.0  # of the store's write budget: more can't be accepted in time
+STORE_BUSY = too_many("too many requests at once")
+
+
+def never_accepted_conditions(job_id: str) -> list[tuple[str, int]]:
+    """The conditions `[(full key, mod_revision)]` that a job was never accepted."""
+    return [
+        (LIVE_PREFIX + job_key(job_id), 0),
+        (LIVE_PREFIX + waiting_key(job_id), 0),
+        (FINAL_PREFIX + final_key(job_id), 0),
+    ]
+
+
+class Acceptance(ActorPart):
+    """Makes accepted jobs durable and tells their users."""
+
+    def __init__(self, actor: Actor, settings: Settings, store: Store, lookup: JobLookup) -> None:
+        super().__init__(actor)
+        self.settings = settings
+        self.store = store
+        self.lookup = lookup
+        self.open_submissions = 0
+        self.max_open_submissions = max(
+            MIN_OPEN_SUBMISSIONS,
+            int(OPEN_SUBMISSIONS_S * settings.state_write_rps / settings.size),
+        )
+
+    @property
+    def is_full(self) -> bool:
+        """Whether no further submission may be opened now."""
+        return self.open_submissions >= self.max_open_submissions
+
+    def open(self) -> None:
+        """Counts a submission as open, until `close` or the end of `commit`."""
+        self.open_submissions += 1
+
+    def close(self) -> None:
+        """Counts a submission as answered."""
+        self.open_submissions -= 1
+
+    def commit(self, spec: Spec, reply: Reply) -> None:
+        """Commits a job that may run at once, unless it was accepted before; then answers."""
+        job = Job(spec, part_size_for(spec, self.settings.value_bytes))
+        tell(
+            self.store.on_commit,
+            SUBMISSIONS,
+            never_accepted_conditions(spec.id),
+            [state_wire.put(LIVE_PREFIX + job_key(spec.id), job.encode())],
+            callback(self.on_committed, spec, reply),
+        )
+
+    def on_committed(
+        self, spec: Spec, reply: Reply, status: int, revision: int | None, failed: Any
+    ) -> None:
+        """Handles the store's answer to `commit`: answers the submission, which is closed."""
+        self.close()
+        if status != 200:
+            self.answer_not_committed(spec, reply, status, failed)
+            return
+        log.info(
+            "%s accepted: %d tasks of %g cpus, priority %d, team %s, due %s",
+            spec.id,
+            spec.tasks,
+            spec.cpus,
+            spec.priority,
+            spec.team,
+            "never" if spec.deadline_s is None else f"in {spec.deadline_s:g} s",
+        )
+        reply(201, wire.write_state(JobState(spec.id, JobStatus.PENDING)))
+
+    def answer_not_committed(self, spec: Spec, reply: Reply, status: int, failed: Any) -> None:
+        """Answers a submission whose commit ended with another status than 200."""
+        if status == 409:
+            self.answer_accepted_before(spec.id, reply)
+        elif status == 429:
+            STORE_BUSY.send(reply)
+        else:
+            if status == 400:
+                log.error("the state service refuses %s (%s)", spec.id, failed)
+            STORE_SILENT.send(reply)
+
+    def answer_accepted_before(self, job_id: str, reply: Reply) -> None:
+        """Answers with the state of a job that was accepted, as far as is known here."""
+        self.lookup.answer(job_id, reply, if_never_accepted=STORE_SILENT)
--- /dev/null
+++ b/emberglade/user_api/cancellations.py
@@ -0,0 +1,124 @@
+"""Users' cancellations: marked in the job's record, and told only once the replica shows them."""
+
+import logging
+from typing import TYPE_CHECKING, Any
+
+from ..actors import Actor, ActorPart, callback, tell
+from ..jobs.record import final_key, job_key
+from ..jobs.waiting import waiting_key
+from ..state import FINAL_PREFIX, LIVE_PREFIX, Store
+from ..state import wire as state_wire
+from ..state.store import DECISIONS
+from . import committed_jobs, wire
+from .answers import NO_SUCH_JOB, STORE_SILENT, Reply
+from .committed_view import CommittedView, LiveJob
+from .job_state import JobState, JobStatus
+from .lookup import JobLookup
+
+if TYPE_CHECKING:
+    from ..agents import AgentManager
+
+log = logging.getLogger("emberglade.user_api")
+
+MAX_RETRIES = 8  # of one cancellation, whose record was written by its holder in between
+
+
+class CancellationRequests(ActorPart):
+    """Cancels jobs for their users. A repeated cancellation gets the same answer."""
+
+    def __init__(
+        self,
+        actor: Actor,
+        store: Store,
+        view: CommittedView,
+        lookup: JobLookup,
+        agents: "AgentManager",
+    ) -> None:
+        super().__init__(actor)
+        self.store = store
+        self.view = view
+        self.lookup = lookup
+        self.agents = agents
+
+    def on_cancel(self, job_id: str, reply: Reply, retries: int = 0) -> None:
+        """Handles `cancel(job_id, reply)` from the front server: a user cancels a job.
+
+        `retries` counts how often that was tried before for the same request.
+        """
+        final = self.lookup.final_states.get(job_id)
+        if not wire.is_job_id(job_id):
+            NO_SUCH_JOB.send(reply)
+        elif final is not None:
+            reply(200, wire.write_state(final))
+        else:
+            tell(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
+
+    def on_cancel_synced(
+        self, job_id: str, reply: Reply, retries: int, revision: int | None
+    ) -> None:
+        """Handles a sync before a cancellation is committed, and the one after it.
+
+        From `on_cancel` and `on_cancel_committed`; the revision is None if the sync failed.
+        """
+        if revision is None:
+            STORE_SILENT.send(reply)
+            return
+        job = self.view.live_jobs.get(job_id)
+        if job is None and self.view.is_waiting(job_id):
+            self.cancel_waiting(job_id, reply, retries)
+        elif job is None:
+            self.lookup.answer_question(job_id, reply)
+        elif committed_jobs.is_cancelled(job.record):
+            tell(self.agents.on_confirm_cancellation, job_id)
+            reply(200, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
+        else:
+            self.cancel_live(job_id, job, reply, retries)
+
+    def cancel_live(self, job_id: str, job: LiveJob, reply: Reply, retries: int) -> None:
+        """Marks a live job as cancelled; its holder stops its tasks."""
+        key = LIVE_PREFIX + job_key(job_id)
+        tell(
+            self.store.on_commit,
+            DECISIONS,
+            [(key, job.mod_revision)],
+            [state_wire.put(key, committed_jobs.as_cancelled(job.record))],
+            callback(self.on_cancel_committed, job_id, reply, retries),
+        )
+
+    def cancel_waiting(self, job_id: str, reply: Reply, retries: int) -> None:
+        """Ends a job that waits: it has no task, so it is over as soon as it is cancelled."""
+        waiting = self.view.graph.waiting[job_id]
+        key = LIVE_PREFIX + waiting_key(job_id)
+        final_record = committed_jobs.cancelled_final_record(waiting.spec.tasks)
+        tell(
+            self.store.on_commit,
+            DECISIONS,
+            [(key, waiting.mod_revision)],
+            [
+                state_wire.put(FINAL_PREFIX + final_key(job_id), final_record),
+                state_wire.remove(key),
+            ],
+            callback(self.on_cancel_committed, job_id, reply, retries),
+        )
+
+    def on_cancel_committed(
+        self,
+        job_id: str,
+        reply: Reply,
+        retries: int,
+        status: int,
+        revision: int | None,
+        failed: Any,
+    ) -> None:
+        """Handles the store's answer to the commit of a cancellation."""
+        if status == 200:
+            log.info("%s cancelled by its user", job_id)
+            # Nothing is told that this controller's own replica does not show: others conclude
+            # from its revision that they miss nothing, and its halts go to every machine that the
+            # replica names.
+            tell(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
+        elif status == 409 and retries < MAX_RETRIES:
+            # Its holder wrote in between.
+            self.on_cancel(job_id, reply, retries + 1)
+        else:
+            STORE_SILENT.send(reply)
--- /dev/null
+++ b/emberglade/user_api/committed_view.py
@@ -0,0 +1,101 @@
+"""What the users' API keeps of the store's live keys: jobs as committed, and who awaits whom.
+
+From what is committed, not from the job manager, whose view runs ahead while it writes.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import Any
+
+from ..jobs.dependencies import DependencyGraph
+from ..jobs.record import Spec, read_part_key
+from ..membership import FORMAT_KEY, is_raised
+from ..placement import MachineType, read_machine_types
+from . import committed_jobs
+from .committed_jobs import CATALOG_KEY, CHUNK_KEY_PREFIX, JOB_KEY_PREFIX
+
+
+@dataclass(slots=True)
+class LiveJob:
+    """A live job as committed.
+
+    Attributes:
+        record: The value of the job's own key.
+        mod_revision: The revision at which that key last changed.
+        chunks: Its further chunks, of any layout: (generation, number) -> value.
+    """
+
+    record: dict[str, Any]
+    mod_revision: int
+    chunks: dict[tuple[str, int], dict[str, Any]] = field(default_factory=dict)
+
+
+class CommittedView:
+    """The committed jobs, kept in step by the store's changes.
+
+    Attributes:
+        live_jobs: job id -> LiveJob.
+        graph: The jobs that wait for others, and how jobs ended as far as that is known.
+        machine_types: name -> MachineType; empty until the catalog was read.
+        format_raised: Whether every controller reads records of jobs that await others.
+    """
+
+    def __init__(self) -> None:
+        self.live_jobs: dict[str, LiveJob] = {}
+        self.graph = DependencyGraph()
+        self.machine_types: dict[str, MachineType] = {}
+        self.format_raised = False
+
+    def apply(self, events: Iterable[tuple[str, Any, int]], whole: bool) -> None:
+        """Takes in changes `(key, value or None, mod_revision)`; `whole`: they are all keys."""
+        if whole:
+            self.live_jobs = {}
+        for key, data, mod_revision in events:
+            if key.startswith(JOB_KEY_PREFIX):
+                self._apply_job(key.removeprefix(JOB_KEY_PREFIX), data, mod_revision)
+            elif key.startswith(CHUNK_KEY_PREFIX):
+                self._apply_chunk(key, data)
+            elif key == CATALOG_KEY and data is not None:
+                self.machine_types = read_machine_types(data)
+            elif key == FORMAT_KEY:
+                self.format_raised = self.format_raised or is_raised(data)
+        self.graph.apply(events, whole)
+
+    def _apply_job(self, job_id: str, record: dict[str, Any] | None, mod_revision: int) -> None:
+        if record is None:
+            self.live_jobs.pop(job_id, None)
+            return
+        job = self.live_jobs.get(job_id)
+        if job is None:
+            self.live_jobs[job_id] = LiveJob(record, mod_revision)
+        else:
+            job.record = record
+            job.mod_revision = mod_revision
+
+    def _apply_chunk(self, key: str, data: dict[str, Any] | None) -> None:
+        """Keeps a further chunk; only the counts that users are shown need it."""
+        job_id, generation, number = read_part_key(key)
+        job = self.live_jobs.get(job_id)
+        if job is not None:
+            job.chunks[(generation, number)] = data or {}
+
+    def is_waiting(self, job_id: str) -> bool:
+        """Whether a job waits for others."""
+        return job_id in self.graph.waiting
+
+    def is_unfinished(self, job_id: str) -> bool:
+        """Whether a job is live or waits for others."""
+        return job_id in self.live_jobs or job_id in self.graph.waiting
+
+    def is_known(self, job_id: str) -> bool:
+        """Whether the replica, or what was read before, shows that a job was accepted."""
+        return self.is_unfinished(job_id) or job_id in self.graph.outcomes
+
+    def is_service(self, job_id: str) -> bool:
+        """Whether a live or waiting job is a service."""
+        job = self.live_jobs.get(job_id)
+        if job is not None:
+            spec: Spec = committed_jobs.read_spec(job_id, job.record)
+            return spec.service
+        waiting = self.graph.waiting.get(job_id)
+        return waiting is not None and waiting.spec.service
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions that await other jobs, and questions about jobs that wait.
+"""Submissions that await other jobs.
 
 A job may only wait for jobs that were accepted before it, and what an accepted job waits for never
 changes. So no cycle can be accepted: of its jobs, one would have been accepted first.
@@ -6,257 +6,216 @@
 
 import logging
 from dataclasses import dataclass, field
-
-from ..actors import callback, tell
-from ..jobs.dependencies import DependencyGraph, Outcome
-from ..jobs.record import Spec, final_key, job_key
-from ..jobs.releases import read_outcome
-from ..jobs.waiting import lay_out, piece_key, waiting_key
-from ..state import FINAL_PREFIX, LIVE_PREFIX
+from typing import Any
+
+from ..actors import ActorPart, callback, tell
+from ..config import Settings
+from ..jobs.dependencies import Outcome
+from ..jobs.record import Spec
+from ..jobs.waiting import WaitingRecord, lay_out, piece_key, waiting_key
+from ..state import LIVE_PREFIX, ReplicaSubscriber, Store
 from ..state import wire as state_wire
-from ..state.store import DECISIONS, SUBMISSIONS
+from ..state.store import SUBMISSIONS
 from . import wire
+from .acceptance import Acceptance, never_accepted_conditions
+from .answers import Reply, refused, try_later
+from .committed_view import CommittedView
+from .job_state import JobState, JobStatus
+from .lookup import JobLookup
+from .need_outcomes import NeedOutcomes, NeedsRead
 
 log = logging.getLogger("emberglade.user_api")
 
-MAX_READS = 32  # final keys that one request may have read; a repeat of it finds them at hand
 TRANSACTION_BYTES = 40 * 1024  # of the pieces in one transaction; PROTOCOL allows 64 KiB in all
-
-
-@dataclass
-class NeedsRead:
-    """The final keys that a request waits for."""
-
-    left: set
-    then: object  # called with this once all are read
-    never_accepted: list = field(default_factory=list)
-    failed: bool = False  # some could not be read now
+MAX_LOGGED_NEEDS = 8
+MAX_NEEDS_IN_REASON = 4
+NEEDS_UNREAD = try_later("the state service does not answer for all awaited jobs yet")
 
 
 @dataclass
 class DependentSubmission:
-    """A submission that awaits other jobs, until it is answered."""
-
-    spec: Spec
-    needs: tuple
-    reply: object
-    record: object = None
-    pieces: list = field(
-        default_factory=list
-    )  # (key, value), to be written from the last to the first
-
-
-class DependentSubmissions:
-    """The part of the front door that deals with jobs that wait for others."""
-
-    def __init__(self):
-        self.graph = DependencyGraph()
-        self.format_raised = False  # whether every controller knows of waiting jobs
-        self.reads = {}  # need whose final key is being read -> the NeedsRead that wait for it
-        self.lists = 0
-
-    # --- reading how needs ended
+    """A submission that awaits other jobs, until it is answered.
 
-    def read_needs(self, needs, then):
-        """`then(NeedsRead)` once the final keys of these jobs are read, or as many as one request
-        may read.
-        """
-        some = set(sorted(needs)[:MAX_READS])
-        waiting = NeedsRead(set(some), then, failed=len(some) < len(needs))
-        for need in some:
-            if need in self.reads:
-                self.reads[need].append(waiting)
-                continue
-            self.reads[need] = [waiting]
-            tell(
-                self.store.on_read,
-                DECISIONS,
-                FINAL_PREFIX + final_key(need),
-                callback(self.on_need_read, need),
-            )
-
-    def on_need_read(self, need, status, data, mod_revision):
-        outcome = read_outcome(status, data)
-        if outcome is not None:
-            self.graph.resolve(need, outcome)
-        for waiting in self.reads.pop(need, ()):
-            waiting.left.discard(need)
-            if status == 404:
-                waiting.never_accepted.append(need)
-            elif outcome is None:
-                waiting.failed = True
-            if not waiting.left:
-                waiting.then(waiting)
-
-    # --- submissions
+    Attributes:
+        spec: What the user asks for.
+        needs: The awaited jobs.
+        reply: Answers the submission.
+        record: The waiting job's record, once its list of needs is laid out.
+        pieces: (key, ids) of the list of needs, to be written from the last to the first.
+    """
 
-    def submit_dependent(self, spec, needs, reply):
-        """Accepts a job that awaits others, if these were accepted; the submission counts as open
-        already.
-        """
-        submission = DependentSubmission(spec, needs, reply)
+    spec: Spec
+    needs: tuple[str, ...]
+    reply: Reply
+    record: WaitingRecord | None = None
+    pieces: list[tuple[str, list[str]]] = field(default_factory=list)
+
+
+class DependentSubmissions(ActorPart):
+    """Accepts jobs that await others, if these were accepted."""
+
+    actor: ReplicaSubscriber
+
+    def __init__(
+        self,
+        actor: ReplicaSubscriber,
+        settings: Settings,
+        store: Store,
+        view: CommittedView,
+        lookup: JobLookup,
+        need_outcomes: NeedOutcomes,
+        acceptance: Acceptance,
+    ) -> None:
+        super().__init__(actor)
+        self.settings = settings
+        self.store = store
+        self.view = view
+        self.lookup = lookup
+        self.need_outcomes = need_outcomes
+        self.acceptance = acceptance
+        self.list_count = 0  # lists of needs that this process has laid out
+
+    def submit(self, request: wire.Submission, reply: Reply) -> None:
+        """Accepts a job that awaits others; the submission counts as open already."""
+        submission = DependentSubmission(request.spec, request.needs, reply)
         tell(self.store.on_sync, callback(self.on_needs_synced, submission))
 
-    def on_needs_synced(self, submission, revision):
+    # --- checks
+
+    def on_needs_synced(self, submission: DependentSubmission, revision: int | None) -> None:
+        """Handles the sync of `submit`: the replica now shows what was accepted before."""
         job_id = submission.spec.id
         if revision is None:
-            self.give_up(submission)
-        elif job_id in self.live or job_id in self.graph.waiting:
-            self.open_submissions -= 1
-            self.look_up(job_id, callback(self.on_resubmitted, submission.reply))
+            self.put_off(submission)
+        elif self.view.is_unfinished(job_id):
+            self.acceptance.close()
+            self.acceptance.answer_accepted_before(job_id, submission.reply)
         elif job_id in submission.needs:
             self.refuse(submission, f"{job_id} can't await itself")
-        elif any(self.is_service(need) for need in submission.needs):
+        elif any(self.view.is_service(need) for need in submission.needs):
             self.refuse(submission, "a service can't be awaited")
         else:
-            unread = [need for need in submission.needs if not self.is_known(need)]
-            if unread:
-                self.read_needs(unread, lambda read: self.needs_read(submission, read))
-            else:
-                self.accept_dependent(submission)
+            self._read_needs(submission)
 
-    def is_known(self, job_id):
-        """Whether the copy, or what was read before, shows that a job was accepted."""
-        return job_id in self.live or job_id in self.graph.waiting or job_id in self.graph.outcomes
-
-    def is_service(self, job_id):
-        row, waiting = self.live.get(job_id), self.graph.waiting.get(job_id)
-        if row is not None:
-            return Spec.decode(job_id, row[0]["s"]).service
-        return waiting is not None and waiting.spec.service
+    def _read_needs(self, submission: DependentSubmission) -> None:
+        """Accepts the job, once it is known that all its needs were accepted."""
+        unread = [need for need in submission.needs if not self.view.is_known(need)]
+        if unread:
+            self.need_outcomes.read(unread, lambda read: self._needs_read(submission, read))
+        else:
+            self._accept(submission)
 
-    def needs_read(self, submission, read):
+    def _needs_read(self, submission: DependentSubmission, read: NeedsRead) -> None:
         if read.never_accepted:
-            self.refuse(
-                submission, f"{' '.join(sorted(read.never_accepted)[:4])} was never accepted"
-            )
+            named = sorted(read.never_accepted)[:MAX_NEEDS_IN_REASON]
+            self.refuse(submission, f"{' '.join(named)} was never accepted")
         elif read.failed:
-            self.give_up(submission)
+            self.put_off(submission)
         else:
-            self.accept_dependent(submission)
+            self._accept(submission)
 
-    def give_up(self, submission):
-        self.open_submissions -= 1
-        self.later(submission.reply, "the state service does not answer for all awaited jobs yet")
+    def put_off(self, submission: DependentSubmission) -> None:
+        """Ends a submission that can't be decided on now."""
+        self.acceptance.close()
+        NEEDS_UNREAD.send(submission.reply)
 
-    def refuse(self, submission, reason):
-        self.open_submissions -= 1
-        # A job accepted earlier is not refused now.
-        self.look_up(submission.spec.id, callback(self.on_refusal, reason, submission.reply))
+    def refuse(self, submission: DependentSubmission, reason: str) -> None:
+        """Ends a submission that can never be accepted.
 
-    def accept_dependent(self, submission):
-        spec, needs, graph = submission.spec, submission.needs, self.graph
-        if all(graph.outcomes.get(need) is Outcome.DONE for need in needs):
-            self.commit_submission(spec, submission.reply)
-            return
-        if self.incarnation is None:
-            self.give_up(submission)
-            return
-        self.lists += 1
-        list_id = f"{self.incarnation}-{self.lists}"
-        submission.record, pieces = lay_out(spec, needs, list_id, self.settings.value_bytes)
+        A job accepted earlier is not refused now.
+        """
+        self.acceptance.close()
+        self.lookup.answer(submission.spec.id, submission.reply, if_never_accepted=refused(reason))
+
+    # --- commits
+
+    def _accept(self, submission: DependentSubmission) -> None:
+        outcomes = self.view.graph.outcomes
+        if all(outcomes.get(need) is Outcome.DONE for need in submission.needs):
+            self.acceptance.commit(submission.spec, submission.reply)
+        elif self.actor.incarnation is None:
+            self.put_off(submission)
+        else:
+            self._lay_out(submission)
+            self.write_pieces(submission, None)
+
+    def _lay_out(self, submission: DependentSubmission) -> None:
+        """Makes the waiting job's record and the pieces of its list of needs."""
+        spec = submission.spec
+        self.list_count += 1
+        list_id = f"{self.actor.incarnation}-{self.list_count}"
+        submission.record, pieces = lay_out(
+            spec, submission.needs, list_id, self.settings.value_bytes
+        )
         submission.pieces = [
             (piece_key(spec.id, list_id, number), ids) for number, ids in enumerate(pieces)
         ]
-        self.write_pieces(submission, None)
 
-    def write_pieces(self, submission, first_mod_revision):
-        """Writes what is left of the list, the first piece last, and then the job itself, which
-        hangs on that one.
+    def write_pieces(self, submission: DependentSubmission, first_mod_revision: int | None) -> None:
+        """Writes what is left of the list, the first piece last, and then the job itself.
+
+        The job's key hangs on the first piece: on `first_mod_revision`, once that is written.
         """
         if not submission.pieces:
             self.write_waiting(submission, first_mod_revision)
             return
-        most = min(self.settings.txn_ops, max(1, TRANSACTION_BYTES // self.settings.value_bytes))
-        some, submission.pieces = submission.pieces[-most:], submission.pieces[:-most]
+        limit = min(self.settings.txn_ops, max(1, TRANSACTION_BYTES // self.settings.value_bytes))
+        chosen = submission.pieces[-limit:]
+        submission.pieces = submission.pieces[:-limit]
         tell(
             self.store.on_commit,
             SUBMISSIONS,
-            [(LIVE_PREFIX + key, 0) for key, _ in some],
-            [state_wire.put(LIVE_PREFIX + key, ids) for key, ids in some],
+            [(LIVE_PREFIX + key, 0) for key, _ in chosen],
+            [state_wire.put(LIVE_PREFIX + key, ids) for key, ids in chosen],
             callback(self.on_pieces_written, submission),
         )
 
-    def on_pieces_written(self, submission, status, revision, failed):
+    def on_pieces_written(
+        self, submission: DependentSubmission, status: int, revision: int | None, failed: Any
+    ) -> None:
+        """Handles the store's answer to `write_pieces`: writes the rest, or gives up."""
         if status == 200:
             self.write_pieces(submission, revision)
         else:
-            self.give_up(submission)
-
-    def write_waiting(self, submission, first_mod_revision):
-        spec, record = submission.spec, submission.record
-        conditions = self.absent(spec.id)
+            self.put_off(submission)
+
+    def write_waiting(
+        self, submission: DependentSubmission, first_mod_revision: int | None
+    ) -> None:
+        """Commits the waiting job, unless it was accepted before."""
+        job_id, record = submission.spec.id, submission.record
+        assert record is not None
+        conditions: list[tuple[str, int | None]] = [*never_accepted_conditions(job_id)]
         if record.pieces:
-            conditions.append(
-                (LIVE_PREFIX + piece_key(spec.id, record.list_id, 0), first_mod_revision)
-            )
+            first_piece = piece_key(job_id, record.list_id, 0)
+            conditions.append((LIVE_PREFIX + first_piece, first_mod_revision))
         tell(
             self.store.on_commit,
             SUBMISSIONS,
             conditions,
-            [state_wire.put(LIVE_PREFIX + waiting_key(spec.id), record.encode())],
-            callback(self.on_dependent_submitted, submission),
+            [state_wire.put(LIVE_PREFIX + waiting_key(job_id), record.encode())],
+            callback(self.on_waiting_committed, submission),
         )
 
-    def on_dependent_submitted(self, submission, status, revision, failed):
-        spec, needs = submission.spec, submission.needs
-        if status != 200:
-            self.on_submitted(spec, submission.reply, status, revision, failed)
-            return
-        self.open_submissions -= 1
-        log.info("%s accepted: waits for %d jobs: %s", spec.id, len(needs), " ".join(needs[:8]))
-        if any(self.graph.is_cancelled(need) for need in needs):
-            submission.reply(201, wire.state(spec.id, Outcome.CANCELLED.value))
-        elif any(
-            need in self.graph.unresolved or self.graph.unresolved_before(need) for need in needs
-        ):
-            # Another controller may have told that one of these is cancelled.
-            self.look_up(spec.id, callback(self.on_resubmitted, submission.reply))
+    def on_waiting_committed(
+        self, submission: DependentSubmission, status: int, revision: int | None, failed: Any
+    ) -> None:
+        """Handles the store's answer to `write_waiting`: answers the submission."""
+        self.acceptance.close()
+        spec, reply = submission.spec, submission.reply
+        if status == 200:
+            self._answer_accepted(submission)
         else:
-            submission.reply(201, wire.state(spec.id, "pending"))
-
-    @staticmethod
-    def absent(job_id):
-        """The conditions that a job was never accepted."""
-        return [
-            (LIVE_PREFIX + job_key(job_id), 0),
-            (LIVE_PREFIX + waiting_key(job_id), 0),
-            (FINAL_PREFIX + final_key(job_id), 0),
-        ]
-
-    # --- questions and cancellations
-
-    def tell_waiting(self, job_id, reply):
-        """The state of a waiting job. A need of which the copy does not tell how it ended is asked
-        for first: another controller may have told that it is cancelled.
-        """
-        if self.graph.waiting[job_id].cancelled:
-            reply(True, wire.state(job_id, Outcome.CANCELLED.value, 0, 0))
-            return
-        unresolved = self.graph.unresolved_before(job_id)
-        if unresolved:
-            self.read_needs(unresolved, lambda read: self.needs_told(job_id, reply, read))
+            self.acceptance.answer_not_committed(spec, reply, status, failed)
+
+    def _answer_accepted(self, submission: DependentSubmission) -> None:
+        job_id, needs, graph = submission.spec.id, submission.needs, self.view.graph
+        named = " ".join(needs[:MAX_LOGGED_NEEDS])
+        log.info("%s accepted: waits for %d jobs: %s", job_id, len(needs), named)
+        if any(graph.is_cancelled(need) for need in needs):
+            submission.reply(201, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
+        elif any(need in graph.unresolved or graph.unresolved_before(need) for need in needs):
+            # Another controller may have told that one of these is cancelled.
+            self.acceptance.answer_accepted_before(job_id, submission.reply)
         else:
-            reply(True, wire.state(job_id, "pending", 0, 0))
-
-    def needs_told(self, job_id, reply, read):
-        if read.failed or read.never_accepted:
-            reply(None, None)
-            return
-        # Meanwhile it may have been released, and more: what the copy shows now is no older.
-        self.look_up(job_id, reply)
-
-    def abort_waiting(self, job_id, reply, tries):
-        """A job that waits has no task, so it is over as soon as it is cancelled."""
-        waiting = self.graph.waiting[job_id]
-        end = {"glow": Outcome.CANCELLED.value, "n": waiting.spec.tasks, "d": 0}
-        tell(
-            self.store.on_commit,
-            DECISIONS,
-            [(LIVE_PREFIX + waiting_key(job_id), waiting.mod_revision)],
-            [
-                state_wire.put(FINAL_PREFIX + final_key(job_id), end),
-                state_wire.remove(LIVE_PREFIX + waiting_key(job_id)),
-            ],
-            callback(self.on_aborted, job_id, reply, tries),
-        )
+            submission.reply(201, wire.write_state(JobState(job_id, JobStatus.PENDING)))
--- /dev/null
+++ b/emberglade/user_api/lookup.py
@@ -0,0 +1,192 @@
+"""Looks a job up: the state of live, waiting and final jobs, read after the question came."""
+
+from collections import OrderedDict
+from collections.abc import Callable
+from typing import Any
+
+from ..actors import Actor, ActorPart, callback, tell
+from ..config import Settings
+from ..jobs.record import final_key
+from ..state import FINAL_PREFIX, Store
+from ..state.store import DECISIONS
+from . import committed_jobs, wire
+from .answers import NO_SUCH_JOB, STORE_SILENT, Answer, Reply
+from .committed_view import CommittedView, LiveJob
+from .job_state import JobState, JobStatus, LookupFailure, LookupResult
+from .need_outcomes import NeedOutcomes, NeedsRead
+
+MAX_FINAL_STATES = 20_000  # kept at hand; others are read from the store
+OPEN_LOOKUPS_S = 2.0  # of the store's requests: so many look-ups may be open at the same time
+
+
+class FinalStates:
+    """The states of jobs that are over, the latest that were read; they never change."""
+
+    def __init__(self) -> None:
+        self.states: OrderedDict[str, JobState] = OrderedDict()
+
+    def __len__(self) -> int:
+        return len(self.states)
+
+    def get(self, job_id: str) -> JobState | None:
+        """The final state of a job, if it is at hand."""
+        return self.states.get(job_id)
+
+    def keep(self, state: JobState) -> None:
+        """Keeps a final state at hand, in the place of the one kept for longest if need be."""
+        self.states[state.job_id] = state
+        if len(self.states) > MAX_FINAL_STATES:
+            self.states.popitem(last=False)
+
+    def clear(self) -> None:
+        """Forgets all of them; they are read again when they are asked for."""
+        self.states.clear()
+
+
+def live_state(job_id: str, job: LiveJob) -> JobState:
+    """The state of a live job."""
+    counts = committed_jobs.count_tasks(job.record, job.chunks)
+    if committed_jobs.is_cancelled(job.record):
+        status = JobStatus.CANCELLED
+    elif counts.running:
+        status = JobStatus.RUNNING
+    else:
+        status = JobStatus.PENDING
+    return JobState(job_id, status, counts.done, counts.running)
+
+
+class JobLookup(ActorPart):
+    """Finds out a job's state, and answers users who ask for it."""
+
+    def __init__(
+        self,
+        actor: Actor,
+        settings: Settings,
+        store: Store,
+        view: CommittedView,
+        need_outcomes: NeedOutcomes,
+    ) -> None:
+        super().__init__(actor)
+        self.store = store
+        self.view = view
+        self.need_outcomes = need_outcomes
+        self.final_states = FinalStates()
+        # Look-ups wait for a sync together; more than a few syncs' worth would time out.
+        self.open_lookups = 0
+        self.max_open_lookups = int(OPEN_LOOKUPS_S * settings.state_rps)
+
+    # --- requests
+
+    def on_poll(self, job_id: str, reply: Reply) -> None:
+        """Handles `poll(job_id, reply)` from the front server: a user asks for a job's state."""
+        if wire.is_job_id(job_id):
+            self.answer_question(job_id, reply)
+        else:
+            NO_SUCH_JOB.send(reply)
+
+    def answer_question(self, job_id: str, reply: Reply) -> None:
+        """Answers with a job's state, or that there is no such job."""
+        self.answer(job_id, reply, NO_SUCH_JOB)
+
+    def answer(
+        self,
+        job_id: str,
+        reply: Reply,
+        if_never_accepted: Answer,
+        if_unavailable: Answer = STORE_SILENT,
+    ) -> None:
+        """Answers a request with a job's state, or with one of these where there is none."""
+        self.look_up(job_id, callback(self.on_looked_up, reply, if_never_accepted, if_unavailable))
+
+    def on_looked_up(
+        self, reply: Reply, if_never_accepted: Answer, if_unavailable: Answer, result: LookupResult
+    ) -> None:
+        """Handles the result of `answer`'s look-up: answers the request."""
+        if isinstance(result, JobState):
+            reply(200, wire.write_state(result))
+        elif result is LookupFailure.NEVER_ACCEPTED:
+            if_never_accepted.send(reply)
+        else:
+            if_unavailable.send(reply)
+
+    # --- the look-up
+
+    def look_up(self, job_id: str, then: Callable[[LookupResult], None]) -> None:
+        """`then(result)` with what was true of a job after this was asked for."""
+        final = self.final_states.get(job_id)
+        if final is not None:
+            then(final)
+            return
+        if self.open_lookups >= self.max_open_lookups:
+            # A flood of questions is not to take the processor from the agents' heartbeats.
+            then(LookupFailure.UNAVAILABLE)
+            return
+        self.open_lookups += 1
+        tell(self.store.on_sync, callback(self.on_lookup_synced, job_id, then))
+
+    def on_lookup_synced(
+        self, job_id: str, then: Callable[[LookupResult], None], revision: int | None
+    ) -> None:
+        """Handles the sync of `look_up`; its revision is None if it failed."""
+        self.open_lookups -= 1
+        if revision is None:
+            then(LookupFailure.UNAVAILABLE)
+            return
+        job = self.view.live_jobs.get(job_id)
+        if job is not None:
+            then(live_state(job_id, job))
+        elif self.view.is_waiting(job_id):
+            self.look_up_waiting(job_id, then)
+        else:
+            # Not live at the sync: over, or never accepted. Final states are never removed.
+            tell(
+                self.store.on_read,
+                DECISIONS,
+                FINAL_PREFIX + final_key(job_id),
+                callback(self.on_final_state_read, job_id, then),
+            )
+
+    def on_final_state_read(
+        self,
+        job_id: str,
+        then: Callable[[LookupResult], None],
+        status: int,
+        data: Any,
+        mod_revision: int | None,
+    ) -> None:
+        """Handles the store's answer to the read of a job's final key."""
+        final = committed_jobs.read_final_state(job_id, data) if status == 200 else None
+        if final is not None:
+            self.final_states.keep(final)
+            then(final)
+        elif status == 404:
+            then(LookupFailure.NEVER_ACCEPTED)
+        else:
+            then(LookupFailure.UNAVAILABLE)
+
+    # --- jobs that wait for others
+
+    def look_up_waiting(self, job_id: str, then: Callable[[LookupResult], None]) -> None:
+        """Finds out the state of a waiting job.
+
+        A need of which the replica does not tell how it ended is asked for first: another
+        controller may have told that it is cancelled.
+        """
+        graph = self.view.graph
+        if graph.waiting[job_id].cancelled:
+            then(JobState(job_id, JobStatus.CANCELLED, 0, 0))
+            return
+        unresolved = graph.unresolved_before(job_id)
+        if unresolved:
+            self.need_outcomes.read(unresolved, lambda read: self._needs_read(job_id, then, read))
+        else:
+            then(JobState(job_id, JobStatus.PENDING, 0, 0))
+
+    def _needs_read(
+        self, job_id: str, then: Callable[[LookupResult], None], read: NeedsRead
+    ) -> None:
+        if read.failed or read.never_accepted:
+            then(LookupFailure.UNAVAILABLE)
+            return
+        # Meanwhile it may have been released, and more: what the replica shows now is no older.
+        self.look_up(job_id, then)
--- /dev/null
+++ b/emberglade/user_api/routes.py
@@ -0,0 +1,94 @@
+"""The routes of the front server: users' requests, agents' heartbeats and the health check."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
+
+import orjson
+
+from ..actors import tell_inline
+from . import wire
+from .answers import NO_SUCH_PATH, Reply, malformed, try_later, wrong_method
+from .cancellations import CancellationRequests
+from .lookup import JobLookup
+from .submissions import Submissions
+
+if TYPE_CHECKING:
+    from ..agents import AgentManager
+
+GET, POST = "GET", "POST"
+MALFORMED_HEARTBEAT = malformed("the report is not JSON")
+NOT_READY = try_later("not in step with the state service yet")
+
+
+class Route(NamedTuple):
+    """The method that a path needs, and who handles its requests."""
+
+    method: str
+    handle: Callable[[bytes, Reply], None]
+
+
+class FrontRoutes:
+    """Hands each request of the front server to the actor that answers it.
+
+    Called by the server's threads; keeps no state of its own.
+    """
+
+    def __init__(
+        self,
+        agents: "AgentManager",
+        submissions: Submissions,
+        lookup: JobLookup,
+        cancellations: CancellationRequests,
+    ) -> None:
+        self.agents = agents
+        self.submissions = submissions
+        self.lookup = lookup
+        self.cancellations = cancellations
+        self.routes = {
+            wire.AGENT_HEARTBEAT_PATH: Route(POST, self._heartbeat),
+            wire.READY_PATH: Route(GET, self._ready),
+            wire.SUBMISSIONS_PATH: Route(POST, self._submit),
+        }
+
+    def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
+        """Leads one request to one call of `reply(status, body, retry_after_s)`."""
+        path = path.partition("?")[0]
+        route = self.routes.get(path) or self._job_route(path)
+        if route is None:
+            NO_SUCH_PATH.send(reply)
+        elif method != route.method:
+            wrong_method(route.method).send(reply)
+        else:
+            route.handle(body, reply)
+
+    def _job_route(self, path: str) -> Route | None:
+        """The route of a path that names a job."""
+        target = wire.read_job_path(path)
+        if target is None:
+            return None
+        handler = self.cancellations.on_cancel if target.cancel else self.lookup.on_poll
+
+        def handle(body: bytes, reply: Reply) -> None:
+            tell_inline(handler, target.job_id, reply)
+
+        return Route(POST if target.cancel else GET, handle)
+
+    def _heartbeat(self, body: bytes, reply: Reply) -> None:
+        try:
+            data = orjson.loads(body)
+        except ValueError:
+            MALFORMED_HEARTBEAT.send(reply)
+            return
+        tell_inline(self.agents.on_heartbeat, data, reply)
+
+    def _ready(self, body: bytes, reply: Reply) -> None:
+        def answer(ready: bool) -> None:
+            if ready:
+                reply(200, wire.ready())
+            else:
+                NOT_READY.send(reply)
+
+        tell_inline(self.agents.on_ready, answer)
+
+    def _submit(self, body: bytes, reply: Reply) -> None:
+        tell_inline(self.submissions.on_submit, body, reply)
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -1,86 +1,142 @@
-"""What users say and are told, field names included."""
+"""What users say and are told: the one place that knows its paths, words and field names.
+
+Also the paths of the agents' heartbeats and of the health check, which the same server takes.
+"""
 
 import math
 import re
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+import orjson
 
 from ..jobs.record import PRIORITIES, Spec
+from .job_state import JobState, JobStatus
+
+AGENT_HEARTBEAT_PATH = "/agent/beat"
+READY_PATH = "/ready"
+SUBMISSIONS_PATH = "/submissions"
+JOB_PATH_PREFIX = SUBMISSIONS_PATH + "/"
+CANCEL_WORD = "abort"  # SUBMISSIONS_PATH/JOB/abort
 
 JOB_ID = re.compile(r"job-[0-9A-Za-z_-]{1,64}\Z", re.ASCII)
 MAX_TASKS = 100_000
 
+JOB_ARRAY, SERVICE = "sweep", "standing"
+GANG = "group"  # not in PROTOCOL, but in what platforms send (docs/questions.md)
+SHAPES = (JOB_ARRAY, SERVICE, GANG)
+
+STATUS_WORDS = {
+    JobStatus.PENDING: "pending",
+    JobStatus.RUNNING: "running",
+    JobStatus.DONE: "done",
+    JobStatus.CANCELLED: "withdrawn",
+}
+
 
 class MalformedSubmissionError(Exception):
-    """A one-line reason for the user."""
+    """A one-line reason for the user, naming the field."""
 
 
-def _amount(data, key):
-    value = data.get(key)
-    if value is None:
-        raise MalformedSubmissionError(f"{key} is missing")
-    if (
-        isinstance(value, bool)
-        or not isinstance(value, int | float)
-        or not math.isfinite(value)
-        or value < 0
-    ):
-        raise MalformedSubmissionError(f"{key}: a number of at least 0 is needed")
-    return float(value)
+@dataclass(frozen=True, slots=True)
+class Submission:
+    """A well-formed submission.
 
+    Attributes:
+        spec: What the user asks for.
+        needs: The ids of the jobs that it awaits, each once.
+    """
 
-def _text(data, key):
-    value = data.get(key)
-    if not isinstance(value, str) or not value:
-        raise MalformedSubmissionError(f"{key}: a text is needed")
-    return value
+    spec: Spec
+    needs: tuple[str, ...]
 
 
-def _flag(data, key):
-    value = data.get(key)
-    if not isinstance(value, bool):
-        raise MalformedSubmissionError(f"{key}: true or false is needed")
-    return value
+class JobPath(NamedTuple):
+    """What a path below SUBMISSIONS_PATH asks for: a job's state, or its cancellation."""
 
+    job_id: str
+    cancel: bool
 
-def _or_null(data, key):
-    return None if data.get(key) is None else _text(data, key)
+
+def is_user_path(path: str) -> bool:
+    """Whether a path is one that users ask for."""
+    return path.startswith(SUBMISSIONS_PATH)
+
+
+def read_job_path(path: str) -> JobPath | None:
+    """The job that a path names, or None if it is no path of a job."""
+    if not path.startswith(JOB_PATH_PREFIX):
+        return None
+    match path.removeprefix(JOB_PATH_PREFIX).split("/"):
+        case [job_id] if job_id:
+            return JobPath(job_id, cancel=False)
+        case [job_id, word] if job_id and word == CANCEL_WORD:
+            return JobPath(job_id, cancel=True)
+    return None
 
 
-def read_id(data):
+def is_job_id(text: str) -> bool:
+    """Whether a text has the form of a job's id."""
+    return JOB_ID.match(text) is not None
+
+
+# --- submissions
+
+
+def read_json(body: bytes) -> Any:
+    """The JSON value of a submission's body.
+
+    Raises:
+        MalformedSubmissionError: It is not JSON.
+    """
+    try:
+        return orjson.loads(body)
+    except ValueError:
+        raise MalformedSubmissionError("the body is not JSON") from None
+
+
+def read_id(data: object) -> str | None:
     """The job's id if there is a proper one, whatever else the body holds."""
     job_id = data.get("id") if isinstance(data, dict) else None
-    return job_id if isinstance(job_id, str) and JOB_ID.match(job_id) else None
+    return job_id if isinstance(job_id, str) and is_job_id(job_id) else None
+
+
+def read_submission(data: object, submitted_at: float) -> Submission:
+    """The Submission in a body; `submitted_at` is the time of day, in seconds.
+
+    Raises:
+        MalformedSubmissionError: A field is missing or wrong: the first of them in this order.
+    """
+    spec = read_spec(data, submitted_at)
+    assert isinstance(data, dict)
+    return Submission(spec, read_awaits(data))
 
 
-def read_submission(data, submitted_at):
-    """A Spec, or Malformed."""
+def read_spec(data: object, submitted_at: float) -> Spec:
+    """What a submission asks for, awaited jobs aside.
+
+    Raises:
+        MalformedSubmissionError: A field is missing or wrong.
+    """
     if not isinstance(data, dict):
         raise MalformedSubmissionError("the body is not a JSON object")
     job_id = read_id(data)
     if job_id is None:
         raise MalformedSubmissionError("id: a job id like job-000412 is needed")
     shape = data.get("shape")
-    # `group` is not in PROTOCOL, but in what platforms send (docs/questions.md).
-    if shape not in ("sweep", "standing", "group"):
+    if shape not in SHAPES:
         raise MalformedSubmissionError("shape: sweep, standing or group is needed")
     priority = data.get("rank")
     if priority not in PRIORITIES:
         raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
-    tasks = data.get("embers")
-    if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
-        raise MalformedSubmissionError(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
-    machine_types = data.get("hearth_kinds")
-    if machine_types is not None and (
-        not isinstance(machine_types, list)
-        or not machine_types
-        or not all(isinstance(t, str) and t for t in machine_types)
-    ):
-        raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
-    due = None if data.get("due_s") is None else _amount(data, "due_s")
+    tasks = _task_count(data)
+    allowed_types = _allowed_types(data)
+    deadline_s = None if data.get("due_s") is None else _amount(data, "due_s")
     return Spec(
         id=job_id,
         job_class=_text(data, "breed"),
         team=_text(data, "crew"),
-        service=shape == "standing",
+        service=shape == SERVICE,
         priority=PRIORITIES.index(priority),
         tasks=tasks,
         cpus=_amount(data, "cpus"),
@@ -88,42 +144,105 @@
         ram_gb=_amount(data, "ram_gb"),
         image=_text(data, "kindling"),
         image_gb=_amount(data, "image_gb"),
-        allowed_types=tuple(machine_types) if machine_types is not None else None,
-        zone=_or_null(data, "glade"),
+        allowed_types=allowed_types,
+        zone=_optional_text(data, "glade"),
         single_zone=_flag(data, "one_zone"),
         zone_spread=_flag(data, "scatter"),
         spot=_flag(data, "driftwood"),
         estimated_run_s=_amount(data, "burn_s"),
         checkpoint_interval_s=_amount(data, "bank_s"),
         checkpoint_save_s=_amount(data, "banking_s"),
-        deadline_s=due,
+        deadline_s=deadline_s,
         submitted_at=round(submitted_at, 3),
-        gang=shape == "group",
+        gang=shape == GANG,
     )
 
 
-def read_awaits(data):
-    """The ids of the jobs that a submission waits for, each once; Malformed if it is not a list of
-    ids.
+def read_awaits(data: dict[str, Any]) -> tuple[str, ...]:
+    """The ids of the jobs that a submission waits for, each once.
+
+    Raises:
+        MalformedSubmissionError: It is not a list of ids.
     """
     awaits = data.get("awaits")
     if awaits is None:
         return ()
     if not isinstance(awaits, list) or not all(
-        isinstance(need, str) and JOB_ID.match(need) for need in awaits
+        isinstance(need, str) and is_job_id(need) for need in awaits
     ):
         raise MalformedSubmissionError("awaits: a list of job ids or null is needed")
     return tuple(dict.fromkeys(awaits))
 
 
-def state(job_id, glow, done=None, running=None):
-    """A job's state as its user is told."""
-    answer = {"id": job_id, "glow": glow}
-    if done is not None:
-        answer["done"], answer["running"] = done, running
+def _task_count(data: dict[str, Any]) -> int:
+    tasks = data.get("embers")
+    if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
+        raise MalformedSubmissionError(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
+    return tasks
+
+
+def _allowed_types(data: dict[str, Any]) -> tuple[str, ...] | None:
+    names = data.get("hearth_kinds")
+    if names is None:
+        return None
+    if (
+        not isinstance(names, list)
+        or not names
+        or not all(isinstance(name, str) and name for name in names)
+    ):
+        raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
+    return tuple(names)
+
+
+def _amount(data: dict[str, Any], key: str) -> float:
+    value = data.get(key)
+    if value is None:
+        raise MalformedSubmissionError(f"{key} is missing")
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not math.isfinite(value)
+        or value < 0
+    ):
+        raise MalformedSubmissionError(f"{key}: a number of at least 0 is needed")
+    return float(value)
+
+
+def _text(data: dict[str, Any], key: str) -> str:
+    value = data.get(key)
+    if not isinstance(value, str) or not value:
+        raise MalformedSubmissionError(f"{key}: a text is needed")
+    return value
+
+
+def _optional_text(data: dict[str, Any], key: str) -> str | None:
+    return None if data.get(key) is None else _text(data, key)
+
+
+def _flag(data: dict[str, Any], key: str) -> bool:
+    value = data.get(key)
+    if not isinstance(value, bool):
+        raise MalformedSubmissionError(f"{key}: true or false is needed")
+    return value
+
+
+# --- answers
+
+
+def write_state(state: JobState) -> dict[str, Any]:
+    """A job's state as its user is told; the counts only if they are known."""
+    answer: dict[str, Any] = {"id": state.job_id, "glow": STATUS_WORDS[state.status]}
+    if state.done_tasks is not None:
+        answer["done"] = state.done_tasks
+        answer["running"] = state.running_tasks
     return answer
 
 
-def error(text):
+def ready() -> dict[str, Any]:
+    """The body that tells a health check that this controller is ready."""
+    return {"ready": True}
+
+
+def error(text: str) -> dict[str, Any]:
     """The body of an answer that refuses a request."""
     return {"error": text}
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -3,64 +3,71 @@
 import orjson
 
 from emberglade.actors import tell_after
-from emberglade.user_api.api import UserApi
+from emberglade.user_api import wire
+from emberglade.user_api.answers import Answer
+from emberglade.user_api.cancellations import CancellationRequests
+from emberglade.user_api.job_state import JobState, JobStatus, LookupFailure
+from emberglade.user_api.lookup import JobLookup
+from emberglade.user_api.submissions import Submissions
 
 
 def forgets_the_final_state(patch):
     """A final key is never found."""
     patch.setattr(
-        UserApi,
-        "on_look_read",
-        lambda self, job_id, reply, status, data, mod_revision: reply(False, None),
+        JobLookup,
+        "on_final_state_read",
+        lambda self, job_id, then, status, data, mod_revision: then(LookupFailure.NEVER_ACCEPTED),
     )
 
 
 def answers_for_any_id(patch):
     """Any id is taken for a job's."""
+    invented = Answer(200, {"id": "x", "glow": "pending"})
     patch.setattr(
-        UserApi,
-        "on_polled",
-        lambda self, reply, known, answer: reply(200, answer or {"id": "x", "glow": "pending"}),
+        JobLookup,
+        "answer_question",
+        lambda self, job_id, reply: self.answer(job_id, reply, invented, invented),
     )
 
 
 def withdrawn_becomes_done(patch):
     """Final states are mixed up."""
+    mixed_up = {"done": JobStatus.CANCELLED, "withdrawn": JobStatus.DONE}
     patch.setattr(
-        UserApi,
-        "on_look_read",
-        lambda self, job_id, reply, status, data, mod_revision: reply(
-            True, {"id": job_id, "glow": "done" if data["glow"] == "withdrawn" else "withdrawn"}
+        JobLookup,
+        "on_final_state_read",
+        lambda self, job_id, then, status, data, mod_revision: then(
+            JobState(job_id, mixed_up[data["glow"]])
         ),
     )
 
 
 def deaf_to_polls(patch):
     """Questions about one job are never answered."""
-    original = UserApi.look_up
+    original = JobLookup.look_up
 
-    def look_up(self, job_id, reply):
+    def look_up(self, job_id, then):
         if job_id != "job-1":
-            original(self, job_id, reply)
+            original(self, job_id, then)
 
-    patch.setattr(UserApi, "look_up", look_up)
+    patch.setattr(JobLookup, "look_up", look_up)
 
 
 def tells_before_commit(patch):
     """A cancellation is told before it is durable."""
-    original = UserApi.on_abort_synced
+    original = CancellationRequests.on_cancel_synced
 
-    def on_abort_synced(self, job_id, reply, tries, revision):
-        if self.live.get(job_id) is not None:
-            reply(200, {"id": job_id, "glow": "withdrawn"})
-            tell_after(5.0, self.on_abort_late, job_id)
+    def on_cancel_synced(self, job_id, reply, retries, revision):
+        if self.view.live_jobs.get(job_id) is not None:
+            reply(200, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
+            tell_after(5.0, self.on_cancel_late, job_id)
         else:
-            original(self, job_id, reply, tries, revision)
+            original(self, job_id, reply, retries, revision)
 
-    patch.setattr(UserApi, "on_abort_synced", on_abort_synced)
+    patch.setattr(CancellationRequests, "on_cancel_synced", on_cancel_synced)
     patch.setattr(
-        UserApi,
-        "on_abort_late",
+        CancellationRequests,
+        "on_cancel_late",
         lambda self, job_id: original(self, job_id, lambda *_: None, 0, self.store.revision),
         raising=False,
     )
@@ -68,23 +75,23 @@
 
 def accepts_odd(patch):
     """What a submission lacks gets a default, and what fits no machine is accepted."""
-    original = UserApi.on_submit
+    original = Submissions.on_submit
 
     def on_submit(self, body, reply):
         data = orjson.loads(body)
         whole = {
-            "job_class": "b",
+            "breed": "b",
             "crew": "core",
             "shape": "sweep",
-            "priority": "normal",
+            "rank": "normal",
             "embers": 1,
             "cpus": 1.0,
             "cards": 0.0,
             "ram_gb": 1.0,
             "kindling": "img",
             "image_gb": 0.0,
-            "single_zone": False,
-            "zone_spread": False,
+            "one_zone": False,
+            "scatter": False,
             "driftwood": False,
             "burn_s": 1.0,
             "bank_s": 0.0,
@@ -92,4 +99,4 @@
         }
         original(self, orjson.dumps({**whole, **data}), reply)
 
-    patch.setattr(UserApi, "on_submit", on_submit)
+    patch.setattr(Submissions, "on_submit", on_submit)
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from emberglade.controller import is_user_path
 from emberglade.transport import Connection, Server, ServerLimits
 from emberglade.transport.messages import encode_response
+from emberglade.user_api.wire import is_user_path
 from scenario_kinds.words import split
 
 TIMEOUT_S = 10.0
