--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -84,7 +84,7 @@
             "jobs": len(node.job_manager.jobs),
             "machines": len(node.agents.evidence.view),
             "reporting_here": len(node.agents.known),
-            "final_states": len(node.api.lookup.final_states),
+            "final_states": len(node.user_api.lookup.final_states),
             "failure_detection": node.peer_monitor and node.peer_monitor.account(),
             "actors": {
                 name: summarize_messages(messages, elapsed)
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -1,35 +1,26 @@
-"""Puts one controller together: the actors, the clients, and the two servers."""
+"""Assembles one controller: its actors, and how they know of each other."""
 
-import gc
-import logging
-import threading
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
-import orjson
-
-from .accounting import Accountant
-from .actors import ThreadSystem, tell, tell_inline
-from .agents import AgentManager, read_cancellation, read_question, read_task_updates
-from .config import small_quota_warnings
+from .actors import Actor, tell
+from .agents import AgentManager
+from .config import Operators, Settings
 from .fleet import Autoscaler
 from .jobs import JobManager
 from .membership import FormatUpgrade, Member, shard_count
-from .memory_guard import MemoryGuard
-from .state import Store, read_since
-from .transport import Client, ClientPool, Server, ServerLimits
+from .peer_routes import PeerRoutes
+from .state import Store
 from .user_api import UserApi
-from .user_api.wire import is_user_path
 
 if TYPE_CHECKING:
     from .failure_detection import PeerMonitor
 
-log = logging.getLogger("emberglade")
-
 
 @dataclass
 class Controller:
-    """The actors of one controller."""
+    """The actors of one controller, and the routes of the server that its peers use."""
 
     store: Store
     job_manager: JobManager
@@ -37,62 +28,46 @@
     format_upgrade: FormatUpgrade
     agents: AgentManager
     autoscaler: Autoscaler
-    api: UserApi
+    user_api: UserApi
+    peer_routes: PeerRoutes
     peer_monitor: "PeerMonitor | None" = None  # if failure detection is on
 
-    def actors(self):
-        watching = [] if self.peer_monitor is None else [(self.peer_monitor, "failure_detection")]
-        return watching + [
+    def actors(self) -> list[tuple[Actor, str]]:
+        """All actors with their names, in the order in which they begin."""
+        actors: list[tuple[Actor, str]] = []
+        if self.peer_monitor is not None:
+            actors.append((self.peer_monitor, "failure_detection"))
+        actors += [
             (self.store, "state"),
             (self.job_manager, "jobs"),
             (self.member, "membership"),
             (self.format_upgrade, "format"),
             (self.agents, "agents"),
             (self.autoscaler, "fleet"),
-            (self.api, "user_api"),
+            (self.user_api, "user_api"),
         ]
+        return actors
 
-    def tell_memory(self, short):
+    def tell_memory_pressure(self, short: bool) -> None:
         """Memory has become short, or enough again."""
-        tell(self.api.on_memory_pressure, short)
+        tell(self.user_api.on_memory_pressure, short)
 
-    def describe(self):
+    def describe(self) -> str:
         """How much there is of what takes memory."""
         return (
             f"{len(self.store.replica)} live keys, {len(self.job_manager.jobs)} jobs, "
             f"{len(self.agents.evidence.view)} machines, "
-            f"{len(self.api.lookup.final_states)} final states at hand"
+            f"{len(self.user_api.lookup.final_states)} final states at hand"
         )
 
-    def peer_route(self, method, path, body, reply):
-        try:
-            data = orjson.loads(body) if body else None
-        except ValueError:
-            reply(400, {"error": "not JSON"})
-            return
-        if path == "/peer/heard" and method == "POST":
-            if self.peer_monitor is not None:
-                tell_inline(self.peer_monitor.on_hear_question, data)
-                reply = self.peer_monitor.answering(reply)
-            tell_inline(self.agents.on_heard, read_question(data), reply)
-        elif path == "/peer/ping" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_ping, data, reply)
-        elif path == "/peer/probe" and method == "POST" and self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_probe, data, reply)
-        elif path == "/peer/facts" and method == "POST" and isinstance(data, list):
-            for update in read_task_updates(data):
-                tell(self.job_manager.on_task_update, update)
-            reply(200, {})
-        elif path == "/peer/changes" and method == "POST" and read_since(data) is not None:
-            tell_inline(self.store.on_changes_for_peer, read_since(data), reply)
-        elif path == "/peer/withdrawn" and method == "POST" and read_cancellation(data) is not None:
-            tell_inline(self.agents.on_hear_cancellation, *read_cancellation(data))
-            reply(200, {})
-        else:
-            reply(404, {"error": "no such path"})
-
 
-def watch_peers(settings, operators, store, member, peer_clients):
+def watch_peers(
+    settings: Settings,
+    operators: Operators,
+    store: Store,
+    member: Member,
+    peer_clients: Mapping[str, Any],
+) -> "PeerMonitor":
     """The monitor of the other controllers, which the member's claims follow from now on."""
     from .failure_detection import (  # a start without it does not pay for it
         LeaderPlanner,
@@ -111,11 +86,27 @@
     return PeerMonitor(settings, bounds, domains, store, peer_clients)
 
 
-def assemble(settings, operators, state_client, cloud_client, peer_clients, workers):
-    """The actors of one node, not running yet."""
+def assemble(
+    settings: Settings,
+    operators: Operators,
+    state_client: Any,
+    cloud_client: Any,
+    peer_clients: Mapping[str, Any],
+    workers: Any,
+) -> Controller:
+    """The actors of one controller, not running yet.
+
+    Args:
+        settings: The platform's settings.
+        operators: The operators' settings.
+        state_client: The client of the state service.
+        cloud_client: The client of the cloud.
+        peer_clients: Peer's name -> its client.
+        workers: The pool of clients for direct commands to workers.
+    """
     store = Store(settings, state_client)
     job_manager = JobManager(settings, store)
-    listeners = [job_manager]
+    listeners: list[Any] = [job_manager]
     member = Member(settings, store, listeners)
     peer_monitor = None
     if operators.failure_detection:
@@ -124,78 +115,20 @@
     agents = AgentManager(settings, store, job_manager, member, peer_clients, workers)
     job_manager.agents = agents
     autoscaler = Autoscaler(settings, operators, store, job_manager, agents, cloud_client)
-    api = UserApi(settings, store, agents)
+    user_api = UserApi(settings, store, agents)
     format_upgrade = FormatUpgrade(settings, store)
-    listeners += [agents, autoscaler, format_upgrade, api]
+    listeners += [agents, autoscaler, format_upgrade, user_api]
     if peer_monitor is not None:
         listeners.append(peer_monitor)
         peer_monitor.listeners = [agents, member]
     return Controller(
-        store, job_manager, member, format_upgrade, agents, autoscaler, api, peer_monitor
-    )
-
-
-class DescriptorBudget:
-    """Who may hold how many of the descriptors."""
-
-    def __init__(self, settings):
-        total = settings.fd_limit
-        self.worker_calls = max(1, total // 8)  # kept connections to workers, for commands
-        # Threads for these: each may wait for a machine that hangs.
-        self.worker_callers = max(2, min(total // 64, 64))
-        self.internal = max(2, min(total // 16, 8 * settings.size))
-        # A controller that stands alone has to hold all workers; the rest is for clients, listeners
-        # and what the platform itself needs.
-        self.front = max(2, total * 3 // 4)
-        self.users = max(1, self.front // 3)
-
-
-def serve(settings, operators):
-    """Runs a controller until the process ends."""
-    threading.stack_size(256 * 1024)
-    # Records and reports hold no cycles worth speaking of; looking through all of them as often as
-    # Python does by default took a tenth of the processor at 600 machines.
-    gc.set_threshold(50_000, 20, 50)
-    system = ThreadSystem()
-    answer_timeout_s = min(settings.lease_s / 4, 3.0)
-    idle_timeout_s = 2 * settings.lease_s
-    descriptors = DescriptorBudget(settings)
-    for warning in small_quota_warnings(settings):
-        log.warning(warning)
-    node = assemble(
-        settings,
-        operators,
-        Client(settings.state, 6, "state"),
-        Client(settings.cloud, 2, "cloud"),
-        # Facts and questions each have a thread: neither waits for the other's long bodies.
-        {peer.name: Client(peer.address, 2, "peer-" + peer.name, 64) for peer in settings.peers},
-        ClientPool(descriptors.worker_callers, descriptors.worker_calls, "workers"),
-    )
-    front = Server(
-        settings.front,
-        node.api.routes.route,
-        ServerLimits(
-            max_connections=descriptors.front,
-            max_user_connections=descriptors.users,
-            answer_timeout_s=answer_timeout_s + 0.5,
-            idle_timeout_s=idle_timeout_s,
-        ),
-        is_user_path,
-    )
-    internal = Server(
-        settings.internal,
-        node.peer_route,
-        ServerLimits(
-            max_connections=descriptors.internal,
-            max_user_connections=0,
-            answer_timeout_s=answer_timeout_s,
-            idle_timeout_s=idle_timeout_s,
-        ),
+        store=store,
+        job_manager=job_manager,
+        member=member,
+        format_upgrade=format_upgrade,
+        agents=agents,
+        autoscaler=autoscaler,
+        user_api=user_api,
+        peer_routes=PeerRoutes(store, job_manager, agents, peer_monitor),
+        peer_monitor=peer_monitor,
     )
-    system.spawn(node.actors())
-    internal.begin("internal")
-    Accountant(system, node, (front, internal)).begin()
-    MemoryGuard(settings.mem_mb, node.tell_memory, node.describe).begin()
-    log.info("%s serves users and workers at %s:%d", settings.node, *settings.front)
-    front.serve_forever()
-    return 0
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -92,6 +92,6 @@
         stream=sys.stderr,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
-    from .controller import serve
+    from .process import serve
 
     return serve(settings, operators)
--- /dev/null
+++ b/emberglade/peer_routes.py
@@ -0,0 +1,110 @@
+"""The routes of the internal server, which the other controllers use."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+import orjson
+
+from .actors import tell, tell_inline
+from .agents import AgentManager, read_cancellation, read_question, read_task_updates
+from .jobs import JobManager
+from .state import Store, read_since
+
+if TYPE_CHECKING:
+    from .failure_detection import PeerMonitor
+
+MACHINES_PATH = "/peer/heard"  # what is known here of machines
+TASK_UPDATES_PATH = "/peer/facts"
+REPLICA_CHANGES_PATH = "/peer/changes"
+CANCELLATION_PATH = "/peer/withdrawn"
+PING_PATH = "/peer/ping"
+PROBE_PATH = "/peer/probe"
+
+Reply = Callable[..., None]  # reply(status, body)
+PeerHandler = Callable[[Any, Reply], None]
+
+
+def reply_no_such_path(reply: Reply) -> None:
+    """Answers a request for which there is no route, or whose body is not what its path takes."""
+    reply(404, {"error": "no such path"})
+
+
+class PeerRoutes:
+    """Hands each request of a peer to the actor that answers it; called by the server's threads."""
+
+    def __init__(
+        self,
+        store: Store,
+        job_manager: JobManager,
+        agents: AgentManager,
+        peer_monitor: "PeerMonitor | None",
+    ) -> None:
+        self.store = store
+        self.job_manager = job_manager
+        self.agents = agents
+        self.peer_monitor = peer_monitor
+        self.handlers: dict[str, PeerHandler] = {
+            MACHINES_PATH: self._machines,
+            TASK_UPDATES_PATH: self._task_updates,
+            REPLICA_CHANGES_PATH: self._replica_changes,
+            CANCELLATION_PATH: self._cancellation,
+        }
+        if peer_monitor is not None:
+            self.handlers[PING_PATH] = self._ping
+            self.handlers[PROBE_PATH] = self._probe
+
+    def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
+        """Leads one request to one call of `reply(status, body)`."""
+        try:
+            data = orjson.loads(body) if body else None
+        except ValueError:
+            reply(400, {"error": "not JSON"})
+            return
+        handler = self.handlers.get(path)
+        if handler is None or method != "POST":
+            reply_no_such_path(reply)
+        else:
+            handler(data, reply)
+
+    def _machines(self, data: Any, reply: Reply) -> None:
+        """A peer asks what is known here of machines; its question may carry a heartbeat."""
+        if self.peer_monitor is not None:
+            tell_inline(self.peer_monitor.on_hear_question, data)
+            reply = self.peer_monitor.answering(reply)
+        tell_inline(self.agents.on_heard, read_question(data), reply)
+
+    def _ping(self, data: Any, reply: Reply) -> None:
+        """A peer wants a sign of life."""
+        assert self.peer_monitor is not None
+        tell_inline(self.peer_monitor.on_ping, data, reply)
+
+    def _probe(self, data: Any, reply: Reply) -> None:
+        """A peer asks whether this controller reaches another one."""
+        assert self.peer_monitor is not None
+        tell_inline(self.peer_monitor.on_probe, data, reply)
+
+    def _task_updates(self, data: Any, reply: Reply) -> None:
+        """A peer tells what it saw of tasks whose jobs this controller holds."""
+        if not isinstance(data, list):
+            reply_no_such_path(reply)
+            return
+        for update in read_task_updates(data):
+            tell(self.job_manager.on_task_update, update)
+        reply(200, {})
+
+    def _replica_changes(self, data: Any, reply: Reply) -> None:
+        """A peer without the state service asks for the changes after its replica's revision."""
+        since = read_since(data)
+        if since is None:
+            reply_no_such_path(reply)
+            return
+        tell_inline(self.store.on_changes_for_peer, since, reply)
+
+    def _cancellation(self, data: Any, reply: Reply) -> None:
+        """A peer tells of a cancellation that it has seen committed."""
+        cancellation = read_cancellation(data)
+        if cancellation is None:
+            reply_no_such_path(reply)
+            return
+        tell_inline(self.agents.on_hear_cancellation, *cancellation)
+        reply(200, {})
--- a/make_bytecode.py
+++ b/make_bytecode.py
@@ -13,6 +13,6 @@
 sys.dont_write_bytecode = False
 
 # Imported only where it is turned on, but then at each start.
-import emberglade.controller  # noqa: E402, F401
 import emberglade.failure_detection  # noqa: E402, F401
 import emberglade.main  # noqa: E402, F401
+import emberglade.process  # noqa: E402, F401
--- a/tests/scenario_kinds/cluster_faults.py
+++ b/tests/scenario_kinds/cluster_faults.py
@@ -131,7 +131,7 @@
 
     def do_memory(self, node, word):
         """This controller's memory is `short`, or `enough` again."""
-        self.cluster.nodes[self.node(node)].tell_memory(word == "short")
+        self.cluster.nodes[self.node(node)].tell_memory_pressure(word == "short")
 
     def do_cloud_outage(self, seconds):
         self.cluster.cloud.down_until = self.cluster.world.now + float(seconds)
--- a/tests/scenario_kinds/start.py
+++ b/tests/scenario_kinds/start.py
@@ -15,7 +15,7 @@
 import sys
 sys.path[:0] = {paths!r}
 import emberglade.main
-import emberglade.controller
+import emberglade.process
 assert emberglade.main.main({arguments!r}) == 0
 print("modules:", *sys.modules, sep="\\n")
 """
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -179,7 +179,7 @@
                 if process.alive:
                     reply(*result)
 
-            (node.peer_route if path.startswith("/peer/") else node.api.routes.route)(
+            (node.peer_routes if path.startswith("/peer/") else node.user_api.routes).route(
                 method, path, body, answer
             )
 
