--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -1,24 +1,33 @@
 """Where a running controller's processor time and memory go, as one log line an interval.
 
-The line holds a JSON object, so that `python3 run.py profile` can sum up many of them.
+The line holds a JSON object, so that `python3 run.py profile` can sum up many of them
+(`account_profile.py`).
 """
 
 import logging
 import os
 import threading
 import time
+from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
+if TYPE_CHECKING:
+    from .actors import ThreadSystem
+    from .controller import Controller
+    from .transport import Server
+
 log = logging.getLogger("emberglade.accounts")
 
-MARK = "account "  # what stands before the JSON object in the log line
+ACCOUNT_MARK = "account "  # what stands before the JSON object in the log line
+ACCOUNT_INTERVAL_S = 60.0
 SHOWN_SHARE = 0.001  # of the interval; messages that took less are summed up as "other"
 OTHER = "other"
 MEGABYTE = 1024 * 1024
 
 
-def resident_bytes():
+def resident_bytes() -> int:
     """The memory that this process holds now, or 0 where the platform doesn't say."""
     try:
         with open("/proc/self/statm", "rb") as source:
@@ -27,130 +36,100 @@
         return 0
 
 
-def summarize_messages(messages, interval):
+def summarize_messages(
+    messages: Mapping[str, Sequence[Any]], interval_s: float
+) -> dict[str, list[Any]]:
     """{message: [seconds, count]} of what matters, the largest first."""
-    shown, other = {}, [0.0, 0]
+    shown, other_s, other_count = {}, 0.0, 0
     for name, (seconds, count) in sorted(messages.items(), key=lambda item: -item[1][0]):
-        if seconds >= SHOWN_SHARE * interval:
+        if seconds >= SHOWN_SHARE * interval_s:
             shown[name] = [round(seconds, 4), count]
         else:
-            other[0] += seconds
-            other[1] += count
-    if other[1]:
-        shown[OTHER] = [round(other[0], 4), other[1]]
+            other_s += seconds
+            other_count += count
+    if other_count:
+        shown[OTHER] = [round(other_s, 4), other_count]
     return shown
 
 
 class Accountant:
     """Writes an account of the interval that has just passed."""
 
-    def __init__(self, system, node, servers, interval=60.0):
-        self.system, self.node, self.servers = system, node, servers
-        self.interval = interval
+    def __init__(
+        self,
+        system: "ThreadSystem",
+        controller: "Controller",
+        servers: Sequence["Server"],
+        interval_s: float = ACCOUNT_INTERVAL_S,
+    ) -> None:
+        self.system = system
+        self.controller = controller
+        self.servers = servers
+        self.interval_s = interval_s
         self.processor_s = time.process_time()
         self.begun = time.monotonic()
 
-    def begin(self):
+    def begin(self) -> None:
         """Accounts on a thread of its own until the process ends."""
         threading.Thread(target=self._run, name="accounts", daemon=True).start()
 
-    def _run(self):
+    def _run(self) -> None:
         while True:
-            time.sleep(self.interval)
-            log.info("%s%s", MARK, orjson.dumps(self.take()).decode())
+            time.sleep(self.interval_s)
+            log.info("%s%s", ACCOUNT_MARK, orjson.dumps(self.take()).decode())
 
-    def take(self):
+    def take(self) -> dict[str, Any]:
         """The account since the last call."""
-        now, processor_s = time.monotonic(), time.process_time()
-        elapsed, spent = max(now - self.begun, 1e-9), processor_s - self.processor_s
-        self.begun, self.processor_s = now, processor_s
-        node = self.node
+        now = time.monotonic()
+        processor_s = time.process_time()
+        elapsed_s = max(now - self.begun, 1e-9)
+        spent_s = processor_s - self.processor_s
+        self.begun = now
+        self.processor_s = processor_s
+        return {
+            **self._identity(),
+            "elapsed_s": round(elapsed_s, 3),
+            "processor_s": round(spent_s, 3),
+            **self._resources(),
+            **self._kept(),
+            "actors": {
+                name: summarize_messages(messages, elapsed_s)
+                for name, messages in self.system.take_account().items()
+            },
+        }
+
+    def _identity(self) -> dict[str, Any]:
+        """Which controller this is, whether it leads, and how many shards it holds."""
+        controller = self.controller
+        node = controller.store.settings.node
+        identity = (node, controller.job_manager.incarnation)
         return {
-            "node": node.store.settings.node,
-            "leads": node.autoscaler.leading,
+            "node": node,
+            "leads": controller.autoscaler.leading,
             "shards": sum(
-                holder[:2] == (node.store.settings.node, node.job_manager.incarnation)
-                for holder in list(node.job_manager.holders.values())
+                holder[:2] == identity for holder in list(controller.job_manager.holders.values())
             ),
-            "elapsed_s": round(elapsed, 3),
-            "processor_s": round(spent, 3),
+        }
+
+    def _resources(self) -> dict[str, Any]:
+        """What the process holds of memory, threads and connections."""
+        return {
             "memory_mb": round(resident_bytes() / MEGABYTE, 1),
             "threads": threading.active_count(),
             "connections": sum(server.connection_count for server in self.servers),
             "user_connections": sum(len(server.users) for server in self.servers),
             "evicted": sum(server.evicted for server in self.servers),
             "refused": sum(server.refused for server in self.servers),
-            "live_keys": len(node.store.replica),
-            "jobs": len(node.job_manager.jobs),
-            "machines": len(node.agents.evidence.view),
-            "reporting_here": len(node.agents.known),
-            "final_states": len(node.user_api.lookup.final_states),
-            "failure_detection": node.peer_monitor and node.peer_monitor.account(),
-            "actors": {
-                name: summarize_messages(messages, elapsed)
-                for name, messages in self.system.take_account().items()
-            },
         }
 
-
-# --- reading accounts back, for `python3 run.py profile`
-
-
-def read_accounts(lines):
-    """The accounts among the lines of one or more controllers' logs."""
-    for line in lines:
-        _, found, text = line.partition(f"{log.name}: {MARK}")
-        if found:
-            try:
-                yield orjson.loads(text)
-            except ValueError:
-                log.debug("a cut-off account is left out")
-
-
-def render(accounts):
-    """A table for each controller: processor time by actor and message, and what it held."""
-    by_node = {}
-    for account in accounts:
-        by_node.setdefault(account["node"], []).append(account)
-    return "\n".join(line for node in sorted(by_node) for line in _render_node(node, by_node[node]))
-
-
-def _render_node(node, accounts):
-    elapsed = sum(account["elapsed_s"] for account in accounts)
-    processor = sum(account["processor_s"] for account in accounts)
-    led = sum(account["leads"] for account in accounts)
-    yield (
-        f"{node}: {elapsed:.0f} s in {len(accounts)} accounts, led in {led} of them; "
-        f"processor {100 * processor / elapsed:.1f} %"
-    )
-    for field in (
-        "memory_mb",
-        "threads",
-        "connections",
-        "live_keys",
-        "jobs",
-        "machines",
-        "final_states",
-    ):
-        values = [account[field] for account in accounts]
-        yield f"  {field}: {min(values):g} to {max(values):g}"
-    last = accounts[-1].get("failure_detection")
-    if last:
-        yield (
-            f"  peers: {last['suspicions']} suspicions, {last['deaths']} deaths, "
-            f"{last['refused_statements']} statements refused; in the end "
-            + ", ".join(f"{name} {state}" for name, state in sorted(last["peers"].items()))
-        )
-    totals = {}
-    for account in accounts:
-        for actor, messages in account["actors"].items():
-            for message, (seconds, count) in messages.items():
-                total = totals.setdefault((actor, message), [0.0, 0])
-                total[0] += seconds
-                total[1] += count
-    for (actor, message), (seconds, count) in sorted(totals.items(), key=lambda item: -item[1][0]):
-        if count:
-            yield (
-                f"  {actor}.{message}: {100 * seconds / elapsed:.2f} %, {count / elapsed:.1f} "
-                f"a second, {1e6 * seconds / count:.0f} microseconds each"
-            )
+    def _kept(self) -> dict[str, Any]:
+        """How much the controller keeps, and what it takes its peers for."""
+        controller = self.controller
+        return {
+            "live_keys": len(controller.store.replica),
+            "jobs": len(controller.job_manager.jobs),
+            "machines": len(controller.agents.evidence.view),
+            "reporting_here": len(controller.agents.known),
+            "final_states": len(controller.user_api.lookup.final_states),
+            "failure_detection": controller.peer_monitor and controller.peer_monitor.account(),
+        }
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -4,22 +4,40 @@
 import logging
 import os
 import sys
+from collections.abc import Iterable, Sequence
 from dataclasses import replace
+from typing import Any
 
-from .config import SettingsError, load_operators, load_platform, small_quota_warnings
+from .config import (
+    Operators,
+    Settings,
+    SettingsError,
+    load_operators,
+    load_platform,
+    small_quota_warnings,
+)
 
 # Switches of the operators' settings that the command line can turn on as well: reading the
 # operators' file takes a library that a start without it does not import.
 FEATURES = ("failure-detection",)
 
+LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # any other is INFO
+DEFAULT_LOG_LEVEL = "info"
+EXIT_WRONG_SETTINGS = 2
 
-def enable(operators, names):
+
+def enable(operators: Operators, names: Iterable[str]) -> Operators:
     """The operators' settings with these features turned on."""
-    return replace(operators, **{name.replace("-", "_"): True for name in names})
+    switches: dict[str, Any] = {name.replace("-", "_"): True for name in names}
+    return replace(operators, **switches)
+
 
+def check_detection(settings: Settings, operators: Operators, source: str) -> None:
+    """Checks the bounds and domains of failure detection.
 
-def check_detection(settings, operators, source):
-    """SettingsError if bounds or domains of failure detection are wrong."""
+    Raises:
+        SettingsError: They are wrong; its message names `source`.
+    """
     from .failure_detection import DetectionError, detection_bounds, failure_domains
 
     try:
@@ -29,8 +47,8 @@
         raise SettingsError(f"{source}: {error}") from None
 
 
-def main(arguments=None):
-    """Runs the command line; returns the exit code."""
+def make_parser() -> argparse.ArgumentParser:
+    """The parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="emberglade", description="One controller of an emberglade cluster."
     )
@@ -56,42 +74,73 @@
         default=[],
         help="turn a feature on, as the operators' file can: " + ", ".join(FEATURES),
     )
-    options = parser.parse_args(arguments)
-    if options.command == "profile":
-        from .accounting import read_accounts, render
+    return parser
 
-        print(render(read_accounts(sys.stdin)))
-        return 0
-    if options.config is None:
-        parser.error("--config is needed")
-    try:
-        settings = load_platform(options.config)
-        operators = enable(load_operators(options.operators), options.enable)
-        if operators.failure_detection or options.operators:
-            check_detection(settings, operators, options.operators or "the defaults")
-    except SettingsError as error:
-        print(f"emberglade: {error}", file=sys.stderr)
-        return 2
-    if options.command == "check":
-        print(
-            f"{options.config}: node {settings.node} in {settings.zone}, {settings.size} nodes, "
-            f"{len(settings.teams)} teams: ok"
-        )
-        if operators.failure_detection or options.operators:
-            from .failure_detection import describe_detection
-
-            print(f"{options.config}: {describe_detection(settings, operators)}")
-        for warning in small_quota_warnings(settings):
-            print(f"{options.config}: warning: {warning}")
-        if options.operators:
-            print(f"{options.operators}: ok")
-        return 0
-    level = os.environ.get("LOG_LEVEL", "info").upper()
+
+def load_settings(options: argparse.Namespace) -> tuple[Settings, Operators]:
+    """The platform's and the operators' settings, checked.
+
+    Raises:
+        SettingsError: A file is missing or wrong.
+    """
+    settings = load_platform(options.config)
+    operators = enable(load_operators(options.operators), options.enable)
+    if operators.failure_detection or options.operators:
+        check_detection(settings, operators, options.operators or "the defaults")
+    return settings, operators
+
+
+def run_profile() -> int:
+    """Sums up the accounts in the logs on standard input; returns the exit code."""
+    from .account_profile import read_accounts, render
+
+    print(render(read_accounts(sys.stdin)))
+    return 0
+
+
+def run_check(options: argparse.Namespace, settings: Settings, operators: Operators) -> int:
+    """Prints what the settings say, and warnings; returns the exit code."""
+    print(
+        f"{options.config}: node {settings.node} in {settings.zone}, {settings.size} nodes, "
+        f"{len(settings.teams)} teams: ok"
+    )
+    if operators.failure_detection or options.operators:
+        from .failure_detection import describe_detection
+
+        print(f"{options.config}: {describe_detection(settings, operators)}")
+    for warning in small_quota_warnings(settings):
+        print(f"{options.config}: warning: {warning}")
+    if options.operators:
+        print(f"{options.operators}: ok")
+    return 0
+
+
+def run_serve(settings: Settings, operators: Operators) -> int:
+    """Runs a controller until the process ends; returns the exit code."""
+    level = os.environ.get("LOG_LEVEL", DEFAULT_LOG_LEVEL).upper()
     logging.basicConfig(
-        level={"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}.get(level, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         stream=sys.stderr,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
     from .process import serve
 
     return serve(settings, operators)
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the command line; returns the exit code."""
+    parser = make_parser()
+    options = parser.parse_args(arguments)
+    if options.command == "profile":
+        return run_profile()
+    if options.config is None:
+        parser.error("--config is needed")
+    try:
+        settings, operators = load_settings(options)
+    except SettingsError as error:
+        print(f"emberglade: {error}", file=sys.stderr)
+        return EXIT_WRONG_SETTINGS
+    if options.command == "check":
+        return run_check(options, settings, operators)
+    return run_serve(settings, operators)
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -1,13 +1,14 @@
 """Sheds what can be spared when memory runs short, before the platform ends the process.
 
-Final states kept at hand are dropped, since the state service has them, and new submissions are put
-off. Questions and cancellations are answered all the same: being ended and starting again would
-cost their users less than minutes without an answer.
+Final states kept at hand are dropped, since the store has them, and new submissions are put off.
+Questions and cancellations are answered all the same: being ended and starting again would cost
+their users less than minutes without an answer.
 """
 
 import logging
 import threading
 import time
+from collections.abc import Callable
 
 from .accounting import MEGABYTE, resident_bytes
 
@@ -15,27 +16,37 @@
 
 HIGH_SHARE = 0.85  # of the limit: from here on memory is short
 LOW_SHARE = 0.75  # below this it no longer is
+CHECK_INTERVAL_S = 2.0
 
 
 class MemoryGuard:
-    """Watches the process's memory and tells the front door when it is short."""
-
-    def __init__(self, limit_mb, tell_short, describe, resident=resident_bytes, interval=2.0):
+    """Watches the process's memory and tells the users' API when it is short."""
+
+    def __init__(
+        self,
+        limit_mb: float,
+        tell_pressure: Callable[[bool], None],
+        describe: Callable[[], str],
+        resident: Callable[[], float] = resident_bytes,
+        interval_s: float = CHECK_INTERVAL_S,
+    ) -> None:
         self.limit = limit_mb * MEGABYTE
-        self.tell_short, self.describe, self.resident = tell_short, describe, resident
-        self.interval = interval
+        self.tell_pressure = tell_pressure
+        self.describe = describe
+        self.resident = resident
+        self.interval_s = interval_s
         self.short = False
 
-    def begin(self):
+    def begin(self) -> None:
         """Watches on a thread of its own until the process ends."""
         threading.Thread(target=self._run, name="memory", daemon=True).start()
 
-    def _run(self):
+    def _run(self) -> None:
         while True:
-            time.sleep(self.interval)
+            time.sleep(self.interval_s)
             self.check()
 
-    def check(self):
+    def check(self) -> None:
         """Looks once; tells of each change."""
         share = self.resident() / self.limit
         short = share > (LOW_SHARE if self.short else HIGH_SHARE)
@@ -49,4 +60,4 @@
             self.limit / MEGABYTE,
             self.describe(),
         )
-        self.tell_short(short)
+        self.tell_pressure(short)
