--- a/tools/precompile_bytecode.py
+++ b/tools/precompile_bytecode.py
@@ -1,15 +1,15 @@
 """Build step: keeps the byte code of all that a controller imports under `target/bytecode`.
 
 `run.py` has Python look there. A controller's platform has no disk to write to, so without this
-every start compiles the source anew, from a third of a core. Processor time of a start with
-`--enable failure-detection`, user and system, up to the line that says it serves (Python 3.11, 15
-starts each, median, least to most; on a development machine that was busy otherwise):
+every start compiles the source anew, from a third of a core. Processor time of a start, user and
+system, as `tests/benchmarks/start_cost.py` measured it (Python 3.11, 15 starts each, median, least
+to most; on a machine that was busy otherwise, so rounds differ by some tens of ms):
 
-    with target/bytecode              232 ms (162 to 283)
-    without, nothing can be written   317 ms (261 to 409)
+    with target/bytecode              223 ms (157 to 285)
+    without, nothing can be written   277 ms (234 to 360)
 
-Where Python can write its byte code beside the source, a second start does without this (183 ms,
-150 to 253): it is not needed for development.
+Where Python can write its byte code beside the source, a second start does as well without this
+(167 ms, 127 to 210): it is not needed for development.
 
 Python checks the byte code against time and size of each source, so what is out of date is not
 used. Run it as `deploy/service.toml` does, without the site module, once `target/deps` is there.
