--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -120,6 +120,12 @@
     controller = connect(settings, operators, descriptors)
     front = front_server(settings, controller, descriptors)
     internal = internal_server(settings, controller, descriptors)
+    log.info(
+        "%s reads what is stored from the state service at %s:%d; it waits for that as long as it "
+        "takes, and answers users 503 until then",
+        settings.node,
+        *settings.state,
+    )
     system.spawn(controller.actors())
     internal.begin("internal")
     Accountant(system, controller, (front, internal)).begin()
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -99,14 +99,17 @@
             lambda status, data: self.at(0.0, reply, status, data),
         )
 
-    def serve(self, name, source):
-        """The port where a stand-in serves one of its clients, known by the port it comes to."""
+    def serve(self, name, source, port=0):
+        """The port where a stand-in serves one of its clients, known by the port it comes to.
+
+        `port`: the one to listen at, if it is not open yet; 0: any that is free.
+        """
         if (name, source) not in self.servers:
 
             def route(method, path, body, reply):
                 self.at(0.0, self.handle, name, method, path, body, source, reply)
 
-            server = Server((HOST, 0), route, LIMITS)
+            server = Server((HOST, port), route, LIMITS)
             server.begin(f"{name} for {source}")
             self.servers[name, source] = server
         return self.servers[name, source].server_port
