--- a/tests/benchmarks/start_cost.py
+++ b/tests/benchmarks/start_cost.py
@@ -1,8 +1,9 @@
 """Processor time of a controller's start, with and without precompiled byte code.
 
-Not a test and not run in CI. The tree has to be built (`build` in deploy/service.toml), and a
-scratch copy: its byte code is moved away and back. A start counts up to the log line that says it serves,
-user and system time; before each start that counts, one alike warms the disk's cache.
+Not a test and not run in CI. The tree has to be a scratch copy that is built (`build` in
+deploy/service.toml): its byte code is moved away and back. A start counts up to the log line that
+says it serves, user and system time; before each start that counts, one alike warms the disk's
+cache.
 
     python tests/benchmarks/start_cost.py /path/to/built/copy --runs 15
 """
