--- a/emberglade/user_api/committed_jobs.py
+++ b/emberglade/user_api/committed_jobs.py
@@ -46,13 +46,13 @@
 def count_tasks(record: Mapping[str, Any], chunks: Chunks) -> TaskCounts:
     """Counts a live job's tasks over its record's own chunk and the others of its layout."""
     generation = record.get("g", "")
-    parts = [
+    own_chunks = [
         record.get("p", {}),
-        *(part for (of, _), part in chunks.items() if of == generation),
+        *(chunk for (layout, _), chunk in chunks.items() if layout == generation),
     ]
     return TaskCounts(
-        done=sum(_count_ranges(part.get("d", ())) for part in parts),
-        running=sum(len(part.get("b", ())) for part in parts),
+        done=sum(_count_ranges(chunk.get("d", ())) for chunk in own_chunks),
+        running=sum(len(chunk.get("b", ())) for chunk in own_chunks),
     )
 
 
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 
 from ..jobs.dependencies import DependencyGraph
@@ -27,7 +27,7 @@
 
     record: dict[str, Any]
     mod_revision: int
-    chunks: dict[tuple[str, int], dict[str, Any]] = field(default_factory=dict)
+    chunks: dict[tuple[str, int], dict[str, Any]]
 
 
 class CommittedView:
@@ -67,7 +67,7 @@
             return
         job = self.live_jobs.get(job_id)
         if job is None:
-            self.live_jobs[job_id] = LiveJob(record, mod_revision)
+            self.live_jobs[job_id] = LiveJob(record, mod_revision, {})
         else:
             job.record = record
             job.mod_revision = mod_revision
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -123,12 +123,8 @@
     job_id = read_id(data)
     if job_id is None:
         raise MalformedSubmissionError("id: a job id like job-000412 is needed")
-    shape = data.get("shape")
-    if shape not in SHAPES:
-        raise MalformedSubmissionError("shape: sweep, standing or group is needed")
-    priority = data.get("rank")
-    if priority not in PRIORITIES:
-        raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
+    shape = _shape(data)
+    priority = _priority(data)
     tasks = _task_count(data)
     allowed_types = _allowed_types(data)
     deadline_s = None if data.get("due_s") is None else _amount(data, "due_s")
@@ -137,7 +133,7 @@
         job_class=_text(data, "breed"),
         team=_text(data, "crew"),
         service=shape == SERVICE,
-        priority=PRIORITIES.index(priority),
+        priority=priority,
         tasks=tasks,
         cpus=_amount(data, "cpus"),
         gpus=_amount(data, "cards"),
@@ -174,6 +170,20 @@
     return tuple(dict.fromkeys(awaits))
 
 
+def _shape(data: dict[str, Any]) -> str:
+    shape = data.get("shape")
+    if shape not in SHAPES:
+        raise MalformedSubmissionError("shape: sweep, standing or group is needed")
+    return shape
+
+
+def _priority(data: dict[str, Any]) -> int:
+    word = data.get("rank")
+    if word not in PRIORITIES:
+        raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
+    return PRIORITIES.index(word)
+
+
 def _task_count(data: dict[str, Any]) -> int:
     tasks = data.get("embers")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
