--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -5,9 +5,9 @@
 
 from ..actors import tell
 from ..fleet.taints import Taints
-from ..jobs.record import KEEP, Part, Spec, read_part_key
+from ..jobs.record import KEEP, read_part_key
 from ..placement import read_machine_types
-from . import wire
+from .wire import records
 
 log = logging.getLogger("emberglade.agents")
 
@@ -57,7 +57,7 @@
     def on_changed(self, events, revision, whole):
         if whole:
             alive = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if "j/" + j not in alive]:
+            for job_id in [j for j in self.jobs if records.job_key(j) not in alive]:
                 self.drop_job(job_id)
             self.nodes = set()
             self.taints.forget()
@@ -75,15 +75,15 @@
             self.command_directly(fresh)
 
     def absorb(self, key, data, mod_revision, tables):
-        if key.startswith("j/"):
+        if key.startswith(records.JOB_PREFIX):
             job_id = key[2:]
             if data is None:
                 self.drop_job(job_id)
                 return
             entry = self.jobs.get(job_id)
-            generation = data.get("g", "")
+            generation = records.job_generation(data)
             if entry is None:
-                entry = self.jobs[job_id] = Entry(Spec.decode(job_id, data["s"]), generation)
+                entry = self.jobs[job_id] = Entry(records.job_spec(job_id, data), generation)
                 if job_id in self.heard_cancelled:
                     self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
                 for number, (part, part_mod_revision) in self.take_loose(
@@ -92,17 +92,17 @@
                     self.put_part(job_id, entry, number, part, part_mod_revision)
             elif generation != entry.generation:
                 self.change_layout(job_id, entry, data, mod_revision)
-            if data.get("w") and not entry.cancelled:
+            if records.job_is_cancelled(data) and not entry.cancelled:
                 self.see_cancellation(job_id, entry, mod_revision)
-            self.put_part(job_id, entry, 0, data.get("p", {}), mod_revision)
-        elif key.startswith("t/"):
+            self.put_part(job_id, entry, 0, records.first_chunk(data), mod_revision)
+        elif key.startswith(records.CHUNK_PREFIX):
             self.absorb_part(key, data, mod_revision)
-        elif key.startswith("m/"):
+        elif key.startswith(records.TAINT_PREFIX):
             self.touched.update(self.taints.apply(key, data, mod_revision, self.now()))
-        elif key.startswith("s/"):
+        elif key.startswith(records.SHARD_PREFIX):
             if data is not None:
-                self.holders[int(key[2:])] = data.get("node")
-        elif key.startswith("n/"):
+                self.holders[int(key[2:])] = records.shard_holder(data)
+        elif key.startswith(records.NODE_PREFIX):
             node = key[2:]
             tables.add(node)
             if data is None:
@@ -111,18 +111,17 @@
             else:
                 self.nodes.add(node)
                 self.tables.setdefault(node, {})[key] = data
-        elif key.startswith("r/"):
-            node = key.split("/")[1]
+        elif key.startswith(records.OVERFLOW_PREFIX):
+            node = records.overflow_owner(key)
             if data is None:
                 self.tables.get(node, {}).pop(key, None)
             else:
                 self.tables.setdefault(node, {})[key] = data
                 tables.add(node)
-        elif key.startswith("f/"):
-            rows = ((data or {}).get("to") or {}).get(self.settings.node)
-            for update in wire.read_task_updates(rows):
+        elif key.startswith(records.UNDELIVERED_PREFIX):
+            for update in records.read_undelivered(data, self.settings.node):
                 tell(self.job_manager.on_task_update, update)
-        elif key == "catalog" and data is not None:
+        elif key == records.CATALOG_KEY and data is not None:
             self.machine_types = read_machine_types(data)
 
     def absorb_part(self, key, data, mod_revision):
@@ -151,11 +150,11 @@
         """The record names other parts. The tasks that both show bound stay so, in one step."""
         old = dict(entry.bindings())
         parts = {
-            number: Part.binding_rows(part)
-            for number, (part, _) in self.take_loose(job_id, data["g"]).items()
+            number: records.bound_tasks(part)
+            for number, (part, _) in self.take_loose(job_id, records.job_generation(data)).items()
         }
-        parts[0] = Part.binding_rows(data.get("p", {}))
-        entry.generation, entry.parts = data["g"], parts
+        parts[0] = records.bound_tasks(records.first_chunk(data))
+        entry.generation, entry.parts = records.job_generation(data), parts
         self.rebind(job_id, old, dict(entry.bindings()), mod_revision)
 
     def drop_job(self, job_id):
@@ -168,7 +167,7 @@
 
     def put_part(self, job_id, entry, number, data, mod_revision):
         """Takes over one part; costs little for the tasks whose binding is the same as before."""
-        old, new = entry.parts.get(number, {}), Part.binding_rows(data)
+        old, new = entry.parts.get(number, {}), records.bound_tasks(data)
         self.rebind(job_id, old, new, mod_revision)
         entry.parts[number] = new
 
--- a/emberglade/agents/cancellations.py
+++ b/emberglade/agents/cancellations.py
@@ -10,7 +10,8 @@
 import logging
 
 from ..actors import callback, tell_after
-from . import wire
+from .wire import agents as agent_wire
+from .wire import peers as peer_wire
 
 log = logging.getLogger("emberglade.agents")
 
@@ -62,8 +63,8 @@
             for link in self.peers.values():
                 link.call(
                     "POST",
-                    "/peer/withdrawn",
-                    wire.cancellation(job_id, self.cancelled_revision(job_id)),
+                    peer_wire.CANCELLATION_PATH,
+                    peer_wire.write_cancellation(job_id, self.cancelled_revision(job_id)),
                     self.settings.agent_heartbeat_s,
                     lambda status, body: None,
                 )
@@ -149,7 +150,7 @@
         for (job_id, task), want in self.bindings.get(machine, {}).items():
             if job_id in self.cancelled and want.agent_epoch == agent_epoch:
                 fencing_token = max(fencing_token, self.cancelled_revision(job_id))
-                commands.append(wire.halt(f"{job_id}/{task}", want.attempt, 0))
+                commands.append(agent_wire.HaltTask((job_id, task), want.attempt, 0))
         if not commands:
             return
         self.halted[machine] = (agent_epoch, self.now())
@@ -157,8 +158,8 @@
         self.workers.call(
             addr,
             "POST",
-            "/commands",
-            wire.orders(fencing_token, agent_epoch, commands),
+            agent_wire.COMMANDS_PATH,
+            agent_wire.write_direct_commands(fencing_token, agent_epoch, commands),
             self.settings.agent_heartbeat_s,
             callback(self.on_halted, machine, agent_epoch, addr, fencing_token),
         )
@@ -169,9 +170,9 @@
         if status not in (200, 409):
             return
         try:
-            heartbeat = wire.read_agent_heartbeat(body)
-            tasks = wire.read_tasks(heartbeat.raw)
-        except ValueError:
+            heartbeat = agent_wire.read_heartbeat(body)
+            tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
+        except agent_wire.HeartbeatError:
             return  # logged already
         if (
             status == 409
@@ -187,7 +188,7 @@
                 heartbeat.agent_epoch > want.agent_epoch
                 or seen is None
                 or seen.attempt != want.attempt
-                or seen.state == "exited"
+                or seen.state is agent_wire.TaskState.EXITED
             ):
                 self.seen_off.setdefault(job_id, set()).add((task, want.attempt))
         if self.held_back:
--- a/emberglade/agents/commands.py
+++ b/emberglade/agents/commands.py
@@ -4,7 +4,8 @@
 
 from ..actors import callback
 from ..jobs.record import KEEP, SAVE, STOP, task_name
-from . import wire
+from .wire import agents as agent_wire
+from .wire.agents import ClearTask, HaltTask, StartTask, TaskState
 
 log = logging.getLogger("emberglade.agents")
 
@@ -22,36 +23,35 @@
         bindings = self.bindings.get(heartbeat.machine, {})
         tainted = heartbeat.machine in self.taints
         for key, seen in tasks.items():
-            name = task_name(*key)
             want = bindings.get(key)
             if want is not None and want.attempt == seen.attempt:
-                if seen.state == "exited":
+                if seen.state is TaskState.EXITED:
                     continue  # the holder is told; cleared once that is written
                 stop, since = self.stop_of(key, want)
                 if stop != KEEP:
                     fencing_token = max(fencing_token, since)
                     grace = self.grace(self.jobs[key[0]], stop)
-                    if seen.state != "saving" or stop != SAVE:
-                        commands.append(wire.halt(name, seen.attempt, grace))
-            elif seen.state != "exited" and self.is_cancelled(key[0]):
+                    if seen.state is not TaskState.SAVING or stop != SAVE:
+                        commands.append(HaltTask(key, seen.attempt, grace))
+            elif seen.state is not TaskState.EXITED and self.is_cancelled(key[0]):
                 # Whatever the copy lacks, nothing of a cancelled job is wanted anywhere.
                 fencing_token = max(fencing_token, self.cancelled_revision(key[0]))
-                commands.append(wire.halt(name, seen.attempt, 0))
+                commands.append(HaltTask(key, seen.attempt, 0))
             elif not synced:
                 more = more or CLEAR
-            elif seen.state == "exited":
+            elif seen.state is TaskState.EXITED:
                 # Fenced: no start of this attempt that is still on its way can follow the clear.
                 fencing_token = max(fencing_token, self.revision)
-                commands.append(wire.clear(name, seen.attempt))
+                commands.append(ClearTask(key, seen.attempt))
             else:
                 fencing_token = max(fencing_token, self.revision)
                 log.info(
                     "%s attempt %d on %s is not wanted there; stopping it",
-                    name,
+                    task_name(*key),
                     seen.attempt,
                     heartbeat.machine,
                 )
-                commands.append(wire.halt(name, seen.attempt, 0))
+                commands.append(HaltTask(key, seen.attempt, 0))
         for key, want in bindings.items():
             seen = tasks.get(key)
             if (
@@ -62,14 +62,14 @@
             if stop != KEEP:
                 # Absent: with this token seen, no late start can bring it back.
                 fencing_token = max(fencing_token, since)
-            elif seen is not None and seen.state != "exited":
+            elif seen is not None and seen.state is not TaskState.EXITED:
                 continue  # another attempt is still there; it is being stopped first
             elif tainted or known.unreachable or heartbeat.spot_notice_s is not None:
                 continue
             elif not synced:
                 more = START
             else:
-                commands.append(wire.start(task_name(*key), want.attempt))
+                commands.append(StartTask(key, want.attempt))
         return fencing_token, commands, more
 
     @staticmethod
@@ -107,11 +107,10 @@
                 or self.holder_of(entry.spec) != self.settings.node
             ):
                 continue
-            name = task_name(job_id, task)
             machines.setdefault((machine, agent_epoch), []).append(
-                wire.start(name, attempt)
+                StartTask((job_id, task), attempt)
                 if want.stop == KEEP
-                else wire.halt(name, attempt, self.grace(entry, want.stop))
+                else HaltTask((job_id, task), attempt, self.grace(entry, want.stop))
             )
         now = self.now()
         for (machine, agent_epoch), commands in machines.items():
@@ -120,7 +119,7 @@
                 continue
             row = last_seen.row
             if machine in self.taints or row.spot_notice:
-                commands = [command for command in commands if wire.is_halt(command)]
+                commands = [command for command in commands if isinstance(command, HaltTask)]
             if (
                 not commands
                 or not row.addr
@@ -132,8 +131,8 @@
             self.workers.call(
                 row.addr,
                 "POST",
-                "/commands",
-                wire.orders(self.revision, agent_epoch, commands),
+                agent_wire.COMMANDS_PATH,
+                agent_wire.write_direct_commands(self.revision, agent_epoch, commands),
                 self.settings.agent_heartbeat_s,
                 callback(self.on_ordered, machine),
             )
@@ -143,9 +142,9 @@
         if status not in (200, 409):
             return
         try:
-            heartbeat = wire.read_agent_heartbeat(body)
-            tasks = wire.read_tasks(heartbeat.raw)
-        except ValueError as error:
+            heartbeat = agent_wire.read_heartbeat(body)
+            tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
+        except agent_wire.HeartbeatError as error:
             log.info("%s answered a command with an odd report: %s", machine, error)
             return
         known = self.known.get(heartbeat.machine)
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ..state import CLOCK_DRIFT
-from . import wire
+from .wire import peers as peer_wire
 
 MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
 
@@ -18,7 +18,7 @@
 class LastSeen:
     """A machine as the newest message that any node told of shows it."""
 
-    row: wire.Row
+    row: peer_wire.MachineStatus
     heard: float  # by our clock
 
     @property
@@ -78,7 +78,7 @@
 
     def hear(self, peer, asked, got, body, only=None):
         """A peer's answer, of all machines or of those asked about; False if it is odd."""
-        found = wire.read_statement(body)
+        found = peer_wire.read_machine_view(body)
         if found is None:
             return False
         lately = 2 * self.settings.agent_heartbeat_s
@@ -110,9 +110,8 @@
             default=float("-inf"),
         )
 
-    def read_table(self, peer, got, age_s, body):
+    def read_table(self, peer, got, age_s, found):
         """A peer's table, about `age_s` old by the time of day."""
-        found = wire.read_statement(body)
         if found is None or found[2] is None:
             return
         statement = self.written[peer] = Statement(self.after_revision(found[2]), got, *found)
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -8,7 +8,6 @@
 
 from ..actors import callback, tell, tell_after
 from ..state import ReplicaSubscriber
-from . import wire
 from .bindings import CommittedBindings
 from .cancellations import Cancellations
 from .commands import START, Commands
@@ -16,6 +15,7 @@
 from .routing import Routing
 from .tables import Tables
 from .update_forwarding import UpdateForwarding
+from .wire import agents as agent_wire
 
 log = logging.getLogger("emberglade.agents")
 
@@ -78,9 +78,9 @@
 
     def on_heartbeat(self, data, reply):
         try:
-            heartbeat = wire.read_agent_heartbeat(data)
-        except ValueError as error:
-            reply(400, {"error": str(error)})
+            heartbeat = agent_wire.read_heartbeat(data)
+        except agent_wire.HeartbeatError as error:
+            reply(400, agent_wire.write_refusal(error))
             return
         now = self.now()
         better = self.better_node(now)
@@ -88,24 +88,24 @@
         # (meetings/gap_silent.txt, 2).
         level_for = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         if better is not None and now - self.evidence.level_since() > level_for:
-            reply(421, wire.elsewhere(better))
+            reply(421, agent_wire.write_redirect(better))
             return
         name = heartbeat.machine
         taint = self.taints.get(name)
         if not self.entitled(now) or (taint and self.settings.node not in self.nodes):
             # What this node tells could be older than a cancellation, or the proof that this
             # machine's leases are over counts on its silence.
-            reply(503, {"error": "no contact with the state service"}, 1)
+            reply(503, agent_wire.write_refusal("no contact with the state service"), 1)
             return
         home = self.home_node(heartbeat, now) if not taint else None
         if home is not None:
-            reply(421, wire.elsewhere(home))
+            reply(421, agent_wire.write_redirect(home))
             return
         last_seen = self.evidence.view.get(name)
         if (last_seen is not None and last_seen.age >= heartbeat.age) or taint == "gone":
             # A copy that came late, perhaps of a machine that was returned: no sign of life. The
             # lease that its answer could renew is one that the newer message renewed already.
-            reply(200, wire.answer(heartbeat.fencing_token, []))
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         known = self.known.get(name)
         fresh = known is None
@@ -122,19 +122,19 @@
             known.quiet
             and known.tasks is not None
             and name not in self.touched
-            and heartbeat.raw == before.raw
+            and heartbeat.raw_tasks == before.raw_tasks
             and heartbeat.agent_epoch == before.agent_epoch
             and heartbeat.spot_notice_s is None
             and not known.unreachable
         ):
             # Nothing is new: most reports end here, and most of the processor's time is reports.
-            reply(200, wire.answer(heartbeat.fencing_token, []))
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         try:
-            known.tasks = wire.read_tasks(heartbeat.raw)
-        except ValueError as error:
+            known.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
+        except agent_wire.HeartbeatError as error:
             known.tasks = None
-            reply(400, {"error": str(error)})
+            reply(400, agent_wire.write_refusal(error))
             return
         if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
             self.soon_inventory()
@@ -155,7 +155,7 @@
             # This node knows what the others know, but a start needs one that can sync. Nobody is
             # sent away for less: a worker that can't reach the other loses its lease on the way
             # (meetings/gap_silent.txt).
-            reply(421, wire.elsewhere(better))
+            reply(421, agent_wire.write_redirect(better))
         elif more:
             self.waited += 1
             self.waiting[self.waited] = (known, heartbeat, reply, now)
@@ -181,11 +181,11 @@
     def answer(self, known, heartbeat, synced, reply):
         if known.heartbeat is not heartbeat:
             # A newer message came in between; its own answer says what is to be done.
-            reply(200, wire.answer(heartbeat.fencing_token, []))
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         known.answered = self.now()
         fencing_token, commands, _ = self.commands(known, synced)
-        reply(200, wire.answer(fencing_token, commands))
+        reply(200, agent_wire.write_answer(fencing_token, commands))
 
     def listen(self, known, heartbeat, last_seen, now):
         """Recognises a machine whose reports arrive while our answers don't reach it.
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -5,9 +5,9 @@
 from ..actors import callback, tell, tell_after
 from ..placement import Machine
 from ..state import wire as state_wire
-from . import wire
 from .lease_evidence import LastSeen, LeaseEvidence
 from .tables import TABLE_S
+from .wire import peers as peer_wire
 
 log = logging.getLogger("emberglade.agents")
 
@@ -54,8 +54,8 @@
             self.asked[name] = now
             link.call(
                 "POST",
-                "/peer/heard",
-                wire.question(self.settings.node, only),
+                peer_wire.MACHINES_PATH,
+                peer_wire.write_question(self.settings.node, only),
                 2 * self.settings.agent_heartbeat_s,
                 callback(self.on_peer_heard, name, now, None if whole else frozenset(only)),
             )
@@ -76,22 +76,14 @@
             self.tell_inventory()
 
     def last_seen(self, known):
-        return LastSeen(self.row(known, known.heard), max(known.heard, known.answered))
+        row = peer_wire.MachineStatus._make(self.row(known, known.heard))
+        return LastSeen(row, max(known.heard, known.answered))
 
     @staticmethod
     def row(known, now):
-        heartbeat = known.heartbeat
-        return wire.Row(
-            round(now - max(known.heard, known.answered), 3),
-            heartbeat.type,
-            heartbeat.zone,
-            heartbeat.spot,
-            heartbeat.agent_epoch,
-            heartbeat.sequence,
-            heartbeat.spot_notice_s is not None,
-            known.unreachable,
-            heartbeat.addr,
-        )
+        """The values of a MachineStatus."""
+        age_s = now - max(known.heard, known.answered)
+        return peer_wire.machine_values(known.heartbeat, age_s, known.unreachable)
 
     def rows(self, now, within, only=None):
         """{machine: a Row's values} of what reported here lately, or ever if nobody has newer news
@@ -113,18 +105,7 @@
                 last_seen = view.get(name)
                 if last_seen is not None and last_seen.age > known.heartbeat.age:
                     continue
-            heartbeat = known.heartbeat
-            rows[name] = (
-                round(now - max(known.heard, known.answered), 3),
-                heartbeat.type,
-                heartbeat.zone,
-                heartbeat.spot,
-                heartbeat.agent_epoch,
-                heartbeat.sequence,
-                heartbeat.spot_notice_s is not None,
-                known.unreachable,
-                heartbeat.addr,
-            )
+            rows[name] = self.row(known, now)
         return rows
 
     def on_heard(self, question, reply):
@@ -135,17 +116,17 @@
         """
         self.asked_by[question.asker] = self.now()
         if self.now() - self.last_contact > self.settings.lease_s / 4:
-            self.on_heard_synced(question.only, reply, None)
+            self.on_heard_synced(question.machines, reply, None)
             return
-        tell(self.store.on_sync, callback(self.on_heard_synced, question.only, reply))
+        tell(self.store.on_sync, callback(self.on_heard_synced, question.machines, reply))
 
     def on_heard_synced(self, only, reply, revision):
         now = self.now()
         reply(
             200,
-            wire.statement(
+            peer_wire.write_machine_view(
                 now - self.born,
-                min(1e6, now - self.last_contact),
+                now - self.last_contact,
                 revision,
                 self.revision,
                 self.rows(now, 2 * self.settings.lease_s, only),
@@ -166,7 +147,7 @@
                 # peer.
                 self.peers[name].call(
                     "POST",
-                    "/peer/changes",
+                    peer_wire.REPLICA_CHANGES_PATH,
                     state_wire.since(self.revision),
                     2 * self.settings.agent_heartbeat_s,
                     lambda status, body, since=self.revision: tell(
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -11,7 +11,9 @@
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
-from . import wire
+from .wire import peers as peer_wire
+from .wire import records
+from .wire.agents import TaskState
 
 log = logging.getLogger("emberglade.agents")
 
@@ -48,7 +50,7 @@
         stop, since = self.stop_of(key, want)
         spot_notice_s = heartbeat.spot_notice_s
         if seen is not None and seen.attempt == want.attempt:
-            if seen.state == "exited":
+            if seen.state is TaskState.EXITED:
                 return TaskExited(
                     *key, want.attempt, heartbeat.machine, seen.exit_reason, seen.checkpointed
                 )
@@ -94,8 +96,8 @@
                 batch = waiting[first : first + MAX_UPDATES_SENT]
                 self.peers[node].call(
                     "POST",
-                    wire.TASK_UPDATES_PATH,
-                    wire.write_task_updates(batch),
+                    peer_wire.TASK_UPDATES_PATH,
+                    peer_wire.write_task_updates(batch),
                     self.settings.agent_heartbeat_s,
                     callback(self.on_updates_sent, node, batch),
                 )
@@ -113,7 +115,7 @@
         undelivered, self.undelivered = self.undelivered, {}
         bytes_left, rows = self.settings.value_bytes - FRAME_BYTES, {}
         for node, updates in undelivered.items():
-            for row in wire.write_task_updates(updates.values()):
+            for row in peer_wire.write_task_updates(updates.values()):
                 bytes_left -= len(orjson.dumps(row)) + 1
                 if bytes_left > 0:
                     rows.setdefault(node, []).append(row)
@@ -123,6 +125,11 @@
                 self.store.on_commit,
                 DECISIONS,
                 [],
-                [state_wire.put(f"{LIVE_PREFIX}f/{self.settings.node}", {"to": rows})],
+                [
+                    state_wire.put(
+                        LIVE_PREFIX + records.undelivered_key(self.settings.node),
+                        records.write_undelivered(rows),
+                    )
+                ],
                 lambda status, revision, failed: None,
             )
--- /dev/null
+++ b/emberglade/agents/wire/agents.py
@@ -0,0 +1,220 @@
+"""Between agents and controllers: heartbeats, their answers, and direct commands.
+
+PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers".
+"""
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any, NamedTuple
+
+from ...jobs.record import task_name
+
+COMMANDS_PATH = "/commands"  # of an agent
+MAX_COUNT = 2**64  # epochs, sequence numbers, fencing tokens and attempts are below
+
+
+class HeartbeatError(ValueError):
+    """A heartbeat that is malformed; the message says what is wrong with it, and is sent back."""
+
+
+class TaskState(Enum):
+    """What a task does on its machine; the values are those of the heartbeat."""
+
+    FETCHING = "fetching"  # waiting for its image
+    RUNNING = "running"
+    SAVING = "saving"  # told to stop, and saving a checkpoint
+    EXITED = "exited"
+    UNKNOWN = ""  # a state that PROTOCOL does not name
+
+
+TaskKey = tuple[str, int]  # (job id, number of the task)
+TASK_STATES = {state.value: state for state in TaskState}
+
+
+class TaskStatus(NamedTuple):
+    """One task on a machine, as its agent states it."""
+
+    attempt: int
+    state: TaskState
+    exit_reason: str | None
+    checkpointed: bool
+
+
+@dataclass(slots=True)
+class AgentHeartbeat:
+    """A heartbeat of an agent; its tasks are read only when they are needed.
+
+    Attributes:
+        spot_notice_s: Seconds until the cloud takes the machine back; None without a notice.
+        raw_tasks: The tasks as they were sent, for `read_tasks`.
+    """
+
+    machine: str
+    addr: str
+    type: str
+    zone: str
+    spot: bool
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
+    spot_notice_s: float | None
+    raw_tasks: list
+
+    @property
+    def age(self) -> tuple[int, int]:
+        """(agent epoch, sequence): of two messages of a machine, the one with more is newer."""
+        return self.agent_epoch, self.sequence
+
+
+# --- heartbeats
+
+
+def _count(value: Any) -> int:
+    if type(value) is not int or not 0 <= value < MAX_COUNT:
+        raise HeartbeatError(f"{value!r} is not a count")
+    return value
+
+
+def _text(value: Any) -> str:
+    if not isinstance(value, str) or not value:
+        raise HeartbeatError(f"{value!r} is not a text")
+    return value
+
+
+def _spot_notice(value: Any) -> float | None:
+    if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
+        raise HeartbeatError(f"reclaim_s {value!r} is not a number")
+    return value
+
+
+def read_heartbeat(data: Any) -> AgentHeartbeat:
+    """The heartbeat in a message, its tasks not read yet.
+
+    Raises:
+        HeartbeatError: The message is malformed.
+    """
+    if not isinstance(data, dict):
+        raise HeartbeatError("the report is not an object")
+    try:
+        spot_notice_s = _spot_notice(data.get("reclaim_s"))
+        raw_tasks = data.get("embers") or []
+        if not isinstance(raw_tasks, list):
+            raise HeartbeatError("embers is not a list")
+        return AgentHeartbeat(
+            _text(data["hearth"]),
+            _text(data["addr"]),
+            _text(data["hearth_kind"]),
+            _text(data["glade"]),
+            bool(data.get("driftwood")),
+            _count(data["kindling_span"]),
+            _count(data["tally"]),
+            _count(data.get("torch") or 0),
+            spot_notice_s,
+            raw_tasks,
+        )
+    except KeyError as error:
+        raise HeartbeatError(f"the report lacks {error.args[0]}") from None
+
+
+def read_tasks(raw_tasks: list) -> dict[TaskKey, TaskStatus]:
+    """The tasks of a heartbeat, from its `raw_tasks`.
+
+    Raises:
+        HeartbeatError: A task is malformed.
+    """
+    tasks: dict[TaskKey, TaskStatus] = {}
+    try:
+        for row in raw_tasks:
+            job_id, _, number = _text(row["ember"]).rpartition("/")
+            tasks[(job_id, int(number))] = TaskStatus(
+                _count(row["strike"]),
+                TASK_STATES.get(_text(row["glow"]), TaskState.UNKNOWN),
+                row.get("ashcause"),
+                bool(row.get("stored")),
+            )
+    except KeyError as error:
+        raise HeartbeatError(f"a task of the report lacks {error.args[0]}") from None
+    except (TypeError, AttributeError) as error:
+        raise HeartbeatError(f"a task of the report is malformed: {error}") from None
+    except ValueError as error:
+        raise HeartbeatError(str(error)) from None
+    return tasks
+
+
+# --- commands
+
+
+@dataclass(frozen=True, slots=True)
+class StartTask:
+    """Starts an attempt of a task."""
+
+    key: TaskKey
+    attempt: int
+
+    def encode(self) -> dict:
+        """The command as it is sent."""
+        return {"blast": "start", "ember": task_name(*self.key), "strike": self.attempt}
+
+
+@dataclass(frozen=True, slots=True)
+class HaltTask:
+    """Stops an attempt, which has `grace_s` seconds to save a checkpoint."""
+
+    key: TaskKey
+    attempt: int
+    grace_s: float
+
+    def encode(self) -> dict:
+        """The command as it is sent."""
+        return {
+            "blast": "halt",
+            "ember": task_name(*self.key),
+            "strike": self.attempt,
+            "smother_s": self.grace_s,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class ClearTask:
+    """Has the agent forget an attempt that has ended."""
+
+    key: TaskKey
+    attempt: int
+
+    def encode(self) -> dict:
+        """The command as it is sent."""
+        return {"blast": "clear", "ember": task_name(*self.key), "strike": self.attempt}
+
+
+Command = StartTask | HaltTask | ClearTask
+
+
+def _encode_all(commands: Iterable[Command]) -> list[dict]:
+    return [command.encode() for command in commands]
+
+
+def write_answer(fencing_token: int, commands: Sequence[Command] = ()) -> dict:
+    """The body of a 200 to a heartbeat."""
+    return {"torch": fencing_token, "bellows": _encode_all(commands) if commands else []}
+
+
+def write_direct_commands(
+    fencing_token: int, agent_epoch: int, commands: Iterable[Command]
+) -> dict:
+    """The body that commands an agent at its own address, in that agent epoch only."""
+    return {
+        "torch": fencing_token,
+        "kindling_span": agent_epoch,
+        "bellows": _encode_all(commands),
+    }
+
+
+def write_redirect(node: str | None) -> dict:
+    """The body of a 421: the controller to send heartbeats to, if one is named."""
+    return {"firekeeper": node} if node else {}
+
+
+def write_refusal(reason: object) -> dict:
+    """The body of a 400 or 503."""
+    return {"error": str(reason)}
--- /dev/null
+++ b/emberglade/agents/wire/peers.py
@@ -0,0 +1,176 @@
+"""Between controllers: task status updates, what each knows of machines, and cancellations."""
+
+from collections.abc import Iterable
+from contextlib import suppress
+from dataclasses import astuple
+from typing import Any, NamedTuple
+
+from ...jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+from .agents import AgentHeartbeat
+
+TASK_UPDATES_PATH = "/peer/facts"
+MACHINES_PATH = "/peer/heard"  # asks a peer for its view of the machines
+REPLICA_CHANGES_PATH = "/peer/changes"
+CANCELLATION_PATH = "/peer/withdrawn"
+
+UPDATE_TYPES: dict[str, type[TaskUpdate]] = {
+    "exited": TaskExited,
+    "gone": TaskGone,
+    "stop": StopWanted,
+}
+NO_REPLICA = -1  # as a replica's revision: the controller has none yet
+MAX_CONTACT_AGE_S = 1e6  # stands for never, which JSON can't say
+
+
+# --- task status updates
+
+
+def write_task_updates(updates: Iterable[TaskUpdate]) -> list[list]:
+    """The body that tells a holder of these updates: a list of [kind, job id, task, ...]."""
+    return [[update.key.kind, *astuple(update)] for update in updates]
+
+
+def read_task_updates(data: Any) -> list[TaskUpdate]:
+    """The updates in such a body; malformed ones are left out."""
+    updates: list[TaskUpdate] = []
+    for row in data if isinstance(data, list) else ():
+        if isinstance(row, list) and len(row) > 3 and row[0] in UPDATE_TYPES:
+            with suppress(TypeError):  # another number of fields
+                updates.append(UPDATE_TYPES[row[0]](*row[1:]))
+    return updates
+
+
+# --- what a controller knows of machines
+
+
+class MachineQuestion(NamedTuple):
+    """What a peer wants to know: all machines, or only some."""
+
+    asker: str | None  # the version before does not say
+    machines: list[str] | None  # None: all
+
+
+def write_question(asker: str, machines: list[str] | None) -> dict:
+    """The body of a question about `machines`, or about all if None."""
+    return {"from": asker} if machines is None else {"from": asker, "of": machines}
+
+
+def read_question(data: Any) -> MachineQuestion:
+    """A peer's question; whatever is malformed in it counts as missing."""
+    data = data if isinstance(data, dict) else {}
+    names, asker = data.get("of"), data.get("from")
+    machines = (
+        [name for name in names if isinstance(name, str)] if isinstance(names, list) else None
+    )
+    return MachineQuestion(asker if isinstance(asker, str) else None, machines)
+
+
+class MachineStatus(NamedTuple):
+    """One machine, as a controller's answer or table shows it.
+
+    Attributes:
+        age_s: Seconds from when that controller last heard or answered it to when it said so.
+        unreachable: Its heartbeats arrive, answers don't reach it.
+    """
+
+    age_s: float
+    type: str
+    zone: str
+    spot: bool
+    agent_epoch: int
+    sequence: int
+    spot_notice: bool
+    unreachable: bool
+    addr: str
+
+
+def machine_values(heartbeat: AgentHeartbeat, age_s: float, unreachable: bool) -> tuple:
+    """The values of a MachineStatus, in a plain tuple as orjson takes it."""
+    return (
+        round(age_s, 3),
+        heartbeat.type,
+        heartbeat.zone,
+        heartbeat.spot,
+        heartbeat.agent_epoch,
+        heartbeat.sequence,
+        heartbeat.spot_notice_s is not None,
+        unreachable,
+        heartbeat.addr,
+    )
+
+
+class MachineView(NamedTuple):
+    """What one controller says of all the machines that it knows.
+
+    Attributes:
+        up_s: Seconds since its process began.
+        contact_age_s: Seconds since it sent its last answered sync.
+        revision: Of a sync asked for by the question, None if there was none; in a table, of the
+            replica that the table was made from.
+        machines: By name.
+        replica_revision: Of its replica; NO_REPLICA if it has none, or does not say.
+    """
+
+    up_s: float
+    contact_age_s: float
+    revision: int | None
+    machines: dict[str, MachineStatus]
+    replica_revision: int
+
+
+def write_machine_view(
+    up_s: float,
+    contact_age_s: float,
+    revision: int | None,
+    replica_revision: int,
+    machines: dict[str, tuple],
+) -> dict:
+    """The answer to a question: a MachineView's fields; `machines` holds `machine_values`."""
+    return {
+        "up": up_s,
+        "contact": min(MAX_CONTACT_AGE_S, contact_age_s),
+        "rev": revision,
+        "copy": replica_revision,
+        "known": machines,
+    }
+
+
+def read_machine_view(data: Any) -> MachineView | None:
+    """The view in an answer, or None if it is malformed."""
+    try:
+        up_s, contact_age_s, revision = float(data["up"]), float(data["contact"]), data["rev"]
+        replica_revision = data.get("copy", NO_REPLICA)
+        if revision is not None and type(revision) is not int:
+            return None
+        if type(replica_revision) is not int:
+            return None
+        machines = {name: MachineStatus(*values) for name, values in data["known"].items()}
+    except (KeyError, TypeError, ValueError, AttributeError):
+        return None
+    return MachineView(up_s, contact_age_s, revision, machines, replica_revision)
+
+
+# --- cancellations
+
+
+class CancellationNotice(NamedTuple):
+    """A cancellation that a peer has seen committed at this revision."""
+
+    job_id: str
+    revision: int
+
+
+def write_cancellation(job_id: str, revision: int) -> dict:
+    """The body that tells a peer of a cancellation."""
+    return {"job": job_id, "rev": revision}
+
+
+def read_cancellation(data: Any) -> CancellationNotice | None:
+    """The cancellation in such a body, or None if it is malformed."""
+    if (
+        not isinstance(data, dict)
+        or not isinstance(data.get("job"), str)
+        or type(data.get("rev")) is not int
+    ):
+        return None
+    return CancellationNotice(data["job"], data["rev"])
--- /dev/null
+++ b/emberglade/agents/wire/tables.py
@@ -0,0 +1,157 @@
+"""The table that each controller writes to the store every 5 s.
+
+It holds counts for the leader and, while controllers don't hear each other, the machines that send
+heartbeats to its writer. A long one takes several values: the first is in the controller's key, the
+others under keys of their own; all have the table's number.
+"""
+
+from typing import Any, NamedTuple
+
+from . import peers, records
+
+# Number of further values that a table without machines names: they never come, so neither this
+# version nor the one before takes it for a statement about machines.
+NEVER_COMPLETE = 9999
+
+
+class TableHeader(NamedTuple):
+    """What a table says besides its machines.
+
+    Attributes:
+        number: No two tables of a controller share it.
+        demand: {(machine type, spot): machines needed}.
+        shortage: {(machine type, zone): machines missing in a zone}, as the job manager counts it.
+        wall: Time of day at which it was made, in seconds.
+        up_s: Seconds since the controller's process began.
+        contact_age_s: Seconds since it sent its last answered sync.
+        revision: Of the replica that the table was made from.
+        machine_types: Names that machines' values point into.
+    """
+
+    number: str
+    demand: dict
+    shortage: dict
+    wall: float
+    up_s: float
+    contact_age_s: float
+    revision: int
+    machine_types: list[str]
+
+
+def _write_counts(counts: dict) -> list[list]:
+    return [[*pool, round(count, 4)] for pool, count in counts.items()]
+
+
+def write_table(header: TableHeader) -> dict:
+    """The first value of a table, without machines."""
+    return {
+        "t": header.number,
+        "parts": NEVER_COMPLETE,
+        "d": _write_counts(header.demand),
+        "wall": header.wall,
+        "z": _write_counts(header.shortage),
+        "up": header.up_s,
+        "contact": min(peers.MAX_CONTACT_AGE_S, header.contact_age_s),
+        "rev": header.revision,
+        "types": header.machine_types,
+        "m": {},
+    }
+
+
+def add_machines(table: dict, values: list[dict[str, list]]) -> None:
+    """Puts machines into a table: the first of `values`, and how many others there are."""
+    table["parts"] = len(values) - 1
+    table["m"] = values[0]
+
+
+def write_overflow_value(number: str, machines: dict[str, list]) -> dict:
+    """A further value of the table with this number."""
+    return {"t": number, "m": machines}
+
+
+def _write_index(name: str, names: list[str]) -> int | str:
+    return names.index(name) if name in names else name
+
+
+def _read_index(value: int | str, names: list[str]) -> str:
+    return names[value] if isinstance(value, int) else value
+
+
+def compact_machine(values: tuple, machine_types: list[str], zones: list[str]) -> list:
+    """A machine's `peers.machine_values` as a table holds them: fewer bytes, the same order."""
+    (
+        age_s,
+        machine_type,
+        zone,
+        spot,
+        agent_epoch,
+        sequence,
+        spot_notice,
+        unreachable,
+        addr,
+    ) = values
+    return [
+        age_s,
+        _write_index(machine_type, machine_types),
+        _write_index(zone, zones),
+        int(spot),
+        agent_epoch,
+        sequence,
+        int(spot_notice),
+        int(unreachable),
+        addr,
+    ]
+
+
+def _read_machines(
+    values: list[dict], machine_types: list[str], zones: list[str]
+) -> dict[str, list]:
+    return {
+        name: [age_s, _read_index(machine_type, machine_types), _read_index(zone, zones), *rest]
+        for value in values
+        for name, (age_s, machine_type, zone, *rest) in value["m"].items()
+    }
+
+
+class TableView(NamedTuple):
+    """The machines of a complete table: None instead of a view if that is malformed."""
+
+    wall: float
+    view: peers.MachineView | None
+
+
+def read_table(node: str, stored: dict[str, Any], zones: list[str]) -> TableView | None:
+    """The machines of a controller's table, or None while it is not complete.
+
+    Args:
+        node: The controller.
+        stored: Its key and those of its overflow values, with what they hold.
+        zones: The names that machines' values point into.
+
+    Raises:
+        KeyError, TypeError, ValueError, IndexError: The table is malformed.
+    """
+    first = stored.get(records.node_key(node))
+    table = first.get("table") if first is not None else None
+    if not table:
+        return None
+    values = [
+        table,
+        *(
+            value
+            for key, value in stored.items()
+            if key.startswith(records.OVERFLOW_PREFIX) and value["t"] == table["t"]
+        ),
+    ]
+    if len(values) != table["parts"] + 1:
+        # The rest is on its way; a machine that is missing would pass for one never heard.
+        return None
+    view = peers.read_machine_view(
+        {
+            "up": table["up"],
+            "contact": table["contact"],
+            "rev": table["rev"],
+            "known": _read_machines(values, table["types"], zones),
+        }
+    )
+    return TableView(table["wall"], view)
