--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -82,8 +82,8 @@
             "refused": sum(server.refused for server in self.servers),
             "live_keys": len(node.store.replica),
             "jobs": len(node.job_manager.jobs),
-            "machines": len(node.agents.evidence.view),
-            "reporting_here": len(node.agents.known),
+            "machines": len(node.agents.evidence.last_seen),
+            "reporting_here": len(node.agents.records.by_machine),
             "final_states": len(node.api.final),
             "failure_detection": node.peer_monitor and node.peer_monitor.account(),
             "actors": {
--- /dev/null
+++ b/emberglade/agents/agent_records.py
@@ -0,0 +1,101 @@
+"""The machines whose agents send heartbeats to this controller."""
+
+from collections.abc import Iterable
+from typing import Any
+
+from .lease_evidence import FORGET_LEASES, LastSeen, LeaseEvidence
+from .wire.agents import AgentHeartbeat, TaskKey, TaskStatus
+from .wire.peers import MachineStatus, machine_values
+
+
+class AgentRecord:
+    """A machine as its agent's newest message here shows it.
+
+    Attributes:
+        heartbeat: That message.
+        tasks: Its tasks, once they were needed.
+        heard_at: When it came.
+        contact_at: When the machine was last heard or answered: its lease may have been renewed.
+        settled: Its last heartbeat led to nothing and waited for nothing.
+        unreachable: Our answers don't reach it, as far as can be seen.
+        probe_token: A fencing token that its heartbeats show once it hears us again.
+    """
+
+    __slots__ = (
+        "heartbeat",
+        "tasks",
+        "heard_at",
+        "contact_at",
+        "settled",
+        "unreachable",
+        "probe_token",
+    )
+
+    def __init__(self, heartbeat: AgentHeartbeat, now: float) -> None:
+        self.heartbeat = heartbeat
+        self.tasks: dict[TaskKey, TaskStatus] | None = None
+        self.heard_at = now
+        self.contact_at = now
+        self.settled = False
+        self.unreachable = False
+        self.probe_token: int | None = None
+
+    def last_seen(self) -> LastSeen:
+        """The same as evidence."""
+        age_s = self.heard_at - self.contact_at
+        values = machine_values(self.heartbeat, age_s, self.unreachable)
+        return LastSeen(MachineStatus._make(values), self.contact_at)
+
+
+class AgentRecords:
+    """All AgentRecords, by machine."""
+
+    def __init__(self, settings: Any, evidence: LeaseEvidence) -> None:
+        self.settings = settings
+        self.evidence = evidence
+        self.by_machine: dict[str, AgentRecord] = {}
+
+    def get(self, machine: str) -> AgentRecord | None:
+        """The record of a machine, or None if it sends no heartbeats here."""
+        return self.by_machine.get(machine)
+
+    def known_machines(
+        self, now: float, within_s: float, machines: Iterable[str] | None = None
+    ) -> dict[str, tuple]:
+        """{machine: its `machine_values`} of whom this controller has to speak.
+
+        These are the machines that were heard here within `within_s`, and others of which nobody
+        has newer news: agents go from controller to controller, and each would soon speak of them
+        all. `machines` names the only ones to look at.
+        """
+        records: Iterable[tuple[str, AgentRecord]] = self.by_machine.items()
+        if machines is not None:
+            records = [
+                (name, self.by_machine[name]) for name in machines if name in self.by_machine
+            ]
+        last_seen = self.evidence.last_seen
+        forget_after_s = FORGET_LEASES * self.settings.lease_s
+        values = {}
+        for name, record in records:
+            quiet_s = now - record.heard_at
+            if quiet_s >= within_s:
+                if quiet_s >= forget_after_s:
+                    continue
+                seen = last_seen.get(name)
+                if seen is not None and seen.age > record.heartbeat.age:
+                    continue
+            values[name] = machine_values(
+                record.heartbeat, now - record.contact_at, record.unreachable
+            )
+        return values
+
+    def forget_old(self, now: float) -> None:
+        """Forgets machines that were not heard here for FORGET_LEASES leases."""
+        forget_after_s = FORGET_LEASES * self.settings.lease_s
+        old = [
+            name
+            for name, record in self.by_machine.items()
+            if now - record.heard_at > forget_after_s
+        ]
+        for name in old:
+            del self.by_machine[name]
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -1,199 +1,235 @@
-"""What the committed copy wants on each machine, and what of it has just changed."""
+"""The committed bindings: which tasks belong on which machine, and how they are to be stopped."""
 
-import logging
+from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from ..actors import tell
-from ..fleet.taints import Taints
-from ..jobs.record import KEEP, read_part_key
-from ..placement import read_machine_types
+from ..jobs.record import KEEP, STOP, Spec, read_part_key
+from .cancelled_jobs import CancelledJobs
 from .wire import records
+from .wire.agents import TaskKey
+from .wire.records import ROW_ATTEMPT, ROW_MACHINE
 
-log = logging.getLogger("emberglade.agents")
 
+class DesiredTask(NamedTuple):
+    """A task that belongs on a machine.
 
-class Wanted(NamedTuple):
-    """A task that the committed copy shows bound to a machine."""
+    Attributes:
+        stop: KEEP, STOP or SAVE.
+        stop_seen: The revision at which the stop was seen.
+        agent_epoch: Of the machine; in a later one the binding means nothing.
+    """
 
     attempt: int
-    stop: int  # KEEP, STOP or SAVE
-    stop_seen: int  # revision at which the stop was seen
-    agent_epoch: int  # of the machine
+    stop: int
+    stop_seen: int
+    agent_epoch: int
 
 
-class Entry:
-    """What the agents has of a live job: only what decides over commands."""
+# A binding that is new, or whose stop is: (machine, key, what the change made of it). One is made
+# for every binding that changes, so it is a plain tuple.
+ChangedBinding = tuple[str, TaskKey, DesiredTask]
 
-    __slots__ = ("spec", "generation", "cancelled", "cancelled_at", "parts")
 
-    def __init__(self, spec, generation):
-        # `cancelled_at`: the revision at which the cancellation was seen; `generation`: of the
-        # layout of its parts
-        self.spec, self.cancelled, self.cancelled_at, self.parts = spec, False, 0, {}
+class LiveJob:
+    """What the agents have of a live job: only what decides over commands.
+
+    Attributes:
+        generation: Of the layout of its chunks.
+        chunks: {number of a chunk: {task: its binding's row as stored}}.
+    """
+
+    __slots__ = ("spec", "generation", "chunks")
+
+    def __init__(self, spec: Spec, generation: str) -> None:
+        self.spec = spec
         self.generation = generation
+        self.chunks: dict[int, dict[int, list]] = {}
 
-    def bindings(self):
-        """(task, row as kept) of all bound tasks."""
-        for rows in self.parts.values():
+    def bindings(self) -> Iterator[tuple[int, list]]:
+        """(task, row as stored) of all bound tasks."""
+        for rows in self.chunks.values():
             yield from rows.items()
 
 
+class EarlyChunks:
+    """Chunks seen before their job, or of a layout that its record does not name yet."""
+
+    def __init__(self) -> None:
+        # job -> {(generation, number): (chunk, mod revision)}
+        self.by_job: dict[str, dict[tuple[str, int], tuple[dict, int]]] = {}
+
+    def add(self, job_id: str, generation: str, number: int, chunk: dict, revision: int) -> None:
+        """Keeps a chunk until its job's record names its layout."""
+        self.by_job.setdefault(job_id, {})[(generation, number)] = (chunk, revision)
+
+    def discard(self, job_id: str, generation: str, number: int) -> None:
+        """Forgets a chunk that was removed."""
+        chunks = self.by_job.get(job_id)
+        if chunks is not None:
+            chunks.pop((generation, number), None)
+            self._forget_if_empty(job_id)
+
+    def take(self, job_id: str, generation: str) -> dict[int, tuple[dict, int]]:
+        """Takes out {number: (chunk, mod revision)} of a job's chunks of this layout."""
+        chunks = self.by_job.get(job_id, {})
+        taken = {
+            number: chunks.pop((chunk_generation, number))
+            for chunk_generation, number in list(chunks)
+            if chunk_generation == generation
+        }
+        self._forget_if_empty(job_id)
+        return taken
+
+    def forget(self, job_id: str) -> None:
+        """Forgets all chunks of a job."""
+        self.by_job.pop(job_id, None)
+
+    def _forget_if_empty(self, job_id: str) -> None:
+        if not self.by_job.get(job_id, True):
+            del self.by_job[job_id]
+
+
 class CommittedBindings:
-    """The part of the agent manager that follows the copy."""
-
-    def __init__(self):
-        self.jobs = {}  # job -> Entry
-        self.bindings = {}  # machine -> {(job, task): Wanted}
-        # Machines whose bindings or taint changed since their last report here.
-        self.touched = set()
-        self.fresh = []  # bindings and stops that came with the change at hand
-        self.loose = {}  # parts seen before their job, or of another layout than its own
-        self.taints = Taints()
-        self.holders = {}  # shard -> node
-        self.machine_types = {}
-        self.nodes = set()  # controllers whose keys are there
-        self.revision = -1
-
-    def on_changed(self, events, revision, whole):
-        if whole:
-            alive = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if records.job_key(j) not in alive]:
-                self.drop_job(job_id)
-            self.nodes = set()
-            self.taints.forget()
-        tables = set()
-        for key, data, mod_revision in events:
-            self.absorb(key, data, mod_revision, tables)
-        self.revision = max(self.revision, revision)
-        self.evidence.compare_replicas(self.revision)
-        if tables or whole:
-            self.evidence.nodes(self.nodes, self.now())
-        for node in tables:
-            self.read_table(node)
-        fresh, self.fresh = self.fresh, []
-        if not whole:
-            self.command_directly(fresh)
-
-    def absorb(self, key, data, mod_revision, tables):
-        if key.startswith(records.JOB_PREFIX):
-            job_id = key[2:]
-            if data is None:
-                self.drop_job(job_id)
-                return
-            entry = self.jobs.get(job_id)
-            generation = records.job_generation(data)
-            if entry is None:
-                entry = self.jobs[job_id] = Entry(records.job_spec(job_id, data), generation)
-                if job_id in self.heard_cancelled:
-                    self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
-                for number, (part, part_mod_revision) in self.take_loose(
-                    job_id, generation
-                ).items():
-                    self.put_part(job_id, entry, number, part, part_mod_revision)
-            elif generation != entry.generation:
-                self.change_layout(job_id, entry, data, mod_revision)
-            if records.job_is_cancelled(data) and not entry.cancelled:
-                self.see_cancellation(job_id, entry, mod_revision)
-            self.put_part(job_id, entry, 0, records.first_chunk(data), mod_revision)
-        elif key.startswith(records.CHUNK_PREFIX):
-            self.absorb_part(key, data, mod_revision)
-        elif key.startswith(records.TAINT_PREFIX):
-            self.touched.update(self.taints.apply(key, data, mod_revision, self.now()))
-        elif key.startswith(records.SHARD_PREFIX):
-            if data is not None:
-                self.holders[int(key[2:])] = records.shard_holder(data)
-        elif key.startswith(records.NODE_PREFIX):
-            node = key[2:]
-            tables.add(node)
-            if data is None:
-                self.nodes.discard(node)
-                self.tables.pop(node, None)
-            else:
-                self.nodes.add(node)
-                self.tables.setdefault(node, {})[key] = data
-        elif key.startswith(records.OVERFLOW_PREFIX):
-            node = records.overflow_owner(key)
-            if data is None:
-                self.tables.get(node, {}).pop(key, None)
-            else:
-                self.tables.setdefault(node, {})[key] = data
-                tables.add(node)
-        elif key.startswith(records.UNDELIVERED_PREFIX):
-            for update in records.read_undelivered(data, self.settings.node):
-                tell(self.job_manager.on_task_update, update)
-        elif key == records.CATALOG_KEY and data is not None:
-            self.machine_types = read_machine_types(data)
-
-    def absorb_part(self, key, data, mod_revision):
+    """The bindings of all live jobs, kept in step with the replica.
+
+    Attributes:
+        jobs: {job: LiveJob}.
+        by_machine: {machine: {(job, task): DesiredTask}}; no empty ones.
+        touched: Machines whose bindings or taint changed since their last heartbeat here.
+        changed: The ChangedBindings of the replica's change that is being applied.
+    """
+
+    def __init__(self, cancelled: CancelledJobs) -> None:
+        self.cancelled = cancelled
+        self.jobs: dict[str, LiveJob] = {}
+        self.by_machine: dict[str, dict[TaskKey, DesiredTask]] = {}
+        self.touched: set[str] = set()
+        self.changed: list[ChangedBinding] = []
+        self.early_chunks = EarlyChunks()
+
+    def of_machine(self, machine: str) -> dict[TaskKey, DesiredTask]:
+        """{(job, task): DesiredTask} of a machine."""
+        return self.by_machine.get(machine, {})
+
+    def stop_of(self, key: TaskKey, desired: DesiredTask) -> tuple[int, int]:
+        """(KEEP, STOP or SAVE; the revision at which that was seen) of a bound task."""
+        cancellation = self.cancelled.by_job.get(key[0])
+        if cancellation is None:
+            return desired.stop, desired.stop_seen
+        if desired.stop != KEEP:
+            return STOP, min(desired.stop_seen, cancellation.revision)
+        return STOP, cancellation.revision
+
+    def take_changed(self) -> list[ChangedBinding]:
+        """Takes out what has changed since the last call."""
+        changed, self.changed = self.changed, []
+        return changed
+
+    # --- the replica's changes
+
+    def keep_only(self, job_ids: Iterable[str]) -> None:
+        """Forgets all jobs but these."""
+        kept = set(job_ids)
+        for job_id in [job_id for job_id in self.jobs if job_id not in kept]:
+            self.drop(job_id)
+
+    def apply_record(self, job_id: str, record: dict, mod_revision: int) -> None:
+        """Takes over a job's own record, and with it its first chunk."""
+        job = self.jobs.get(job_id)
+        generation = records.job_generation(record)
+        if job is None:
+            job = self._add(job_id, record, generation)
+        elif generation != job.generation:
+            self._change_layout(job_id, job, generation, record, mod_revision)
+        if records.job_is_cancelled(record) and job_id not in self.cancelled.by_job:
+            self.note_cancelled(job_id, job, mod_revision)
+        self._put_chunk(job_id, job, 0, records.first_chunk(record), mod_revision)
+
+    def apply_chunk(self, key: str, chunk: dict | None, mod_revision: int) -> None:
+        """Takes over the further chunk at a key; None: it was removed."""
         job_id, generation, number = read_part_key(key)
-        entry = self.jobs.get(job_id)
-        if entry is not None and generation == entry.generation:
-            self.put_part(job_id, entry, number, data or {}, mod_revision)
-        elif data is not None:
-            self.loose.setdefault(job_id, {})[(generation, number)] = (data, mod_revision)
+        job = self.jobs.get(job_id)
+        if job is not None and generation == job.generation:
+            self._put_chunk(job_id, job, number, chunk or {}, mod_revision)
+        elif chunk is not None:
+            self.early_chunks.add(job_id, generation, number, chunk, mod_revision)
         else:
-            self.loose.get(job_id, {}).pop((generation, number), None)
-            if not self.loose.get(job_id, True):
-                del self.loose[job_id]
-
-    def take_loose(self, job_id, generation):
-        """{number: (data, stamp)} of the parts of this layout that were seen before the record
-        named it.
-        """
-        loose = self.loose.get(job_id, {})
-        taken = {number: loose.pop((of, number)) for of, number in list(loose) if of == generation}
-        if not loose:
-            self.loose.pop(job_id, None)
-        return taken
-
-    def change_layout(self, job_id, entry, data, mod_revision):
-        """The record names other parts. The tasks that both show bound stay so, in one step."""
-        old = dict(entry.bindings())
-        parts = {
-            number: records.bound_tasks(part)
-            for number, (part, _) in self.take_loose(job_id, records.job_generation(data)).items()
+            self.early_chunks.discard(job_id, generation, number)
+
+    def note_cancelled(self, job_id: str, job: LiveJob, revision: int) -> None:
+        """Notes that a job is cancelled, as seen at `revision`."""
+        self.touched.update(machine for _, (_, machine, *_) in job.bindings())
+        self.cancelled.add(job_id, revision)
+
+    def drop(self, job_id: str) -> None:
+        """Forgets a job that is over."""
+        job = self.jobs.pop(job_id, None)
+        self.early_chunks.forget(job_id)
+        self.cancelled.forget(job_id)
+        if job is not None:
+            for number in list(job.chunks):
+                self._put_chunk(job_id, job, number, {}, 0)
+
+    def _add(self, job_id: str, record: dict, generation: str) -> LiveJob:
+        job = self.jobs[job_id] = LiveJob(records.job_spec(job_id, record), generation)
+        if job_id in self.cancelled.announced:
+            self.note_cancelled(job_id, job, self.cancelled.announced[job_id])
+        early = self.early_chunks.take(job_id, generation)
+        for number, (chunk, mod_revision) in early.items():
+            self._put_chunk(job_id, job, number, chunk, mod_revision)
+        return job
+
+    def _change_layout(
+        self, job_id: str, job: LiveJob, generation: str, record: dict, mod_revision: int
+    ) -> None:
+        """The record names other chunks. Tasks that both show bound stay so, in one step."""
+        old = dict(job.bindings())
+        chunks = {
+            number: records.bound_tasks(chunk)
+            for number, (chunk, _) in self.early_chunks.take(job_id, generation).items()
         }
-        parts[0] = records.bound_tasks(records.first_chunk(data))
-        entry.generation, entry.parts = records.job_generation(data), parts
-        self.rebind(job_id, old, dict(entry.bindings()), mod_revision)
-
-    def drop_job(self, job_id):
-        entry = self.jobs.pop(job_id, None)
-        self.loose.pop(job_id, None)
-        self.forget_cancellation(job_id)
-        if entry is not None:
-            for number in list(entry.parts):
-                self.put_part(job_id, entry, number, {}, 0)
-
-    def put_part(self, job_id, entry, number, data, mod_revision):
-        """Takes over one part; costs little for the tasks whose binding is the same as before."""
-        old, new = entry.parts.get(number, {}), records.bound_tasks(data)
-        self.rebind(job_id, old, new, mod_revision)
-        entry.parts[number] = new
-
-    def rebind(self, job_id, old, new, mod_revision):
+        chunks[0] = records.bound_tasks(records.first_chunk(record))
+        job.generation = generation
+        job.chunks = chunks
+        self._rebind(job_id, old, dict(job.bindings()), mod_revision)
+
+    def _put_chunk(
+        self, job_id: str, job: LiveJob, number: int, chunk: dict, mod_revision: int
+    ) -> None:
+        new = records.bound_tasks(chunk)
+        self._rebind(job_id, job.chunks.get(number, {}), new, mod_revision)
+        job.chunks[number] = new
+
+    def _rebind(
+        self, job_id: str, old: dict[int, list], new: dict[int, list], mod_revision: int
+    ) -> None:
         """Makes the bound tasks `old` of a job `new`; only differences cost anything."""
         for task, row in old.items():
-            if new.get(task) != row:
-                here = self.bindings[row[1]]
-                before = here.pop((job_id, task))
-                if not here:
-                    del self.bindings[row[1]]
-                self.touched.add(row[1])
-                if task in new and new[task][0] == row[0]:
-                    # The same attempt: a stop counts from when it was first seen.
-                    self.want(
-                        job_id, task, new[task], before.stop_seen if before.stop else mod_revision
-                    )
-                    self.fresh.append((job_id, task, *new[task][:3]))
+            new_row = new.get(task)
+            if new_row != row:
+                before = self._unbind((job_id, task), row)
+                if new_row is not None and new_row[ROW_ATTEMPT] == before.attempt:
+                    # A stop counts from when it was first seen.
+                    stop_seen = before.stop_seen if before.stop != KEEP else mod_revision
+                    self._bind((job_id, task), new_row, stop_seen)
         for task, row in new.items():
-            before = old.get(task)
-            if before is None or before[0] != row[0]:
-                self.want(job_id, task, row, mod_revision)
-                self.fresh.append((job_id, task, *row[:3]))
-
-    def want(self, job_id, task, row, since):
+            old_row = old.get(task)
+            if old_row is None or old_row[ROW_ATTEMPT] != row[ROW_ATTEMPT]:
+                self._bind((job_id, task), row, mod_revision)
+
+    def _unbind(self, key: TaskKey, row: list) -> DesiredTask:
+        """Removes a binding and returns what it was."""
+        machine = row[ROW_MACHINE]
+        bound = self.by_machine[machine]
+        before = bound.pop(key)
+        if not bound:
+            del self.by_machine[machine]
+        self.touched.add(machine)
+        return before
+
+    def _bind(self, key: TaskKey, row: list, stop_seen: int) -> None:
         attempt, machine, agent_epoch, *stop = row
-        wanted = Wanted(attempt, stop[0] if stop else KEEP, since, agent_epoch)
-        self.bindings.setdefault(machine, {})[(job_id, task)] = wanted
-        self.touched.add(row[1])
+        desired = DesiredTask(attempt, stop[0] if stop else KEEP, stop_seen, agent_epoch)
+        self.by_machine.setdefault(machine, {})[key] = desired
+        self.touched.add(machine)
+        self.changed.append((machine, key, desired))
--- /dev/null
+++ b/emberglade/agents/direct_commands.py
@@ -0,0 +1,129 @@
+"""Commands sent to agents at their own addresses, without waiting for their next heartbeat."""
+
+import logging
+from typing import Any
+
+from ..actors import Actor, callback
+from ..jobs.record import KEEP
+from .bindings import ChangedBinding, DesiredTask
+from .reconciliation import halt_command
+from .shared_state import AgentPart, SharedState
+from .update_forwarding import UpdateForwarding
+from .wire import agents as agent_wire
+from .wire.agents import AgentHeartbeat, Command, HaltTask, StartTask, TaskKey, TaskStatus
+
+log = logging.getLogger("emberglade.agents")
+
+# With these an agent's answer holds a heartbeat: commands executed, or refused as out of date.
+ANSWERS_WITH_HEARTBEAT = (200, 409)
+
+
+class DirectCommands(AgentPart):
+    """Starts what was just bound and stops what is preempted, of the jobs that we hold.
+
+    The fencing token is the revision of the replica that shows the binding. Whatever ends the
+    binding is committed later and fenced with that later revision, or ends the agent epoch named
+    here; so however late a start arrives, it can't act after either (docs/safety.md, 6). A stop is
+    of an attempt that is never started again, so it does no harm at any time.
+    """
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        agent_clients: Any,
+        updates: UpdateForwarding,
+    ) -> None:
+        super().__init__(actor, shared)
+        self.agent_clients = agent_clients
+        self.updates = updates
+
+    def send(self, changes: list[ChangedBinding]) -> None:
+        """Commands what follows from these new bindings and stops, one message an agent."""
+        commands: dict[tuple[str, int], list[Command]] = {}  # (machine, agent epoch) -> commands
+        for machine, key, changed in changes:
+            command = self._command_for(machine, key, changed)
+            if command is not None:
+                commands.setdefault((machine, changed.agent_epoch), []).append(command)
+        now = self.now()
+        for (machine, agent_epoch), wanted in commands.items():
+            self._send_to(machine, agent_epoch, wanted, now)
+
+    def _command_for(self, machine: str, key: TaskKey, changed: DesiredTask) -> Command | None:
+        """The command that a new binding or stop calls for, if it is this controller's to give.
+
+        Once broken: the binding and its stop came in one change, and the start went out all the
+        same, with a fencing token above the stop's (rules/stopped_in_one_change.txt).
+        """
+        bindings = self.committed.bindings
+        desired = bindings.of_machine(machine).get(key)
+        if (
+            desired is None
+            or desired.attempt != changed.attempt
+            or desired.agent_epoch != changed.agent_epoch
+            or key[0] in self.committed.cancelled.by_job
+        ):
+            return None
+        spec = bindings.jobs[key[0]].spec
+        if self.committed.holder_of(spec) != self.settings.node:
+            return None
+        if desired.stop == KEEP:
+            return StartTask(key, desired.attempt)
+        return halt_command(bindings, key, desired.attempt, desired.stop)
+
+    def _send_to(self, machine: str, agent_epoch: int, commands: list[Command], now: float) -> None:
+        """Sends an agent those of the commands that it may have just now."""
+        last_seen = self.evidence.last_seen.get(machine)
+        if last_seen is None:
+            return
+        status = last_seen.status
+        if machine in self.committed.taints or status.spot_notice:
+            commands = [command for command in commands if isinstance(command, HaltTask)]
+        if (
+            not commands
+            or not status.addr
+            or status.agent_epoch != agent_epoch
+            or status.unreachable
+            or now - last_seen.heard_at > self.settings.lease_s / 2
+        ):
+            return
+        self.agent_clients.call(
+            status.addr,
+            "POST",
+            agent_wire.COMMANDS_PATH,
+            agent_wire.write_direct_commands(self.committed.revision, agent_epoch, commands),
+            self.settings.agent_heartbeat_s,
+            callback(self.on_command_answer, machine),
+        )
+
+    def on_command_answer(self, machine: str, status: int, body: Any) -> None:
+        """Handles an agent's answer to direct commands."""
+        self.take_answer(machine, status, body)
+
+    def take_answer(
+        self, machine: str, status: int, body: Any
+    ) -> tuple[AgentHeartbeat, dict[TaskKey, TaskStatus]] | None:
+        """Takes over the heartbeat in an agent's answer, newer than what is known here.
+
+        Returns:
+            The heartbeat and its tasks; None if the answer holds none.
+        """
+        if status not in ANSWERS_WITH_HEARTBEAT:
+            return None
+        try:
+            heartbeat = agent_wire.read_heartbeat(body)
+            tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
+        except agent_wire.HeartbeatError as error:
+            log.info("%s answered a command with a malformed heartbeat: %s", machine, error)
+            return None
+        record = self.records.get(heartbeat.machine)
+        # Direct commands renew no lease, and where the agent turns to is not ours to say.
+        if record is not None and record.heartbeat.age < heartbeat.age:
+            record.heartbeat = heartbeat
+            record.tasks = tasks
+            record.heard_at = self.now()
+            record.contact_at = record.heard_at
+            record.settled = False
+            self.evidence.last_seen[heartbeat.machine] = record.last_seen()
+        self.updates.tell_holders(heartbeat, tasks)
+        return heartbeat, tasks
--- /dev/null
+++ b/emberglade/agents/direct_halts.py
@@ -0,0 +1,198 @@
+"""Halts of cancelled jobs' tasks, sent directly to their machines.
+
+A cancellation reaches a task in the next answer to its machine's heartbeat, if the controller that
+answers has seen it. One that the store refuses has not, and its machines go on turning to it. So
+the controller that confirms a cancellation halts the tasks itself and tells the others, and every
+other one that knows of it does so a little later if the record still shows them
+(docs/safety.md, 8).
+"""
+
+from typing import Any, NamedTuple
+
+from ..actors import Actor, callback, tell_after
+from .cancelled_jobs import Cancellation
+from .direct_commands import DirectCommands
+from .lease_evidence import NEVER, LastSeen
+from .shared_state import AgentPart, SharedState
+from .wire import agents as agent_wire
+from .wire import peers as peer_wire
+from .wire.agents import EXITED, AgentHeartbeat, HaltTask, TaskKey, TaskStatus
+
+COMMANDS_REFUSED = 409  # the agent has seen a higher fencing token, or is in another epoch
+DESCRIPTORS_PER_HALT = 128  # of the process's limit, for one halt that awaits its answer
+
+
+class SentHalt(NamedTuple):
+    """The last direct halt of a machine: its agent epoch, and when it was sent."""
+
+    agent_epoch: int
+    sent_at: float
+
+
+NO_HALT = SentHalt(0, NEVER)
+
+
+class DirectHalts(AgentPart):
+    """Sees to it that cancelled tasks end, whoever their machines send heartbeats to."""
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        peers: dict[str, Any],
+        agent_clients: Any,
+        direct_commands: DirectCommands,
+    ) -> None:
+        super().__init__(actor, shared)
+        self.peers = peers
+        self.agent_clients = agent_clients
+        self.direct_commands = direct_commands
+        self.last_halts: dict[str, SentHalt] = {}  # by machine
+        self.awaiting_answer: set[str] = set()  # machines that were sent one
+        # Machines that hang hold a thread each until they time out; starts need some as well.
+        self.max_awaiting = max(2, self.settings.fd_limit // DESCRIPTORS_PER_HALT)
+        self.halts_deferred = False  # some wait for others to be answered
+
+    def confirm(self, job_id: str) -> None:
+        """Halts a job and tells the peers: a user is being told that it is cancelled."""
+        cancellation = self.committed.cancelled.by_job.get(job_id)
+        if cancellation is None:
+            return
+        cancellation.halt_from = self.now()
+        for link in self.peers.values():
+            link.call(
+                "POST",
+                peer_wire.CANCELLATION_PATH,
+                peer_wire.write_cancellation(job_id, cancellation.revision),
+                self.settings.agent_heartbeat_s,
+                lambda status, body: None,
+            )
+        self.halt_job(job_id)
+
+    def replace_dead_peer(self) -> None:
+        """Sends all halts that are due: a peer that has ended may not have sent its own."""
+        self.committed.cancelled.advance_all(self.now())
+        self._halt_due_jobs()
+
+    def on_repeat_halts(self) -> None:
+        """Handles `repeat_halts`, sent to itself twice in a heartbeat interval."""
+        tell_after(self.settings.agent_heartbeat_s / 2, self.on_repeat_halts)
+        self.committed.cancelled.forget_announced(self.committed.revision)
+        self.last_halts = {
+            machine: halt
+            for machine, halt in self.last_halts.items()
+            if self.now() - halt.sent_at < self.settings.lease_s
+        }
+        self._halt_due_jobs()
+
+    def _halt_due_jobs(self) -> None:
+        self.halts_deferred = False
+        for job_id in self.committed.cancelled.due(self.now()):
+            self.halt_job(job_id)
+
+    def halt_job(self, job_id: str) -> None:
+        """Sends what is still bound of a cancelled job a halt, until its machine shows it ended."""
+        cancellation = self.committed.cancelled.by_job[job_id]
+        now = self.now()
+        for machine, agent_epoch in self._agents_to_halt(job_id, cancellation):
+            if len(self.awaiting_answer) >= self.max_awaiting:
+                self.halts_deferred = True
+                return
+            last_seen = self.evidence.last_seen.get(machine)
+            if last_seen is None or not self._may_halt(last_seen, machine, agent_epoch):
+                continue
+            last = self.last_halts.get(machine, NO_HALT)
+            just_halted = (
+                last.agent_epoch == agent_epoch
+                and now - last.sent_at < self.settings.agent_heartbeat_s
+                and cancellation.halt_from < last.sent_at
+            )
+            if not just_halted:
+                addr = last_seen.status.addr
+                self._send_halts(machine, agent_epoch, addr, self.committed.revision)
+
+    def _agents_to_halt(self, job_id: str, cancellation: Cancellation) -> list[tuple[str, int]]:
+        """The (machine, agent epoch) that a job's tasks are bound to, without those that ended."""
+        job = self.committed.bindings.jobs[job_id]
+        agents = (
+            (machine, agent_epoch)
+            for task, (attempt, machine, agent_epoch, *_) in job.bindings()
+            if (task, attempt) not in cancellation.ended
+        )
+        return list(dict.fromkeys(agents))  # each once, in the order of the record
+
+    def _may_halt(self, last_seen: LastSeen, machine: str, agent_epoch: int) -> bool:
+        return (
+            bool(last_seen.status.addr)
+            and last_seen.status.agent_epoch <= agent_epoch
+            and machine not in self.awaiting_answer
+        )
+
+    def _send_halts(self, machine: str, agent_epoch: int, addr: str, fencing_token: int) -> None:
+        """Halts all of a machine's cancelled tasks in one message.
+
+        Its fencing token is at least the revision of the cancellation, so that no start from before
+        it, on its way however long, is accepted afterwards.
+        """
+        commands = []
+        for key, desired in self.committed.bindings.of_machine(machine).items():
+            cancellation = self.committed.cancelled.by_job.get(key[0])
+            if cancellation is not None and desired.agent_epoch == agent_epoch:
+                fencing_token = max(fencing_token, cancellation.revision)
+                commands.append(HaltTask(key, desired.attempt, 0))
+        if not commands:
+            return
+        self.last_halts[machine] = SentHalt(agent_epoch, self.now())
+        self.awaiting_answer.add(machine)
+        self.agent_clients.call(
+            addr,
+            "POST",
+            agent_wire.COMMANDS_PATH,
+            agent_wire.write_direct_commands(fencing_token, agent_epoch, commands),
+            self.settings.agent_heartbeat_s,
+            callback(self.on_halt_answer, machine, agent_epoch, addr, fencing_token),
+        )
+
+    def on_halt_answer(
+        self,
+        machine: str,
+        agent_epoch: int,
+        addr: str,
+        fencing_token: int,
+        status: int,
+        body: Any,
+    ) -> None:
+        """Handles an agent's answer to a direct halt: notes what has ended, or tries again."""
+        self.awaiting_answer.discard(machine)
+        answer = self.direct_commands.take_answer(machine, status, body)
+        if answer is None:
+            return
+        heartbeat, tasks = answer
+        if (
+            status == COMMANDS_REFUSED
+            and heartbeat.agent_epoch == agent_epoch
+            and heartbeat.fencing_token > fencing_token
+        ):
+            # It has seen a newer fencing token. Halts of what is cancelled are true at any time.
+            self._send_halts(machine, agent_epoch, addr, heartbeat.fencing_token)
+            return
+        self._note_ended(machine, heartbeat, tasks)
+        if self.halts_deferred:
+            self._halt_due_jobs()
+
+    def _note_ended(
+        self, machine: str, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]
+    ) -> None:
+        """Notes which cancelled tasks a machine's heartbeat shows ended."""
+        for key, desired in self.committed.bindings.of_machine(machine).items():
+            cancellation = self.committed.cancelled.by_job.get(key[0])
+            if cancellation is None:
+                continue
+            found = tasks.get(key)
+            if (
+                heartbeat.agent_epoch > desired.agent_epoch
+                or found is None
+                or found.attempt != desired.attempt
+                or found.state is EXITED
+            ):
+                cancellation.ended.add((key[1], desired.attempt))
--- /dev/null
+++ b/emberglade/agents/heartbeats.py
@@ -0,0 +1,241 @@
+"""Answers agents' heartbeats.
+
+Every controller answers any agent. Commands are derived from the replica alone, and a start only
+from a replica synced after the heartbeat arrived; the arguments are in docs/safety.md.
+"""
+
+import itertools
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from ..actors import Actor, callback, tell
+from .agent_records import AgentRecord
+from .inventory import MachineInventory
+from .lease_evidence import LastSeen
+from .reachability import Reachability
+from .reconciliation import Reconciler, Reconciliation, SyncNeed
+from .routing import Routing
+from .shared_state import AgentPart, SharedState
+from .update_forwarding import UpdateForwarding
+from .wire import agents as agent_wire
+from .wire.agents import AgentHeartbeat
+
+Reply = Callable[..., Any]  # reply(status, body), or reply(status, body, seconds to wait)
+
+RETRY_S = 1  # what an agent is asked to wait for that gets a 503
+
+
+@dataclass(slots=True)
+class PendingAnswer:
+    """A heartbeat that is answered after a sync."""
+
+    record: AgentRecord
+    heartbeat: AgentHeartbeat
+    reply: Reply
+    since: float
+
+
+class HeartbeatHandler(AgentPart):
+    """Takes heartbeats in, and answers them with commands."""
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        store: Any,
+        routing: Routing,
+        reconciler: Reconciler,
+        updates: UpdateForwarding,
+        inventory: MachineInventory,
+    ) -> None:
+        super().__init__(actor, shared)
+        self.store = store
+        self.routing = routing
+        self.reconciler = reconciler
+        self.updates = updates
+        self.inventory = inventory
+        self.reachability = Reachability(self.settings, self.committed, inventory)
+        self.pending: dict[int, PendingAnswer] = {}
+        self.pending_numbers = itertools.count(1)
+
+    def handle(self, data: Any, reply: Reply) -> None:
+        """Answers one heartbeat, as it was sent, by `reply(status, body[, seconds to wait])`."""
+        try:
+            heartbeat = agent_wire.read_heartbeat(data)
+        except agent_wire.HeartbeatError as error:
+            reply(400, agent_wire.write_refusal(error))
+            return
+        now = self.now()
+        connected_peer = self.routing.connected_peer(now)
+        if self._turn_away(heartbeat, connected_peer, now, reply):
+            return
+        last_seen = self.evidence.last_seen.get(heartbeat.machine)
+        if self._is_late(heartbeat, last_seen):
+            # The lease that its answer could renew is one that the newer message renewed already.
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
+            return
+        record = self._record_of(heartbeat, now)
+        self.reachability.track(record, heartbeat, last_seen, now)
+        before = record.heartbeat
+        record.heartbeat = heartbeat
+        record.heard_at = now
+        record.contact_at = now
+        self.evidence.last_seen[heartbeat.machine] = record.last_seen()
+        if self._brings_nothing_new(record, before):
+            # Most heartbeats end here, and most of the processor's time is heartbeats.
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
+            return
+        self._handle_news(record, before, connected_peer, reply)
+
+    # --- whether a heartbeat counts
+
+    def _turn_away(
+        self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
+    ) -> bool:
+        """Answers an agent that this controller may not answer, or had better not; True if so."""
+        if connected_peer is not None and not self._is_caught_up(now):
+            reply(421, agent_wire.write_redirect(connected_peer))
+            return True
+        tainted = heartbeat.machine in self.committed.taints
+        own_key_missing = self.settings.node not in self.committed.controllers
+        if not self.routing.may_answer(now) or (tainted and own_key_missing):
+            # What this controller commands could be older than a cancellation, or the proof that
+            # this machine's leases are over counts on its silence.
+            reply(503, agent_wire.write_refusal("no contact with the state service"), RETRY_S)
+            return True
+        peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
+        if peer is not None:
+            reply(421, agent_wire.write_redirect(peer))
+            return True
+        return False
+
+    def _is_caught_up(self, now: float) -> bool:
+        """Whether this controller's replica was as new as all peers' not long ago.
+
+        Peers that lose contact themselves answer questions late by up to what a sync may take
+        (meetings/gap_silent.txt, 2).
+        """
+        recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
+        return now - self.evidence.caught_up_since() <= recent_s
+
+    def _is_late(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
+        """Whether this is a copy that came late, perhaps of a machine that was returned.
+
+        Such is no sign of life (docs/safety.md, 11).
+        """
+        if last_seen is not None and last_seen.age >= heartbeat.age:
+            return True
+        return self.committed.taints.get(heartbeat.machine) == "gone"
+
+    def _record_of(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
+        """The machine's record; a new one if it begins to send heartbeats here."""
+        record = self.records.get(heartbeat.machine)
+        if record is None:
+            record = self.records.by_machine[heartbeat.machine] = AgentRecord(heartbeat, now)
+            self.inventory.newly_heard.append(heartbeat.machine)
+            self.inventory.update_soon()
+        return record
+
+    def _brings_nothing_new(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
+        """Whether nothing that could lead to commands or updates changed since `before`."""
+        heartbeat = record.heartbeat
+        return (
+            record.settled
+            and record.tasks is not None
+            and heartbeat.machine not in self.committed.bindings.touched
+            and heartbeat.raw_tasks == before.raw_tasks
+            and heartbeat.agent_epoch == before.agent_epoch
+            and heartbeat.spot_notice_s is None
+            and not record.unreachable
+        )
+
+    # --- what follows from it
+
+    def _handle_news(
+        self,
+        record: AgentRecord,
+        before: AgentHeartbeat,
+        connected_peer: str | None,
+        reply: Reply,
+    ) -> None:
+        """Reconciles a machine with what is committed, and answers its agent."""
+        heartbeat = record.heartbeat
+        try:
+            tasks = record.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
+        except agent_wire.HeartbeatError as error:
+            record.tasks = None
+            reply(400, agent_wire.write_refusal(error))
+            return
+        if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
+            self.inventory.update_soon()
+        self.committed.bindings.touched.discard(heartbeat.machine)
+        updated = self.updates.tell_holders(heartbeat, tasks)
+        result = self.reconciler.reconcile(record, synced=False)
+        record.settled = not updated and self._is_settled(record, result)
+        self._answer_news(record, result, connected_peer, reply)
+
+    @staticmethod
+    def _is_settled(record: AgentRecord, result: Reconciliation) -> bool:
+        """Whether the same heartbeat again would lead to nothing, as long as nothing changes."""
+        heartbeat = record.heartbeat
+        return (
+            not result.commands
+            and result.sync_need is None
+            and result.fencing_token <= heartbeat.fencing_token
+            and heartbeat.spot_notice_s is None
+            and not record.unreachable
+        )
+
+    def _answer_news(
+        self,
+        record: AgentRecord,
+        result: Reconciliation,
+        connected_peer: str | None,
+        reply: Reply,
+    ) -> None:
+        """Answers by what a reconciliation without a sync found."""
+        only_starts = result.sync_need is SyncNeed.START and not result.commands
+        if only_starts and connected_peer is not None:
+            # This controller knows what the others know, but a start needs one that can sync.
+            # Nobody is sent away for less: an agent that can't reach the other loses its lease on
+            # the way (meetings/gap_silent.txt).
+            reply(421, agent_wire.write_redirect(connected_peer))
+        elif result.sync_need is not None:
+            self._answer_after_sync(record, reply)
+        else:
+            self._answer(record, record.heartbeat, False, reply)
+
+    def _answer_after_sync(self, record: AgentRecord, reply: Reply) -> None:
+        number = next(self.pending_numbers)
+        self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heard_at)
+        tell(self.store.on_sync, callback(self.on_heartbeat_synced, number))
+
+    def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
+        """Handles the store's answer to the sync that a heartbeat waits for; None: it failed."""
+        pending = self.pending.pop(number, None)
+        if pending is not None:
+            synced = revision is not None
+            self._answer(pending.record, pending.heartbeat, synced, pending.reply)
+
+    def answer_overdue(self) -> None:
+        """Answers heartbeats whose sync takes long, without what only a sync allows.
+
+        An agent gives up waiting after some seconds.
+        """
+        now = self.now()
+        for number, pending in list(self.pending.items()):
+            if now - pending.since > self.settings.agent_heartbeat_s:
+                del self.pending[number]
+                self._answer(pending.record, pending.heartbeat, False, pending.reply)
+
+    def _answer(
+        self, record: AgentRecord, heartbeat: AgentHeartbeat, synced: bool, reply: Reply
+    ) -> None:
+        if record.heartbeat is not heartbeat:
+            # A newer message came in between; its own answer says what is to be done.
+            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
+            return
+        record.contact_at = self.now()
+        result = self.reconciler.reconcile(record, synced)
+        reply(200, agent_wire.write_answer(result.fencing_token, result.commands))
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -1,191 +1,274 @@
 """Who heard which machine, when, and what that proves. Owned by the agents; no messages of its own.
 
-Three sources tell of a machine: its reports here, what peers state when asked, and the tables that
-every node writes to the state service. The newest (session, tally) wins; whatever is not newer
-than that is a copy that came late, and no sign of life.
+Three sources tell of a machine: its heartbeats here, what peers answer when asked, and the tables
+that every controller writes to the store. The newest (agent epoch, sequence) wins; whatever is not
+newer than that is a copy that came late, and no sign of life.
 """
 
 from collections import deque
+from collections.abc import Set
 from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from ..state import CLOCK_DRIFT
 from .wire import peers as peer_wire
+from .wire.peers import MachineStatus, MachineView
 
 MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
+MAX_SYNCS = 400  # that are remembered
+FORGET_LEASES = 10  # after so many leases without a sign of life a machine is forgotten
+NEVER = float("-inf")  # as a moment
 
 
 @dataclass(slots=True)
 class LastSeen:
-    """A machine as the newest message that any node told of shows it."""
+    """A machine as the newest message that any controller knows of shows it.
 
-    row: peer_wire.MachineStatus
-    heard: float  # by our clock
+    Attributes:
+        heard_at: When it was last heard or answered, by our clock.
+    """
+
+    status: MachineStatus
+    heard_at: float
 
     @property
-    def age(self):
-        return self.row.agent_epoch, self.row.sequence
+    def age(self) -> tuple[int, int]:
+        """(agent epoch, sequence) of that message."""
+        return self.status.agent_epoch, self.status.sequence
 
 
 @dataclass(frozen=True, slots=True)
-class Statement:
-    """What a node said of all machines. Made after `asked` and before `got`, by our clock."""
+class PeerMachineView:
+    """What a peer said of all machines.
+
+    It was made after `asked_at` and before `received_at`, by our clock. The other fields are
+    those of MachineView.
+
+    Attributes:
+        machines_hearing: How many machines had sent it a heartbeat just before.
+    """
 
-    asked: float
-    got: float
+    asked_at: float
+    received_at: float
     up_s: float
     contact_age_s: float
     revision: int | None
-    known: dict
-    replica_revision: int = -1  # of the peer's copy when it was made; -1: it had none
-    hearing: int = 0  # machines that had reported to that node just before
+    machines: dict[str, MachineStatus]
+    replica_revision: int = peer_wire.NO_REPLICA
+    machines_hearing: int = 0
 
-    def last_heard(self, machine):
-        """The latest moment at which that node may have heard or answered the machine.
+    def last_answered(self, machine: str) -> float:
+        """The latest moment at which that controller may have heard or answered the machine.
 
-        A node that does not know it may have answered it before it was restarted.
+        A controller that does not know it may have answered it before it was restarted.
         """
-        row = self.known.get(machine)
-        return self.got - (self.up_s if row is None else min(self.up_s, row.age_s))
+        status = self.machines.get(machine)
+        return self.received_at - (self.up_s if status is None else min(self.up_s, status.age_s))
+
+    def contact_age_at(self, now: float) -> float:
+        """Seconds since that controller's last answered sync, if there was none since it spoke."""
+        return self.contact_age_s + now - self.received_at
+
+
+NO_PARTIAL_VIEW: tuple[frozenset[str], None] = (frozenset(), None)
+
+
+class Sync(NamedTuple):
+    """A sync that was answered: when it was sent, and the revision that it brought."""
+
+    sent_at: float
+    revision: int
+
+
+# A bound on when one controller may have answered one machine: (the latest moment at which it may
+# have, the moment up to which that is known). Thousands of machines may wait for proof, each with
+# several bounds for every peer, so they are plain tuples.
+AnswerBound = tuple[float, float]
+
+
+def silence_s(bound: AnswerBound) -> float:
+    """For how long a controller is known not to have answered."""
+    last_answered, known_until = bound
+    return known_until - last_answered
 
 
 class LeaseEvidence:
-    """What this controller knows of all machines, from its own reports and from its peers.
+    """What this controller knows of all machines, from its own heartbeats and from its peers.
 
     Suspicions of controllers (`emberglade/failure_detection`) are no evidence and are not read.
+
+    Attributes:
+        began_at: When this process began, by its clock.
+        last_contact: When the last sync that was answered was sent.
+        last_seen: {machine: LastSeen}, whoever heard it.
+        direct_views: {peer: its newest answer about all machines}.
+        partial_views: {peer: (the machines it was asked about, its answer about only them)}.
+        table_views: {peer: the view of its newest complete table}.
     """
 
-    def __init__(self, settings):
+    def __init__(self, settings: Any) -> None:
         self.settings = settings
-        self.view = {}  # machine -> LastSeen
-        self.told = {}  # peer -> Statement, asked for directly
-        self.brief = {}  # peer -> (machines asked about, Statement of only them)
-        self.written = {}  # peer -> Statement, out of its table
-        self.moments = deque(maxlen=400)  # (a sync was sent, the revision it brought)
-        self.absent = {}  # peer -> since when its key is missing
-        self.level = {}  # peer -> when it was last asked and had no newer copy than ours
-        self.last_contact = float("-inf")
-
-    def see(self, machine, row, heard):
-        """Notes what a source tells; True if it is newer than all that was known."""
-        old = self.view.get(machine)
-        age = row.agent_epoch, row.sequence
-        if old is None or age > old.age:
-            self.view[machine] = LastSeen(row, heard)
-            return True
-        if age == old.age and heard > old.heard:
-            old.heard = heard
-        return False
-
-    def hear(self, peer, asked, got, body, only=None):
-        """A peer's answer, of all machines or of those asked about; False if it is odd."""
-        found = peer_wire.read_machine_view(body)
-        if found is None:
+        self.began_at = 0.0
+        self.last_contact = NEVER
+        self.last_seen: dict[str, LastSeen] = {}
+        self.direct_views: dict[str, PeerMachineView] = {}
+        self.partial_views: dict[str, tuple[frozenset[str], PeerMachineView]] = {}
+        self.table_views: dict[str, PeerMachineView] = {}
+        self.syncs: deque[Sync] = deque(maxlen=MAX_SYNCS)
+        self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
+        # peer -> when it was last asked and then had no newer replica than ours
+        self.caught_up_at: dict[str, float] = {}
+
+    # --- what the sources tell
+
+    def note_machine(self, machine: str, status: MachineStatus, heard_at: float) -> None:
+        """Notes what a source tells of a machine, unless something newer is known."""
+        known = self.last_seen.get(machine)
+        age = status.agent_epoch, status.sequence
+        if known is None or age > known.age:
+            self.last_seen[machine] = LastSeen(status, heard_at)
+        elif age == known.age and heard_at > known.heard_at:
+            known.heard_at = heard_at
+
+    def add_answer(
+        self,
+        peer: str,
+        asked_at: float,
+        received_at: float,
+        body: Any,
+        asked_about: frozenset[str] | None = None,
+    ) -> bool:
+        """Takes a peer's answer, about all machines or those asked about; False if malformed."""
+        view = peer_wire.read_machine_view(body)
+        if view is None:
             return False
-        lately = 2 * self.settings.agent_heartbeat_s
-        statement = Statement(
-            asked, got, *found, sum(row.age_s < lately for row in found[3].values())
-        )
-        if only is None:
-            self.told[peer] = statement
+        recent_s = 2 * self.settings.agent_heartbeat_s
+        hearing = sum(status.age_s < recent_s for status in view.machines.values())
+        answer = PeerMachineView(asked_at, received_at, *view, hearing)
+        if asked_about is None:
+            self.direct_views[peer] = answer
         else:
             # Of others it says nothing, not that they were never heard.
-            self.brief[peer] = only, statement
-        for machine, row in statement.known.items():
-            self.see(machine, row, got - row.age_s)
+            self.partial_views[peer] = asked_about, answer
+        for machine, status in answer.machines.items():
+            self.note_machine(machine, status, received_at - status.age_s)
         return True
 
-    def compare_replicas(self, revision):
-        """Notes which peers' copies were not newer than ours, now that ours is at `revision`.
+    def add_table(
+        self, peer: str, received_at: float, age_s: float, view: MachineView | None
+    ) -> None:
+        """Takes the view of a peer's table, about `age_s` old by the time of day; None: malformed.
 
-        A peer without a copy says nothing about what its former process may have told.
+        A table names the revision of the replica that it was made from, so it was made after the
+        last sync that still brought us an older one.
         """
-        for peer, said in self.told.items():
-            if 0 <= said.replica_revision <= revision:
-                self.level[peer] = max(self.level.get(peer, said.asked), said.asked)
-
-    def level_since(self):
-        """A moment up to which no peer had told anybody of anything that our copy does not show."""
-        return min(
-            (self.level.get(peer.name, float("-inf")) for peer in self.settings.peers),
-            default=float("-inf"),
-        )
-
-    def read_table(self, peer, got, age_s, found):
-        """A peer's table, about `age_s` old by the time of day."""
-        if found is None or found[2] is None:
+        if view is None or view.revision is None:
             return
-        statement = self.written[peer] = Statement(self.after_revision(found[2]), got, *found)
-        for machine, row in statement.known.items():
-            self.see(machine, row, got - row.age_s - max(0.0, age_s))
+        not_before = self.last_sync_before(view.revision)
+        self.table_views[peer] = PeerMachineView(not_before, received_at, *view)
+        for machine, status in view.machines.items():
+            self.note_machine(machine, status, received_at - status.age_s - max(0.0, age_s))
 
-    def synced(self, sent, revision):
-        self.last_contact = max(self.last_contact, sent)
-        if not self.moments or revision > self.moments[-1][1]:
-            self.moments.append((sent, revision))
+    def note_sync(self, sent_at: float, revision: int) -> None:
+        """Notes that a sync sent then was answered and brought this revision."""
+        self.last_contact = max(self.last_contact, sent_at)
+        if not self.syncs or revision > self.syncs[-1].revision:
+            self.syncs.append(Sync(sent_at, revision))
 
-    def after_revision(self, revision):
+    def last_sync_before(self, revision: int) -> float:
         """A moment before which nobody can have known this revision.
 
         A sync sent at that moment still brought an older one.
         """
-        return max((sent for sent, seen in self.moments if seen < revision), default=float("-inf"))
+        return max((sync.sent_at for sync in self.syncs if sync.revision < revision), default=NEVER)
 
-    def nodes(self, present, now):
-        """Which peers' keys are there, as of the copy."""
+    def note_controllers(self, present: Set[str], now: float) -> None:
+        """Notes which controllers' keys are there, as the replica shows it."""
         for name in self.settings.names:
             if name in present or name == self.settings.node:
-                self.absent.pop(name, None)
+                self.key_missing_since.pop(name, None)
             else:
-                self.absent.setdefault(name, now)
+                self.key_missing_since.setdefault(name, now)
+
+    def compare_replicas(self, revision: int) -> None:
+        """Notes which peers' replicas were not newer than ours, now that ours is at `revision`.
+
+        A peer without a replica says nothing about what its former process may have told.
+        """
+        for peer, view in self.direct_views.items():
+            if 0 <= view.replica_revision <= revision:
+                caught_up_at = self.caught_up_at.get(peer, view.asked_at)
+                self.caught_up_at[peer] = max(caught_up_at, view.asked_at)
 
-    def missing_peers(self, now):
+    def forget_old(self, now: float) -> None:
+        """Forgets machines that nobody has heard for FORGET_LEASES leases."""
+        oldest = now - FORGET_LEASES * self.settings.lease_s
+        for name in [name for name, seen in self.last_seen.items() if seen.heard_at < oldest]:
+            del self.last_seen[name]
+
+    # --- what follows from it
+
+    def caught_up_since(self) -> float:
+        """A moment up to which no peer had told anybody what our replica does not show."""
+        return min(
+            (self.caught_up_at.get(peer.name, NEVER) for peer in self.settings.peers),
+            default=NEVER,
+        )
+
+    def lacks_peer_answers(self, now: float) -> bool:
         """Whether a peer has not answered lately, so that only its tables tell of its machines."""
+        lately_s = 4 * self.settings.agent_heartbeat_s
         return any(
-            now - self.told[p.name].asked > 4 * self.settings.agent_heartbeat_s
-            if p.name in self.told
-            else True
-            for p in self.settings.peers
+            peer.name not in self.direct_views
+            or now - self.direct_views[peer.name].asked_at > lately_s
+            for peer in self.settings.peers
         )
 
-    def forget_old(self, now):
-        oldest = now - 10 * self.settings.lease_s
-        for name in [name for name, s in self.view.items() if s.heard < oldest]:
-            del self.view[name]
-
-    def proven_over(self, machine, own_heard, taint_revision, taint_seen, now):
-        """Whether every lease that a node may have renewed for this machine has run out.
+    def proves_leases_over(
+        self,
+        machine: str,
+        own_contact_at: float,
+        taint_revision: int,
+        taint_seen_at: float,
+        now: float,
+    ) -> bool:
+        """Whether every lease that a controller may have renewed for this machine has run out.
 
-        Each node states, from a copy that shows the taint, when it last heard or answered the
-        machine. For a node that can't be asked its own key speaks: without it, and with the taint
-        in its copy, it does not answer this machine, and with an older copy it answers nobody for
-        longer than `max_staleness_s` (docs/safety.md, 7).
+        Each controller states, from a replica that shows the taint, when it last heard or answered
+        the machine. For one that can't be asked its own key speaks: without it, and with the taint
+        in its replica, it does not answer this machine, and with an older replica it answers
+        nobody for longer than `max_staleness_s` (docs/safety.md, 7).
         """
-        limit = self.settings.lease_s * CLOCK_DRIFT + MARGIN_S
-        last, covered = own_heard, now
+        lease_s = self.settings.lease_s * CLOCK_DRIFT + MARGIN_S
+        last_answered, known_until = own_contact_at, now
         for peer in self.settings.peers:
-            # (the latest moment at which this node may have answered, up to when that is known)
-            only, brief = self.brief.get(peer.name, ((), None))
-            said = [
-                (s.last_heard(machine), s.asked)
-                for s in (
-                    self.told.get(peer.name),
-                    self.written.get(peer.name),
-                    brief if machine in only else None,
-                )
-                if s is not None and s.revision is not None and s.revision >= taint_revision
-            ]
-            gone = self.absent.get(peer.name)
-            if gone is not None:
-                # Once broken: this node was left out of the account, though a worker that it had
-                # kept alive could go to a node whose statement was older (rules/fence.txt).
-                said.append(
-                    (
-                        max(gone, taint_seen) + self.settings.max_staleness_s * CLOCK_DRIFT,
-                        self.last_contact,
-                    )
-                )
-            if not said:
+            bound = self._tightest_bound(peer.name, machine, taint_revision, taint_seen_at)
+            if bound is None:
                 return False
-            its_last, its_covered = max(said, key=lambda pair: pair[1] - pair[0])
-            last, covered = max(last, its_last), min(covered, its_covered)
-        return last + limit < covered
+            last_answered = max(last_answered, bound[0])
+            known_until = min(known_until, bound[1])
+        return last_answered + lease_s < known_until
+
+    def _tightest_bound(
+        self, peer: str, machine: str, taint_revision: int, taint_seen_at: float
+    ) -> AnswerBound | None:
+        """The bound on a peer's answers with the longest silence; None if nothing is known."""
+        asked_about, partial_view = self.partial_views.get(peer, NO_PARTIAL_VIEW)
+        views = (
+            self.direct_views.get(peer),
+            self.table_views.get(peer),
+            partial_view if machine in asked_about else None,
+        )
+        bounds = [
+            (view.last_answered(machine), view.asked_at)
+            for view in views
+            if view is not None and view.revision is not None and view.revision >= taint_revision
+        ]
+        missing_since = self.key_missing_since.get(peer)
+        if missing_since is not None:
+            # Once broken: such a peer was left out of the account, though a machine that it had
+            # kept alive could go to a controller whose statement was older (rules/fence.txt).
+            both_seen_at = max(missing_since, taint_seen_at)
+            last_answered = both_seen_at + self.settings.max_staleness_s * CLOCK_DRIFT
+            bounds.append((last_answered, self.last_contact))
+        return max(bounds, key=silence_s, default=None)
--- /dev/null
+++ b/emberglade/agents/liveness.py
@@ -0,0 +1,58 @@
+"""What the leader is told of machines' silence, and of what it proves."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from .shared_state import AgentPart
+from .tables import TABLE_INTERVAL_S
+
+
+class MachineLiveness(NamedTuple):
+    """One machine, as all controllers together know it.
+
+    Attributes:
+        heard_at: When any controller last heard it; if none did, when this process began.
+        leases_over: Whether every lease that it may have is proven to be over.
+        unreachable: Its heartbeats arrive, answers don't reach it.
+        ever_heard: Whether any controller has heard it.
+    """
+
+    heard_at: float
+    leases_over: bool
+    unreachable: bool
+    ever_heard: bool
+
+
+class LivenessAnswers(AgentPart):
+    """Answers the leader."""
+
+    def answer(
+        self, reply: Callable[[dict[str, MachineLiveness], float], Any], tainted_only: bool
+    ) -> None:
+        """Calls `reply({machine: MachineLiveness}, slack_s)`.
+
+        For `slack_s` a machine may be heard without our knowing it: tables are older than what a
+        peer would answer; that is not the machines' silence. Nor is it a sign of life.
+        """
+        now = self.now()
+        slack_s = TABLE_INTERVAL_S if self.evidence.lacks_peer_answers(now) else 0.0
+        names = set(self.committed.taints)
+        if not tainted_only:
+            names.update(self.evidence.last_seen, self.committed.bindings.by_machine)
+        reply({name: self._liveness(name, now) for name in sorted(names)}, slack_s)
+
+    def _liveness(self, machine: str, now: float) -> MachineLiveness:
+        last_seen = self.evidence.last_seen.get(machine)
+        leases_over = machine in self.committed.taints.of and self._leases_over(machine, now)
+        if last_seen is None:
+            return MachineLiveness(self.evidence.began_at, leases_over, False, False)
+        return MachineLiveness(last_seen.heard_at, leases_over, last_seen.status.unreachable, True)
+
+    def _leases_over(self, machine: str, now: float) -> bool:
+        """Whether every lease that a tainted machine may have is proven to be over."""
+        _, taint_revision, taint_seen_at = self.committed.taints.of[machine]
+        record = self.records.get(machine)
+        own_contact = record.contact_at if record is not None else self.evidence.began_at
+        return self.evidence.proves_leases_over(
+            machine, own_contact, taint_revision, taint_seen_at, now
+        )
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -1,213 +1,177 @@
-"""The agents where workers report.
+"""The actor of this slice: puts its parts together, and is who other actors speak to."""
 
-Every node answers any worker. Commands are derived from the committed copy alone, and a start
-only from a copy synced after the report arrived; the arguments are in docs/safety.md.
-"""
+from collections.abc import Callable
+from typing import Any
 
-import logging
-
-from ..actors import callback, tell, tell_after
+from ..actors import tell, tell_after
+from ..jobs.task_updates import TaskUpdate
 from ..state import ReplicaSubscriber
-from .bindings import CommittedBindings
-from .cancellations import Cancellations
-from .commands import START, Commands
+from .agent_records import AgentRecords
+from .committed_state import CommittedState
+from .direct_commands import DirectCommands
+from .direct_halts import DirectHalts
+from .heartbeats import HeartbeatHandler, Reply
+from .inventory import MachineInventory
+from .lease_evidence import LeaseEvidence
+from .liveness import LivenessAnswers
 from .peer_exchange import PeerExchange
+from .reconciliation import Reconciler
 from .routing import Routing
+from .shared_state import SharedState
 from .tables import Tables
 from .update_forwarding import UpdateForwarding
-from .wire import agents as agent_wire
+from .wire.peers import MachineQuestion
+
+FIRST_QUESTION_S = 0.3  # after the beginning
+FIRST_TICK_S = 0.5
+FIRST_TABLE_S = 1.0
+MAX_TICK_S = 1.0
+
+
+class AgentManager(ReplicaSubscriber):
+    """Answers agents' heartbeats and commands their machines, out of the replica.
+
+    Attributes:
+        committed: What the replica shows.
+        evidence: Who heard which machine, and when.
+        records: The machines whose agents send heartbeats here.
+        routing: Which controller an agent turns to.
+        updates: Tells holders of jobs what heartbeats prove.
+        direct_commands, direct_halts: Commands that do not wait for a heartbeat.
+        inventory: The machines that the job manager may use.
+        peer_exchange, tables: What controllers tell each other of machines.
+        liveness: Answers the leader about silent machines.
+        heartbeats: Answers agents.
+    """
 
-log = logging.getLogger("emberglade.agents")
+    hears_contact = True
 
+    def __init__(
+        self,
+        settings: Any,
+        store: Any,
+        job_manager: Any,
+        member: Any,
+        peers: dict[str, Any],
+        agent_clients: Any,
+    ) -> None:
+        self.settings = settings
+        self.store = store
+        self.job_manager = job_manager
+        self.committed = CommittedState(self, settings)
+        self.evidence = LeaseEvidence(settings)
+        self.records = AgentRecords(settings, self.evidence)
+        shared = SharedState(settings, self.committed, self.evidence, self.records)
+        self.routing = Routing(settings, self.committed, self.evidence)
+        self.updates = UpdateForwarding(self, shared, store, job_manager, peers)
+        self.direct_commands = DirectCommands(self, shared, agent_clients, self.updates)
+        self.direct_halts = DirectHalts(self, shared, peers, agent_clients, self.direct_commands)
+        self.inventory = MachineInventory(self, shared, job_manager, self.routing)
+        self.peer_exchange = PeerExchange(self, shared, store, peers)
+        self.tables = Tables(self, shared, job_manager, member, self.peer_exchange)
+        self.liveness = LivenessAnswers(self, shared)
+        reconciler = Reconciler(self.committed)
+        self.heartbeats = HeartbeatHandler(
+            self, shared, store, self.routing, reconciler, self.updates, self.inventory
+        )
 
-class Known:
-    """A machine as last reported here."""
+    # --- from the actor system, the store and the member
 
-    __slots__ = ("heartbeat", "tasks", "heard", "answered", "quiet", "unreachable", "probe")
+    def on_begin(self) -> None:
+        """Handles `begin` from the actor system: subscribes to the store, starts the timers."""
+        self.evidence.began_at = self.now()
+        super().on_begin()
+        tell_after(FIRST_QUESTION_S, self.peer_exchange.on_ask_peers)
+        tell_after(FIRST_TICK_S, self.on_tick)
+        tell_after(FIRST_TABLE_S, self.tables.on_write_table)
+        tell_after(self.settings.agent_heartbeat_s, self.direct_halts.on_repeat_halts)
+
+    def on_tick(self) -> None:
+        """Handles `tick`, sent to itself every heartbeat interval, MAX_TICK_S at most."""
+        tell_after(min(MAX_TICK_S, self.settings.agent_heartbeat_s), self.on_tick)
+        self.heartbeats.answer_overdue()
+        self.updates.write_undelivered()
+        self.tables.write_early()
+        self.inventory.update_regularly()
+
+    def on_identity(self, incarnation: int) -> None:
+        """Handles `identity(incarnation)` from the member: tables are numbered by it."""
+        super().on_identity(incarnation)
+        self.tables.incarnation = incarnation
+
+    def on_contact(self, when: float, revision: int) -> None:
+        """Handles `contact(when, revision)` from the store: a sync sent at `when` was answered."""
+        self.evidence.note_sync(when, revision)
+
+    def on_changed(self, events: list, revision: int, whole: bool) -> None:
+        """Handles `changed(events, revision, whole)` from the store, and commands what follows."""
+        committed = self.committed
+        change = committed.apply(events, revision, whole)
+        for update in change.task_updates:
+            tell(self.job_manager.on_task_update, update)
+        self.evidence.compare_replicas(committed.revision)
+        if change.controllers or whole:
+            self.evidence.note_controllers(committed.controllers, self.now())
+        for node in change.controllers:
+            self.tables.read(node)
+        if not whole:
+            self.direct_commands.send(change.bindings)
+
+    # --- from agents and peers, by way of the servers
+
+    def on_heartbeat(self, data: Any, reply: Reply) -> None:
+        """Handles `heartbeat(data, reply)` from the user API: an agent's message, as it was sent.
+
+        Answered by `reply(status, body)` or `reply(status, body, seconds to wait)`.
+        """
+        self.heartbeats.handle(data, reply)
 
-    def __init__(self, heartbeat, now):
-        self.heartbeat, self.tasks = heartbeat, None
-        self.heard = self.answered = now
-        self.quiet = False  # its last report led to nothing and waited for nothing
-        self.unreachable = False  # our answers don't reach it, as far as can be seen
-        self.probe = None  # a token that it reports once it hears us again
+    def on_machine_question(
+        self, question: MachineQuestion, reply: Callable[[int, dict], Any]
+    ) -> None:
+        """Handles `machine_question(question, reply)`: a peer asks what is known of machines."""
+        self.peer_exchange.answer_question(question, reply)
 
+    def on_hear_cancellation(self, job_id: str, revision: int) -> None:
+        """Handles `hear_cancellation(job, revision)`: a peer has seen a job cancelled.
 
-class AgentManager(
-    CommittedBindings,
-    Commands,
-    UpdateForwarding,
-    Routing,
-    PeerExchange,
-    Tables,
-    Cancellations,
-    ReplicaSubscriber,
-):
-    """Answers workers' reports and commands their machines, out of the committed copy."""
+        Its word is enough to halt; that the job is cancelled is told to users from the replica
+        alone.
+        """
+        self.committed.note_announced(job_id, revision)
 
-    hears_contact = True
+    # --- from other actors of this controller
 
-    def __init__(self, settings, store, job_manager, member, peers, workers):
-        self.settings, self.store = settings, store
-        self.job_manager, self.member = job_manager, member
-        self.peers, self.workers = peers, workers
-        CommittedBindings.__init__(self)
-        UpdateForwarding.__init__(self)
-        Routing.__init__(self)
-        PeerExchange.__init__(self, settings)
-        Tables.__init__(self)
-        Cancellations.__init__(self, settings)
-        self.known = {}  # machine -> Known
-        self.last_contact = float("-inf")  # when the last sync that was answered was sent
-        self.waiting = {}  # reports that wait for a sync: number -> (known, report, reply, since)
-        self.waited = 0
-
-    def on_begin(self):
-        self.born = self.now()
-        super().on_begin()
-        tell_after(0.3, self.on_ask_peers)
-        tell_after(0.5, self.on_tick)
-        tell_after(1.0, self.on_tables)
-        tell_after(self.settings.agent_heartbeat_s, self.on_press_halts)
-
-    def on_contact(self, when, revision):
-        self.last_contact = max(self.last_contact, when)
-        self.evidence.synced(when, revision)
-
-    # --- reports
-
-    def on_heartbeat(self, data, reply):
-        try:
-            heartbeat = agent_wire.read_heartbeat(data)
-        except agent_wire.HeartbeatError as error:
-            reply(400, agent_wire.write_refusal(error))
-            return
-        now = self.now()
-        better = self.better_node(now)
-        # Peers that lose contact themselves answer questions late by up to what a sync may take
-        # (meetings/gap_silent.txt, 2).
-        level_for = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
-        if better is not None and now - self.evidence.level_since() > level_for:
-            reply(421, agent_wire.write_redirect(better))
-            return
-        name = heartbeat.machine
-        taint = self.taints.get(name)
-        if not self.entitled(now) or (taint and self.settings.node not in self.nodes):
-            # What this node tells could be older than a cancellation, or the proof that this
-            # machine's leases are over counts on its silence.
-            reply(503, agent_wire.write_refusal("no contact with the state service"), 1)
-            return
-        home = self.home_node(heartbeat, now) if not taint else None
-        if home is not None:
-            reply(421, agent_wire.write_redirect(home))
-            return
-        last_seen = self.evidence.view.get(name)
-        if (last_seen is not None and last_seen.age >= heartbeat.age) or taint == "gone":
-            # A copy that came late, perhaps of a machine that was returned: no sign of life. The
-            # lease that its answer could renew is one that the newer message renewed already.
-            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
-            return
-        known = self.known.get(name)
-        fresh = known is None
-        if fresh:
-            known = self.known[name] = Known(heartbeat, now)
-        self.listen(known, heartbeat, last_seen, now)
-        before, known.heartbeat = known.heartbeat, heartbeat
-        known.heard = known.answered = now
-        self.evidence.view[name] = self.last_seen(known)
-        if fresh:
-            self.newcomers.append(name)
-            self.soon_inventory()
-        if (
-            known.quiet
-            and known.tasks is not None
-            and name not in self.touched
-            and heartbeat.raw_tasks == before.raw_tasks
-            and heartbeat.agent_epoch == before.agent_epoch
-            and heartbeat.spot_notice_s is None
-            and not known.unreachable
-        ):
-            # Nothing is new: most reports end here, and most of the processor's time is reports.
-            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
-            return
-        try:
-            known.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
-        except agent_wire.HeartbeatError as error:
-            known.tasks = None
-            reply(400, agent_wire.write_refusal(error))
-            return
-        if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
-            self.soon_inventory()
-        self.touched.discard(name)
-        told = self.tell_holders(heartbeat, known.tasks)
-        fencing_token, commands, more = self.commands(known, False)
-        known.quiet = (
-            not (
-                told
-                or commands
-                or more
-                or fencing_token > heartbeat.fencing_token
-                or known.unreachable
-            )
-            and heartbeat.spot_notice_s is None
-        )
-        if more == START and better is not None and not commands:
-            # This node knows what the others know, but a start needs one that can sync. Nobody is
-            # sent away for less: a worker that can't reach the other loses its lease on the way
-            # (meetings/gap_silent.txt).
-            reply(421, agent_wire.write_redirect(better))
-        elif more:
-            self.waited += 1
-            self.waiting[self.waited] = (known, heartbeat, reply, now)
-            tell(self.store.on_sync, callback(self.on_synced, self.waited))
-        else:
-            self.answer(known, heartbeat, False, reply)
-
-    def on_synced(self, number, revision):
-        waiting = self.waiting.pop(number, None)
-        if waiting is not None:
-            known, heartbeat, reply, _ = waiting
-            self.answer(known, heartbeat, revision is not None, reply)
-
-    def answer_late(self, now):
-        """A worker gives a report up after some seconds; one that the state service keeps waiting
-        is answered before, without what only a sync allows.
+    def on_confirm_cancellation(self, job_id: str) -> None:
+        """Handles `confirm_cancellation(job)` from the user API, which tells a user so.
+
+        Its replica shows the cancellation.
         """
-        for number, (known, heartbeat, reply, since) in list(self.waiting.items()):
-            if now - since > self.settings.agent_heartbeat_s:
-                del self.waiting[number]
-                self.answer(known, heartbeat, False, reply)
-
-    def answer(self, known, heartbeat, synced, reply):
-        if known.heartbeat is not heartbeat:
-            # A newer message came in between; its own answer says what is to be done.
-            reply(200, agent_wire.write_answer(heartbeat.fencing_token))
-            return
-        known.answered = self.now()
-        fencing_token, commands, _ = self.commands(known, synced)
-        reply(200, agent_wire.write_answer(fencing_token, commands))
-
-    def listen(self, known, heartbeat, last_seen, now):
-        """Recognises a machine whose reports arrive while our answers don't reach it.
-
-        Its leases end although it was answered all the time. It gets no more work, and is offered a
-        token that it has not seen; once it reports that token, it hears us.
+        self.direct_halts.confirm(job_id)
+
+    def on_peer_dead(self, name: str) -> None:
+        """Handles `peer_dead(name)` from the peer monitor.
+
+        Its halts may not have been sent: every survivor sends those that are due, at once.
+        """
+        self.direct_halts.replace_dead_peer()
+
+    def on_liveness(self, view: Any) -> None:
+        """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
+        self.routing.suspected = view.suspected
+
+    def on_ready(self, reply: Callable[[bool], Any]) -> None:
+        """Handles `ready(reply)` from the user API: whether this controller serves users well."""
+        connected_peer = self.routing.connected_peer(self.now())
+        reply(self.committed.revision >= 0 and connected_peer is None)
+
+    def on_ask_stop(self, update: TaskUpdate) -> None:
+        """Handles `ask_stop(update)` from the job manager: another controller holds the task."""
+        self.updates.forward(update)
+
+    def on_ask_liveness(self, reply: Callable[..., Any], tainted_only: bool = False) -> None:
+        """Handles `ask_liveness(reply, tainted_only)` from the autoscaler, for the leader.
+
+        Answered by `reply({machine: MachineLiveness}, slack_s)`, see `LivenessAnswers.answer`.
         """
-        lease, agent_heartbeat_s = self.settings.lease_s, self.settings.agent_heartbeat_s
-        if last_seen is not None and not known.unreachable:
-            early = (
-                heartbeat.agent_epoch > last_seen.row.agent_epoch
-                and now - last_seen.heard < lease - 2 * agent_heartbeat_s
-            )
-            if early or last_seen.row.unreachable:
-                known.unreachable, known.probe = True, None
-                if early:
-                    self.newly_unreachable.append(heartbeat.machine)
-                self.soon_inventory()
-        if known.unreachable:
-            if known.probe is not None and heartbeat.fencing_token >= known.probe:
-                known.unreachable, known.probe = False, None
-                self.newly_reachable.append(heartbeat.machine)
-                self.soon_inventory()
-            elif known.probe is None and self.revision > heartbeat.fencing_token:
-                known.probe = self.revision
+        self.liveness.answer(reply, tainted_only)
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -1,259 +1,166 @@
-"""What the nodes tell each other, and the job_manager and the leader, about machines."""
+"""What the controllers ask and answer each other about machines."""
 
 import logging
+from collections.abc import Callable
+from typing import Any
 
-from ..actors import callback, tell, tell_after
-from ..placement import Machine
+from ..actors import Actor, callback, tell, tell_after
 from ..state import wire as state_wire
-from .lease_evidence import LastSeen, LeaseEvidence
-from .tables import TABLE_S
+from .lease_evidence import NEVER
+from .shared_state import AgentPart, SharedState
 from .wire import peers as peer_wire
+from .wire.peers import MachineQuestion
 
 log = logging.getLogger("emberglade.agents")
 
 MAX_ASKED = 1000  # machines in one question, so that it stays well below 64 KiB
+MAX_PROOF_INTERVAL_S = 1.0  # four questions in this time about machines whose tasks wait for proof
+
+
+class PeerExchange(AgentPart):
+    """Asks peers for their views of the machines, and answers with this controller's.
+
+    Attributes:
+        asked_by: {peer: when it last asked here, and so could get an answer}.
+    """
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        store: Any,
+        peers: dict[str, Any],
+    ) -> None:
+        super().__init__(actor, shared)
+        self.store = store
+        self.peers = peers
+        self.asked_by: dict[str | None, float] = {}
+        self.awaiting_answer: dict[str, float] = {}  # peer -> when it was asked
+        self.asked_for_all_at = NEVER
+        self.next_lost = 0  # where among the lost machines the next question begins
+
+    def lacks_peer(self, now: float) -> bool:
+        """Whether a live peer and this controller don't hear each other."""
+        lately = now - 2 * self.settings.agent_heartbeat_s
+        direct_views = self.evidence.direct_views
+        return any(
+            self.asked_by.get(name, NEVER) < lately
+            or name not in direct_views
+            or direct_views[name].asked_at < lately
+            for name in self.peers
+            if name in self.committed.controllers
+        )
 
+    # --- asking
 
-class PeerExchange:
-    """The part of the agent manager that asks peers, and says what machines there are."""
-
-    inventory_due = False
-
-    def __init__(self, settings):
-        self.evidence = LeaseEvidence(settings)
-        self.asked_by = {}  # peer -> when it last asked here, and so could get an answer
-        self.asked = {}  # peer -> when it was asked
-        self.asked_whole = float("-inf")
-        self.asked_from = 0  # where among the lost machines the next question begins
-        self.inventory, self.inventory_told = {}, float("-inf")
-        self.newcomers = []
-        self.newly_unreachable, self.newly_reachable = [], []
+    def on_ask_peers(self) -> None:
+        """Handles `ask_peers`, sent to itself: asks peers what they know of machines.
 
-    def on_ask_peers(self):
-        """Asks peers for all machines now and then, and more often for those whose tasks wait for
-        proof.
+        Of all now and then, and more often of those whose tasks wait for proof.
         """
         now = self.now()
-        often, interval = (
-            min(1.0, self.settings.agent_heartbeat_s) / 4,
-            self.settings.peer_exchange_s,
-        )
-        lost = [
-            name for name, taint in self.taints.items() if taint == "lost" and name in self.bindings
+        proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
+        interval_s = self.settings.peer_exchange_s
+        lost = self._lost_machines()
+        tell_after(proof_interval_s if lost else interval_s, self.on_ask_peers)
+        if now - self.asked_for_all_at >= interval_s - proof_interval_s / 2:
+            self.asked_for_all_at = now
+            self._ask(None, now)
+        elif lost:
+            self._ask(self._next_asked(lost), now)
+
+    def _lost_machines(self) -> list[str]:
+        """The machines whose tasks wait for proof that their leases are over."""
+        return [
+            name
+            for name, taint in self.committed.taints.items()
+            if taint == "lost" and name in self.committed.bindings.by_machine
         ]
-        tell_after(often if lost else interval, self.on_ask_peers)
-        whole = now - self.asked_whole >= interval - often / 2
-        if not whole and not lost:
-            return
-        if whole:
-            self.asked_whole = now
-        only = None if whole else self.next_asked(lost)
+
+    def _next_asked(self, lost: list[str]) -> list[str]:
+        """The machines that the next question is about: all, or in turns if they are too many."""
+        first = self.next_lost if self.next_lost < len(lost) else 0
+        self.next_lost = first + MAX_ASKED
+        return lost[first : first + MAX_ASKED]
+
+    def _ask(self, machines: list[str] | None, now: float) -> None:
+        """Asks all peers about these machines, None: about all, but peers that are still asked."""
+        asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
-            if now - self.asked.get(name, -100) < 3 * self.settings.agent_heartbeat_s:
+            if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
                 continue
-            self.asked[name] = now
+            self.awaiting_answer[name] = now
             link.call(
                 "POST",
                 peer_wire.MACHINES_PATH,
-                peer_wire.write_question(self.settings.node, only),
+                peer_wire.write_question(self.settings.node, machines),
                 2 * self.settings.agent_heartbeat_s,
-                callback(self.on_peer_heard, name, now, None if whole else frozenset(only)),
+                callback(self.on_peer_answer, name, now, asked_about),
             )
 
-    def next_asked(self, lost):
-        """The machines that the next question is about: all, or in turns if they are too many."""
-        first = self.asked_from if self.asked_from < len(lost) else 0
-        self.asked_from = first + MAX_ASKED
-        return lost[first : first + MAX_ASKED]
-
-    def on_tick(self):
-        tell_after(min(1.0, self.settings.agent_heartbeat_s), self.on_tick)
-        self.answer_late(self.now())
-        self.write_updates()
-        if self.needs_rows(self.now()) and not self.rows_in_table:
-            self.ask_for_table()
-        if self.now() - self.inventory_told >= self.settings.peer_exchange_s:
-            self.tell_inventory()
-
-    def last_seen(self, known):
-        row = peer_wire.MachineStatus._make(self.row(known, known.heard))
-        return LastSeen(row, max(known.heard, known.answered))
-
-    @staticmethod
-    def row(known, now):
-        """The values of a MachineStatus."""
-        age_s = now - max(known.heard, known.answered)
-        return peer_wire.machine_values(known.heartbeat, age_s, known.unreachable)
-
-    def rows(self, now, within, only=None):
-        """{machine: a Row's values} of what reported here lately, or ever if nobody has newer news
-        of it.
-
-        Workers go from node to node: without the latter half, each node would soon tell of them
-        all.
-        """
-        rows, view = {}, self.evidence.view
-        for name, known in (
-            self.known.items()
-            if only is None
-            else [(n, self.known[n]) for n in only if n in self.known]
+    def on_peer_answer(
+        self,
+        name: str,
+        asked_at: float,
+        asked_about: frozenset[str] | None,
+        status: int,
+        body: Any,
+    ) -> None:
+        """Handles a peer's answer to a question asked at `asked_at`."""
+        self.awaiting_answer.pop(name, None)
+        if status != 200:
+            return
+        if not self.evidence.add_answer(name, asked_at, self.now(), body, asked_about):
+            log.info("%s sent a malformed answer about machines; it is asked again", name)
+        elif asked_about is None:
+            self.evidence.compare_replicas(self.committed.revision)
+            self._fetch_changes(name)
+
+    def _fetch_changes(self, peer: str) -> None:
+        """Fetches what the store committed from a peer, if it has more and the store is away."""
+        revision = self.committed.revision
+        contact_age_s = self.now() - self.evidence.last_contact
+        if (
+            self.evidence.direct_views[peer].replica_revision <= revision
+            or revision < 0
+            or contact_age_s <= self.settings.agent_heartbeat_s / 2
         ):
-            quiet = now - known.heard
-            if quiet >= within:
-                if quiet >= 10 * self.settings.lease_s:
-                    continue
-                last_seen = view.get(name)
-                if last_seen is not None and last_seen.age > known.heartbeat.age:
-                    continue
-            rows[name] = self.row(known, now)
-        return rows
+            return
+        self.peers[peer].call(
+            "POST",
+            peer_wire.REPLICA_CHANGES_PATH,
+            state_wire.since(revision),
+            2 * self.settings.agent_heartbeat_s,
+            lambda status, body: tell(self.store.on_changes_of_peer, revision, status, body),
+        )
+
+    # --- answering
 
-    def on_heard(self, question, reply):
-        """A peer asks what is known here; answered from a copy synced after the question.
+    def answer_question(self, question: MachineQuestion, reply: Callable[[int, dict], Any]) -> None:
+        """Answers a peer, from a replica synced after it asked.
 
-        Without contact a sync may take longer than the peer waits; what the copy's revision says it
-        needs at once (meetings/gap_silent.txt).
+        Without contact a sync may take longer than the peer waits; what the replica's revision
+        says it needs at once (meetings/gap_silent.txt).
         """
-        self.asked_by[question.asker] = self.now()
-        if self.now() - self.last_contact > self.settings.lease_s / 4:
-            self.on_heard_synced(question.machines, reply, None)
+        now = self.now()
+        self.asked_by[question.asker] = now
+        if now - self.evidence.last_contact > self.settings.lease_s / 4:
+            self.on_question_synced(question.machines, reply, None)
             return
-        tell(self.store.on_sync, callback(self.on_heard_synced, question.machines, reply))
+        tell(self.store.on_sync, callback(self.on_question_synced, question.machines, reply))
 
-    def on_heard_synced(self, only, reply, revision):
+    def on_question_synced(
+        self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
+    ) -> None:
+        """Handles the store's answer to the sync that a question waits for; None: it failed."""
         now = self.now()
         reply(
             200,
             peer_wire.write_machine_view(
-                now - self.born,
-                now - self.last_contact,
+                now - self.evidence.began_at,
+                now - self.evidence.last_contact,
                 revision,
-                self.revision,
-                self.rows(now, 2 * self.settings.lease_s, only),
+                self.committed.revision,
+                self.records.known_machines(now, 2 * self.settings.lease_s, machines),
             ),
         )
-
-    def on_peer_heard(self, name, asked, only, status, body):
-        self.asked.pop(name, None)
-        if status == 200 and not self.evidence.hear(name, asked, self.now(), body, only):
-            log.info("%s made an odd statement; it is asked again", name)
-        elif status == 200 and only is None:
-            self.evidence.compare_replicas(self.revision)
-            if (
-                self.evidence.told[name].replica_revision > self.revision >= 0
-                and self.now() - self.last_contact > self.settings.agent_heartbeat_s / 2
-            ):
-                # The state service is out of reach here. What it committed may be had from this
-                # peer.
-                self.peers[name].call(
-                    "POST",
-                    peer_wire.REPLICA_CHANGES_PATH,
-                    state_wire.since(self.revision),
-                    2 * self.settings.agent_heartbeat_s,
-                    lambda status, body, since=self.revision: tell(
-                        self.store.on_changes_of_peer, since, status, body
-                    ),
-                )
-
-    def soon_inventory(self):
-        if not self.inventory_due:
-            self.inventory_due = True
-            tell_after(self.settings.agent_heartbeat_s / 8, self.on_inventory)
-
-    def on_inventory(self):
-        self.inventory_due = False
-        if self.newcomers:
-            # After a restart hundreds come at once: one line for all.
-            log.info(
-                "%d machines begin to report here: %s%s",
-                len(self.newcomers),
-                " ".join(self.newcomers[:8]),
-                " and others" if len(self.newcomers) > 8 else "",
-            )
-            self.newcomers = []
-        for names, text in (
-            (
-                self.newly_unreachable,
-                "%d machines lost their lease although they were answered; "
-                "they get no work until they hear us: %s%s",
-            ),
-            (self.newly_reachable, "%d machines hear us again: %s%s"),
-        ):
-            if names:
-                log.info(
-                    text, len(names), " ".join(names[:8]), " and others" if len(names) > 8 else ""
-                )
-                names.clear()
-        self.tell_inventory()
-
-    def tell_inventory(self):
-        now = self.now()
-        for name in [
-            n for n, k in self.known.items() if now - k.heard > 10 * self.settings.lease_s
-        ]:
-            del self.known[name]
-        self.sent_home = {
-            name: at for name, at in self.sent_home.items() if now - at < 4 * self.settings.lease_s
-        }
-        self.evidence.forget_old(now)
-        fresh = 3 * self.settings.agent_heartbeat_s + 1
-        if self.evidence.missing_peers(now):
-            # Their tables come less often than their answers would.
-            fresh += TABLE_S
-        inventory = {}
-        for name, last_seen in self.evidence.view.items():
-            row = last_seen.row
-            if row.type in self.machine_types:
-                usable = (
-                    now - last_seen.heard < fresh and not row.spot_notice and not row.unreachable
-                )
-                old = self.inventory.get(name)
-                if (
-                    old is None
-                    or (old.agent_epoch, old.open) != (row.agent_epoch, usable)
-                    or old.type is not self.machine_types[row.type]
-                ):
-                    old = Machine(
-                        name,
-                        self.machine_types[row.type],
-                        row.zone,
-                        row.spot,
-                        row.agent_epoch,
-                        usable,
-                    )
-                inventory[name] = old
-        self.inventory, self.inventory_told = inventory, now
-        tell(self.job_manager.on_inventory, inventory)
-
-    def on_silence(self, reply, tainted=False):
-        """`reply({machine: (heard, proven over, unreachable, whether it ever was)}, slack)` for the
-        leader; of tainted machines only if so asked. Who was never heard counts from when this
-        process began.
-        """
-        now = self.now()
-        result = {}
-        # Tables are older than what a peer would answer; that is not the machines' silence. Nor is
-        # it a sign of life.
-        slack = TABLE_S if self.evidence.missing_peers(now) else 0.0
-        for name in sorted(
-            set(self.taints)
-            if tainted
-            else set(self.evidence.view) | set(self.bindings) | set(self.taints)
-        ):
-            last_seen, known, taint = (
-                self.evidence.view.get(name),
-                self.known.get(name),
-                self.taints.of.get(name),
-            )
-            own = max(known.heard, known.answered) if known else self.born
-            heard = last_seen.heard if last_seen is not None else self.born
-            proven = taint is not None and self.evidence.proven_over(
-                name, own, taint[1], taint[2], now
-            )
-            result[name] = (
-                heard,
-                proven,
-                last_seen is not None and last_seen.row.unreachable,
-                last_seen is not None,
-            )
-        reply(result, slack)
--- /dev/null
+++ b/emberglade/agents/reachability.py
@@ -0,0 +1,63 @@
+"""Machines whose heartbeats arrive while our answers don't reach them."""
+
+from typing import Any
+
+from .agent_records import AgentRecord
+from .committed_state import CommittedState
+from .inventory import MachineInventory
+from .lease_evidence import LastSeen
+from .wire.agents import AgentHeartbeat
+
+
+class Reachability:
+    """Recognises them, and when they hear us again (docs/safety.md, 12).
+
+    The leases of such a machine end although it was answered all the time. It gets no more work,
+    and is offered a fencing token that it has not seen; once its heartbeats show that, it hears us.
+    """
+
+    def __init__(
+        self, settings: Any, committed: CommittedState, inventory: MachineInventory
+    ) -> None:
+        self.settings = settings
+        self.committed = committed
+        self.inventory = inventory
+
+    def track(
+        self,
+        record: AgentRecord,
+        heartbeat: AgentHeartbeat,
+        last_seen: LastSeen | None,
+        now: float,
+    ) -> None:
+        """Takes a new heartbeat into account; `last_seen` is the machine as known before it."""
+        if last_seen is not None and not record.unreachable:
+            self._find_unreachable(record, heartbeat, last_seen, now)
+        if record.unreachable:
+            self._probe(record, heartbeat)
+
+    def _find_unreachable(
+        self, record: AgentRecord, heartbeat: AgentHeartbeat, last_seen: LastSeen, now: float
+    ) -> None:
+        lease_ended_early = (
+            heartbeat.agent_epoch > last_seen.status.agent_epoch
+            and now - last_seen.heard_at
+            < self.settings.lease_s - 2 * self.settings.agent_heartbeat_s
+        )
+        if lease_ended_early or last_seen.status.unreachable:
+            record.unreachable = True
+            record.probe_token = None
+            if lease_ended_early:
+                self.inventory.newly_unreachable.append(heartbeat.machine)
+            self.inventory.update_soon()
+
+    def _probe(self, record: AgentRecord, heartbeat: AgentHeartbeat) -> None:
+        """Offers a machine that does not hear us a new fencing token, or sees that it has one."""
+        if record.probe_token is None:
+            if self.committed.revision > heartbeat.fencing_token:
+                record.probe_token = self.committed.revision
+        elif heartbeat.fencing_token >= record.probe_token:
+            record.unreachable = False
+            record.probe_token = None
+            self.inventory.newly_reachable.append(heartbeat.machine)
+            self.inventory.update_soon()
--- /dev/null
+++ b/emberglade/agents/reconciliation.py
@@ -0,0 +1,165 @@
+"""Reconciliation: what a machine runs is compared with what is committed for it.
+
+The difference becomes commands. They are derived from the replica alone; why none of them can do
+harm, however late it comes, is argued in docs/safety.md, 4 to 6.
+"""
+
+import logging
+from dataclasses import dataclass, field
+from enum import Enum
+
+from ..jobs.record import KEEP, SAVE, task_name
+from .agent_records import AgentRecord
+from .bindings import CommittedBindings, DesiredTask
+from .committed_state import CommittedState
+from .wire.agents import (
+    EXITED,
+    SAVING,
+    ClearTask,
+    Command,
+    HaltTask,
+    StartTask,
+    TaskKey,
+    TaskStatus,
+)
+
+log = logging.getLogger("emberglade.agents")
+
+# A task that is to save a checkpoint gets so much more than its job says it takes.
+SAVE_FACTOR = 1.5
+SAVE_EXTRA_S = 1
+
+
+class SyncNeed(Enum):
+    """What would be commanded from a replica synced after the heartbeat arrived."""
+
+    CLEAR = "clear"  # or a halt of what the replica does not show
+    START = "start"
+
+
+@dataclass(slots=True)
+class Reconciliation:
+    """What an agent is to be told.
+
+    Attributes:
+        sync_need: What more a sync would allow.
+    """
+
+    fencing_token: int
+    commands: list[Command] = field(default_factory=list)
+    sync_need: SyncNeed | None = None
+
+    def fence(self, revision: int) -> None:
+        """Raises the fencing token to at least this revision."""
+        self.fencing_token = max(self.fencing_token, revision)
+
+
+def halt_command(bindings: CommittedBindings, key: TaskKey, attempt: int, stop: int) -> HaltTask:
+    """The command to stop an attempt of a live job: STOP at once, or SAVE a checkpoint first."""
+    if stop != SAVE:
+        return HaltTask(key, attempt, 0)
+    save_s = bindings.jobs[key[0]].spec.checkpoint_save_s
+    return HaltTask(key, attempt, save_s * SAVE_FACTOR + SAVE_EXTRA_S)
+
+
+class Reconciler:
+    """Compares one machine at a time."""
+
+    def __init__(self, committed: CommittedState) -> None:
+        self.committed = committed
+        self.bindings = committed.bindings
+
+    def reconcile(self, record: AgentRecord, synced: bool) -> Reconciliation:
+        """What to tell the agent of this record; `synced`: from a replica synced after it spoke."""
+        heartbeat = record.heartbeat
+        tasks = record.tasks or {}
+        desired_tasks = self.bindings.of_machine(heartbeat.machine)
+        result = Reconciliation(max(heartbeat.fencing_token, record.probe_token or 0))
+        for key, status in tasks.items():
+            desired = desired_tasks.get(key)
+            if desired is None or desired.attempt != status.attempt:
+                self._end_undesired(result, heartbeat.machine, key, status, synced)
+            elif status.state is not EXITED:
+                self._stop_if_committed(result, key, status, desired)
+            # Else its job's holder is told; it is cleared once the exit is committed.
+        may_start = self._may_start(record)
+        for key, desired in desired_tasks.items():
+            found = tasks.get(key)
+            present = found is not None and found.attempt == desired.attempt
+            if not present and desired.agent_epoch == heartbeat.agent_epoch:
+                self._start_absent(result, key, found, desired, may_start, synced)
+        return result
+
+    def _may_start(self, record: AgentRecord) -> bool:
+        """Whether anything new is started on a machine."""
+        return not (
+            record.heartbeat.machine in self.committed.taints
+            or record.unreachable
+            or record.heartbeat.spot_notice_s is not None
+        )
+
+    def _stop_if_committed(
+        self, result: Reconciliation, key: TaskKey, status: TaskStatus, desired: DesiredTask
+    ) -> None:
+        """Handles a task that belongs on the machine, and has not ended."""
+        stop, stop_seen = self.bindings.stop_of(key, desired)
+        if stop == KEEP:
+            return
+        result.fence(stop_seen)
+        if stop != SAVE or status.state is not SAVING:
+            result.commands.append(halt_command(self.bindings, key, status.attempt, stop))
+
+    def _end_undesired(
+        self,
+        result: Reconciliation,
+        machine: str,
+        key: TaskKey,
+        status: TaskStatus,
+        synced: bool,
+    ) -> None:
+        """Handles an attempt that does not belong on the machine, as far as the replica shows."""
+        exited = status.state is EXITED
+        cancelled = self.committed.cancelled
+        if not exited and key[0] in cancelled:
+            # Whatever the replica lacks, nothing of a cancelled job is wanted anywhere.
+            result.fence(cancelled.revision(key[0]))
+            result.commands.append(HaltTask(key, status.attempt, 0))
+        elif not synced:
+            result.sync_need = result.sync_need or SyncNeed.CLEAR
+        elif exited:
+            # Fenced: no start of this attempt that is still on its way can follow the clear.
+            result.fence(self.committed.revision)
+            result.commands.append(ClearTask(key, status.attempt))
+        else:
+            log.info(
+                "%s attempt %d on %s is not wanted there; stopping it",
+                task_name(*key),
+                status.attempt,
+                machine,
+            )
+            result.fence(self.committed.revision)
+            result.commands.append(HaltTask(key, status.attempt, 0))
+
+    def _start_absent(
+        self,
+        result: Reconciliation,
+        key: TaskKey,
+        found: TaskStatus | None,
+        desired: DesiredTask,
+        may_start: bool,
+        synced: bool,
+    ) -> None:
+        """Handles a task that belongs on the machine and is not there; `found`: another attempt."""
+        stop, stop_seen = self.bindings.stop_of(key, desired)
+        if stop != KEEP:
+            # With this fencing token seen, no late start can bring it back.
+            result.fence(stop_seen)
+            return
+        if found is not None and found.state is not EXITED:
+            return  # the other attempt is being stopped first
+        if not may_start:
+            return
+        if synced:
+            result.commands.append(StartTask(key, desired.attempt))
+        else:
+            result.sync_need = SyncNeed.START
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -1,91 +1,110 @@
-"""Which controller may answer a worker, and which one it had better report to."""
+"""Whether this controller may answer agents, and which one they had better turn to."""
 
-import logging
 import zlib
+from collections.abc import Set
+from typing import Any
 
-log = logging.getLogger("emberglade.agents")
+from .committed_state import CommittedState
+from .lease_evidence import NEVER, LeaseEvidence, PeerMachineView
+from .wire.agents import AgentHeartbeat
+
+REDIRECT_LEASES = 4  # a machine is sent to its own zone once in so many leases
+MAX_SHARE = 3  # of machines that a controller is sent, as a multiple of an even share
 
 
 class Routing:
-    """The part of the agent manager that sends workers elsewhere."""
+    """Decides where agents are sent."""
 
-    def __init__(self):
-        self.sent_home = {}  # machine -> when it was sent to a node in its own zone
-        self.tried_home = {}  # node -> when a worker was last sent there
-        self.suspected = frozenset()  # controllers that no worker is sent to
+    def __init__(self, settings: Any, committed: CommittedState, evidence: LeaseEvidence) -> None:
+        self.settings = settings
+        self.committed = committed
+        self.evidence = evidence
+        self.redirected_at: dict[str, float] = {}  # machine -> when it was sent to its own zone
+        self.tried_at: dict[str, float] = {}  # controller -> when a machine was last sent there
+        self.suspected: Set[str] = frozenset()  # controllers that no agent is sent to
 
-    def entitled(self, now):
-        """Whether no cancellation that this copy lacks can have been told to its user longer than
-        `max_staleness_s` ago.
+    def may_answer(self, now: float) -> bool:
+        """Whether this controller is entitled to answer agents (docs/safety.md, 8).
 
-        Either a sync was answered since, or every peer has stated since that its copy is no newer
-        than this one: whatever a controller tells a user is in its own copy before (docs/safety.md,
-        8).
+        It is if no cancellation that its replica lacks can have been told to its user longer than
+        `max_staleness_s` ago. Either a sync was answered since, or every peer has stated since
+        that its replica is no newer than this one: whatever a controller tells a user is in its
+        own replica before.
         """
-        if self.revision < 0:
+        if self.committed.revision < 0:
             return False
         max_staleness_s = self.settings.max_staleness_s
         return (
-            now - self.last_contact <= max_staleness_s
-            or now - self.evidence.level_since() <= max_staleness_s
+            now - self.evidence.last_contact <= max_staleness_s
+            or now - self.evidence.caught_up_since() <= max_staleness_s
         )
 
-    def better_node(self, now):
-        """A node that can follow the state service while this one can't."""
-        quarter = self.settings.lease_s / 4
-        if now - self.last_contact < quarter:
+    def connected_peer(self, now: float) -> str | None:
+        """A controller that can follow the store while this one can't."""
+        quarter_lease_s = self.settings.lease_s / 4
+        if now - self.evidence.last_contact < quarter_lease_s:
             return None
-        for name, said in self.evidence.told.items():
-            if (
-                now - said.got < 2 * self.settings.agent_heartbeat_s
-                and said.contact_age_s + now - said.got < quarter
-            ):
+        for name, view in self.evidence.direct_views.items():
+            if self._has_contact(view, now):
                 return name
         return None
 
-    def home_node(self, heartbeat, now):
-        """A node in the worker's own zone that can take it, if it is not there already.
+    def peer_in_zone_of(self, heartbeat: AgentHeartbeat, now: float) -> str | None:
+        """A controller in the machine's own zone that can take it, if it is not there already.
 
-        When a zone is cut off, its workers need their lease renewed by a node inside. Once broken:
-        most reported to nodes outside, and with five of them the search for the one inside took
-        longer than a lease (agents/zone_with_five.txt). A worker is sent once in four leases, so
-        that one which can't reach that node stays where it is heard.
+        When a zone is cut off, its machines need their lease renewed by a controller inside. Once
+        broken: most turned to controllers outside, and with five of them the search for the one
+        inside took longer than a lease (agents/zone_with_five.txt). A machine is sent once in
+        REDIRECT_LEASES, so that one which can't reach that controller stays where it is heard.
         """
-        settings, name = self.settings, heartbeat.machine
+        machine = heartbeat.machine
         if (
-            heartbeat.zone == settings.zone
+            heartbeat.zone == self.settings.zone
             or heartbeat.spot_notice_s is not None
-            or now - self.sent_home.get(name, float("-inf")) < 4 * settings.lease_s
+            or now - self.redirected_at.get(machine, NEVER)
+            < REDIRECT_LEASES * self.settings.lease_s
         ):
             return None
-        inside = []
-        for peer in settings.peers:
-            said = self.evidence.told.get(peer.name)
-            if (
-                peer.zone == heartbeat.zone
-                and peer.name in self.nodes
-                and peer.name not in self.suspected
-                and said is not None
-                and now - said.got < 2 * settings.agent_heartbeat_s
-                and said.contact_age_s + now - said.got < settings.lease_s / 4
-                # It hears workers, or is to show by one now and then that it does.
-                and (
-                    said.hearing
-                    or now - self.tried_home.get(peer.name, float("-inf")) > settings.lease_s / 4
-                )
-                # One node is not to hear them all, if most machines are in its zone.
-                and said.hearing <= 3 * len(self.evidence.view) / settings.size
-            ):
-                inside.append(peer.name)
+        inside = [
+            peer.name
+            for peer in self.settings.peers
+            if peer.zone == heartbeat.zone and self._takes_machines(peer.name, now)
+        ]
         if not inside:
             return None
-        chosen = inside[zlib.crc32(name.encode()) % len(inside)]
-        self.sent_home[name] = self.tried_home[chosen] = now
+        chosen = inside[zlib.crc32(machine.encode()) % len(inside)]
+        self.redirected_at[machine] = now
+        self.tried_at[chosen] = now
         return chosen
 
-    def on_liveness(self, view):
-        """Who can be relied on has changed."""
-        self.suspected = view.suspected
+    def forget_old(self, now: float) -> None:
+        """Forgets machines that may be sent to their own zone again."""
+        after_s = REDIRECT_LEASES * self.settings.lease_s
+        self.redirected_at = {
+            name: sent_at for name, sent_at in self.redirected_at.items() if now - sent_at < after_s
+        }
+
+    def _has_contact(self, view: PeerMachineView, now: float) -> bool:
+        """Whether a peer has answered lately and had contact with the store lately."""
+        return (
+            now - view.received_at < 2 * self.settings.agent_heartbeat_s
+            and view.contact_age_at(now) < self.settings.lease_s / 4
+        )
 
-    def on_ready(self, reply):
-        reply(self.revision >= 0 and self.better_node(self.now()) is None)
+    def _takes_machines(self, peer: str, now: float) -> bool:
+        """Whether a peer is fit for more machines."""
+        view = self.evidence.direct_views.get(peer)
+        return (
+            peer in self.committed.controllers
+            and peer not in self.suspected
+            and view is not None
+            and self._has_contact(view, now)
+            # It hears machines, or is to show by one now and then that it does.
+            and bool(
+                view.machines_hearing
+                or now - self.tried_at.get(peer, NEVER) > self.settings.lease_s / 4
+            )
+            # One controller is not to hear them all, if most machines are in its zone.
+            and view.machines_hearing
+            <= MAX_SHARE * len(self.evidence.last_seen) / self.settings.size
+        )
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -1,99 +1,121 @@
-"""Tables in the state service: counts, and machines while controllers don't hear each other."""
+"""Tables in the store: counts, and machines while controllers don't hear each other."""
 
 import logging
+from typing import Any
 
 import orjson
 
-from ..actors import callback, tell, tell_after
+from ..actors import Actor, callback, tell, tell_after
+from .peer_exchange import PeerExchange
+from .shared_state import AgentPart, SharedState
 from .wire import tables as table_wire
 
 log = logging.getLogger("emberglade.agents")
 
-
-TABLE_S = 5.0  # the DESIGN page's interval of tables
+TABLE_INTERVAL_S = 5.0  # the DESIGN page's
 FRAME_BYTES = 96  # of a table's value: the node's incarnation, the table's number and field names
-# Of a table, however much the state service takes: transactions are limited too.
+ENTRY_BYTES = 4  # of a machine in it, besides its name and values
+# Of a table, however much the store takes: transactions are limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
 
-class Tables:
-    """The part of the agent manager that writes its own table and reads those of peers."""
-
-    def __init__(self):
-        self.tables = {}  # node -> {key: data}
-        self.table_number = 0
-        self.rows_in_table = False  # whether the last table held machines
-
-    def on_tables(self):
-        tell_after(TABLE_S, self.on_tables)
-        self.ask_for_table()
-
-    def ask_for_table(self):
-        tell(self.job_manager.on_demand, callback(self.on_table_demand))
-
-    def needs_rows(self, now):
-        """Whether a live peer and this controller don't hear each other, so that only tables tell
-        of machines.
-
-        Rows of machines are most of a table, and tables were most of what a quiet cluster wrote.
+class Tables(AgentPart):
+    """Writes this controller's table and reads those of its peers.
+
+    Attributes:
+        incarnation: This process's, once it is known.
+        has_machines: Whether the last table held machines.
+    """
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        job_manager: Any,
+        member: Any,
+        exchange: PeerExchange,
+    ) -> None:
+        super().__init__(actor, shared)
+        self.job_manager = job_manager
+        self.member = member
+        self.exchange = exchange
+        self.incarnation: int | None = None
+        self.last_number = 0
+        self.has_machines = False
+
+    def on_write_table(self) -> None:
+        """Handles `write_table`, sent to itself every TABLE_INTERVAL_S."""
+        tell_after(TABLE_INTERVAL_S, self.on_write_table)
+        self._begin_table()
+
+    def write_early(self) -> None:
+        """Writes a table at once if it has to hold machines and the last one did not."""
+        if self.exchange.lacks_peer(self.now()) and not self.has_machines:
+            self._begin_table()
+
+    def _begin_table(self) -> None:
+        tell(self.job_manager.on_demand, callback(self.on_demand_counted))
+
+    def on_demand_counted(self, demand: dict, shortage: dict) -> None:
+        """Handles the job manager's counts for a table: passes that on to the member.
+
+        Machines are most of a table, and tables were most of what a quiet cluster wrote; so it
+        holds them only while only tables tell of them.
         """
-        lately = now - 2 * self.settings.agent_heartbeat_s
-        return any(
-            self.asked_by.get(name, -1e9) < lately
-            or name not in self.evidence.told
-            or self.evidence.told[name].asked < lately
-            for name in self.peers
-            if name in self.nodes
-        )
-
-    def on_table_demand(self, demand, shortage):
-        """Counts, and machines if they are needed, in as many values as they take."""
         now = self.now()
-        # The lease's number and a count: no two tables of a node share it.
-        self.table_number += 1
-        header = table_wire.TableHeader(
-            f"{self.incarnation}-{self.table_number}",
-            demand,
-            shortage,
-            self.system.wall(),
-            now - self.born,
-            now - self.last_contact,
-            self.revision,
-            sorted(self.machine_types),
-        )
+        header = self._header(demand, shortage, now)
         table = table_wire.write_table(header)
-        most = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
-        self.rows_in_table = self.needs_rows(now)
-        overflow = []
-        if self.rows_in_table:
-            places = self.pack_rows(
-                header.machine_types, now, most, most - len(orjson.dumps(table))
-            )
-            table_wire.add_machines(table, places)
-            overflow = [table_wire.write_overflow_value(header.number, rows) for rows in places[1:]]
+        overflow: list[dict] = []
+        self.has_machines = self.exchange.lacks_peer(now)
+        if self.has_machines:
+            value_bytes = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
+            first_bytes = value_bytes - len(orjson.dumps(table))
+            values = self._pack_machines(header.machine_types, now, value_bytes, first_bytes)
+            table_wire.add_machines(table, values)
+            overflow = [
+                table_wire.write_overflow_value(header.number, machines) for machines in values[1:]
+            ]
         tell(self.member.on_table, table, overflow)
 
-    def pack_rows(self, machine_types, now, most, first_room):
-        """The machines' rows in dictionaries of at most `most` bytes each, the first of them
-        `first_room`.
-        """
-        places, room = [{}], first_room
-        for name, row in self.rows(now, 2 * self.settings.lease_s).items():
-            short = table_wire.compact_machine(row, machine_types, self.settings.zones)
-            room -= len(orjson.dumps(short)) + len(name) + 4
-            if room < 0:
-                places.append({})
-                room = most - len(orjson.dumps(short)) - len(name) - 4
-            places[-1][name] = short
-        return places
-
-    def read_table(self, node):
+    def _header(self, demand: dict, shortage: dict, now: float) -> table_wire.TableHeader:
+        # The incarnation and a count: no two tables of a controller share it.
+        self.last_number += 1
+        return table_wire.TableHeader(
+            number=f"{self.incarnation}-{self.last_number}",
+            demand=demand,
+            shortage=shortage,
+            wall=self.system.wall(),
+            up_s=now - self.evidence.began_at,
+            contact_age_s=now - self.evidence.last_contact,
+            revision=self.committed.revision,
+            machine_types=sorted(self.committed.machine_types),
+        )
+
+    def _pack_machines(
+        self, machine_types: list[str], now: float, value_bytes: int, first_bytes: int
+    ) -> list[dict[str, list]]:
+        """The machines in values of at most `value_bytes` each, `first_bytes` in the first."""
+        values: list[dict[str, list]] = [{}]
+        bytes_left = first_bytes
+        for name, machine in self.records.known_machines(now, 2 * self.settings.lease_s).items():
+            row = table_wire.compact_machine(machine, machine_types, self.settings.zones)
+            row_bytes = len(orjson.dumps(row)) + len(name) + ENTRY_BYTES
+            bytes_left -= row_bytes
+            if bytes_left < 0:
+                values.append({})
+                bytes_left = value_bytes - row_bytes
+            values[-1][name] = row
+        return values
+
+    def read(self, node: str) -> None:
+        """Reads a controller's table, as the replica shows it now, if it is complete."""
         if node == self.settings.node:
             return
+        stored = self.committed.tables.get(node, {})
         try:
-            found = table_wire.read_table(node, self.tables.get(node, {}), self.settings.zones)
-            if found is not None:
-                age_s = self.system.wall() - found.wall
-                self.evidence.read_table(node, self.now(), age_s, found.view)
+            table = table_wire.read_table(node, stored, self.settings.zones)
+            if table is not None:
+                age_s = self.system.wall() - table.wall
+                self.evidence.add_table(node, self.now(), age_s, table.view)
         except (KeyError, TypeError, ValueError, IndexError) as error:
-            log.info("the table of %s is odd (%s); the next one is awaited", node, error)
+            log.info("the table of %s is malformed (%s); the next one is awaited", node, error)
--- a/emberglade/agents/wire/agents.py
+++ b/emberglade/agents/wire/agents.py
@@ -30,6 +30,10 @@
 
 TaskKey = tuple[str, int]  # (job id, number of the task)
 TASK_STATES = {state.value: state for state in TaskState}
+# Every task of a heartbeat is compared with these; Python 3.11 is slow to find an enum's members.
+EXITED = TaskState.EXITED
+SAVING = TaskState.SAVING
+UNKNOWN = TaskState.UNKNOWN
 
 
 class TaskStatus(NamedTuple):
@@ -129,7 +133,7 @@
             job_id, _, number = _text(row["ember"]).rpartition("/")
             tasks[(job_id, int(number))] = TaskStatus(
                 _count(row["strike"]),
-                TASK_STATES.get(_text(row["glow"]), TaskState.UNKNOWN),
+                TASK_STATES.get(_text(row["glow"]), UNKNOWN),
                 row.get("ashcause"),
                 bool(row.get("stored")),
             )
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -18,6 +18,10 @@
 UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their holders
 CATALOG_KEY = "catalog"
 
+# Places in a row of `bound_tasks`.
+ROW_ATTEMPT = 0
+ROW_MACHINE = 1
+
 
 def job_key(job_id: str) -> str:
     """The key of a live job."""
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -20,7 +20,7 @@
     Attributes:
         number: No two tables of a controller share it.
         demand: {(machine type, spot): machines needed}.
-        shortage: {(machine type, zone): machines missing in a zone}, as the job manager counts it.
+        shortage: {(machine type, spot, zone): machines missing in that zone}.
         wall: Time of day at which it was made, in seconds.
         up_s: Seconds since the controller's process began.
         contact_age_s: Seconds since it sent its last answered sync.
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -10,7 +10,15 @@
 
 from .accounting import Accountant
 from .actors import ThreadSystem, tell, tell_inline
-from .agents import AgentManager, read_cancellation, read_question, read_task_updates
+from .agents import (
+    CANCELLATION_PATH,
+    MACHINES_PATH,
+    TASK_UPDATES_PATH,
+    AgentManager,
+    read_cancellation,
+    read_question,
+    read_task_updates,
+)
 from .config import small_quota_warnings
 from .fleet import Autoscaler
 from .jobs import JobManager
@@ -59,7 +67,8 @@
         """How much there is of what takes memory."""
         return (
             f"{len(self.store.replica)} live keys, {len(self.job_manager.jobs)} jobs, "
-            f"{len(self.agents.evidence.view)} machines, {len(self.api.final)} final states at hand"
+            f"{len(self.agents.evidence.last_seen)} machines, "
+            f"{len(self.api.final)} final states at hand"
         )
 
     def peer_route(self, method, path, body, reply):
@@ -68,22 +77,22 @@
         except ValueError:
             reply(400, {"error": "not JSON"})
             return
-        if path == "/peer/heard" and method == "POST":
+        if path == MACHINES_PATH and method == "POST":
             if self.peer_monitor is not None:
                 tell_inline(self.peer_monitor.on_hear_question, data)
                 reply = self.peer_monitor.answering(reply)
-            tell_inline(self.agents.on_heard, read_question(data), reply)
+            tell_inline(self.agents.on_machine_question, read_question(data), reply)
         elif path == "/peer/ping" and method == "POST" and self.peer_monitor is not None:
             tell_inline(self.peer_monitor.on_ping, data, reply)
         elif path == "/peer/probe" and method == "POST" and self.peer_monitor is not None:
             tell_inline(self.peer_monitor.on_probe, data, reply)
-        elif path == "/peer/facts" and method == "POST" and isinstance(data, list):
+        elif path == TASK_UPDATES_PATH and method == "POST" and isinstance(data, list):
             for update in read_task_updates(data):
                 tell(self.job_manager.on_task_update, update)
             reply(200, {})
         elif path == "/peer/changes" and method == "POST" and read_since(data) is not None:
             tell_inline(self.store.on_changes_for_peer, read_since(data), reply)
-        elif path == "/peer/withdrawn" and method == "POST" and read_cancellation(data) is not None:
+        elif path == CANCELLATION_PATH and method == "POST" and read_cancellation(data) is not None:
             tell_inline(self.agents.on_hear_cancellation, *read_cancellation(data))
             reply(200, {})
         else:
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -112,7 +112,7 @@
         # The first round comes soon: after a take-over or at the very start nothing is on its way.
         self.ticks = max(0, int(self.operators.cost_round_s) - 3)
         # What every controller knows of silent machines is the new leader's account of them.
-        tell(self.agents.on_silence, callback(self.on_silent), True)
+        tell(self.agents.on_ask_liveness, callback(self.on_silent), True)
         if not self.machine_types:
             # Until somebody has, no submission can be judged.
             self.ask_catalog()
@@ -139,7 +139,7 @@
             self.list_pages = 0
             self.cloud.call("GET", wire.list_path(""), None, 3.0, callback(self.on_listed))
         tell(self.job_manager.on_occupied, callback(self.on_occupancy))
-        tell(self.agents.on_silence, callback(self.on_silent))
+        tell(self.agents.on_ask_liveness, callback(self.on_silent))
         self.count_demand(now)
 
     def list_interval(self):
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -21,7 +21,7 @@
         if self.leading and any(
             taint == "lost" and name in self.occupied for name, taint in self.taints.items()
         ):
-            tell(self.agents.on_silence, callback(self.on_silent), True)
+            tell(self.agents.on_ask_liveness, callback(self.on_silent), True)
 
     def on_listed(self, status, body):
         page = wire.read_list(body) if status == 200 else None
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -1,64 +1,73 @@
-"""Broken builds of what workers are told and what their silence proves."""
+"""Broken builds of what agents are told and what their silence proves."""
 
+from emberglade.agents.bindings import CommittedBindings
+from emberglade.agents.direct_halts import DirectHalts
+from emberglade.agents.heartbeats import HeartbeatHandler
 from emberglade.agents.lease_evidence import LeaseEvidence
 from emberglade.agents.manager import AgentManager
+from emberglade.agents.reachability import Reachability
+from emberglade.agents.reconciliation import Reconciler
+from emberglade.agents.routing import Routing
 
 
 def deaf_to_cancellations(patch):
     """No agent manager sees a cancellation."""
-    patch.setattr(AgentManager, "see_cancellation", lambda self, job_id, entry, revision: None)
+    patch.setattr(CommittedBindings, "note_cancelled", lambda self, job_id, job, revision: None)
 
 
 def copies_are_signs_of_life(patch):
     """A machine whose copies still come is never proven lost."""
-    original = AgentManager.on_heartbeat
+    original = HeartbeatHandler.handle
 
-    def on_heartbeat(self, data, reply):
+    def handle(self, data, reply):
         if isinstance(data, dict):
-            self.evidence.view.pop(data.get("hearth"), None)
-            self.known.pop(data.get("hearth"), None)
+            self.evidence.last_seen.pop(data.get("hearth"), None)
+            self.records.by_machine.pop(data.get("hearth"), None)
         original(self, data, reply)
 
-    patch.setattr(AgentManager, "on_heartbeat", on_heartbeat)
+    patch.setattr(HeartbeatHandler, "handle", handle)
 
 
 def blind_to_the_deaf(patch):
     """A machine that does not hear us counts as a good one."""
-    patch.setattr(AgentManager, "listen", lambda self, known, heartbeat, last_seen, now: None)
+    patch.setattr(Reachability, "track", lambda self, record, heartbeat, last_seen, now: None)
 
 
-def halts_wait_for_reports(patch):
-    """A cancelled task is halted only by the answer to its machine's report."""
-    patch.setattr(AgentManager, "press_halts", lambda self, job_id: None)
+def halts_wait_for_heartbeats(patch):
+    """A cancelled task is halted only by the answer to its machine's heartbeat."""
+    patch.setattr(DirectHalts, "halt_job", lambda self, job_id: None)
 
 
-def empty_copies_are_level(patch):
-    """A peer that has no copy, just restarted, counts as one that told nobody anything."""
+def empty_replicas_are_caught_up(patch):
+    """A peer that has no replica, just restarted, counts as one that told nobody anything."""
 
     def compare_replicas(self, revision):
-        for peer, said in self.told.items():
-            if said.replica_revision <= revision:
-                self.level[peer] = max(self.level.get(peer, said.asked), said.asked)
+        for peer, view in self.direct_views.items():
+            if view.replica_revision <= revision:
+                caught_up_at = self.caught_up_at.get(peer, view.asked_at)
+                self.caught_up_at[peer] = max(caught_up_at, view.asked_at)
 
     patch.setattr(LeaseEvidence, "compare_replicas", compare_replicas)
 
 
 def never_silent(patch):
-    """A controller answers workers however long it has heard of nothing new."""
-    patch.setattr(AgentManager, "entitled", lambda self, now: self.revision >= 0)
+    """A controller answers agents however long it has heard of nothing new."""
+    patch.setattr(Routing, "may_answer", lambda self, now: self.committed.revision >= 0)
 
 
 def starts_unsynced(patch):
-    """Answers start whatever the copy shows, however old it is."""
-    original = AgentManager.commands
-    patch.setattr(AgentManager, "commands", lambda self, known, synced: original(self, known, True))
+    """Answers start whatever the replica shows, however old it is."""
+    original = Reconciler.reconcile
+    patch.setattr(
+        Reconciler, "reconcile", lambda self, record, synced: original(self, record, True)
+    )
 
 
 def proves_by_silence(patch):
     """A machine that the leader has not heard of is taken for one whose lease is over."""
-    patch.setattr(LeaseEvidence, "proven_over", lambda self, *_: True)
+    patch.setattr(LeaseEvidence, "proves_leases_over", lambda self, *_: True)
 
 
-def forgets_withdrawals_of_the_dead(patch):
+def forgets_cancellations_of_the_dead(patch):
     """Nobody repeats the halts of a controller that has ended before their time."""
     patch.setattr(AgentManager, "on_peer_dead", lambda self, name: None)
