--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -128,8 +128,8 @@
         return {
             "live_keys": len(controller.store.replica),
             "jobs": len(controller.job_manager.jobs),
-            "machines": len(controller.agents.evidence.view),
-            "reporting_here": len(controller.agents.known),
+            "machines": len(controller.agents.evidence.last_seen),
+            "reporting_here": len(controller.agents.records.by_machine),
             "final_states": len(controller.user_api.lookup.final_states),
             "failure_detection": controller.peer_monitor and controller.peer_monitor.account(),
         }
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -1,202 +1,240 @@
-"""What the committed copy wants on each machine, and what of it has just changed."""
+"""The committed bindings: which tasks belong on which machine, and how they are to be stopped."""
 
-import logging
+from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from ..actors import tell
-from ..fleet.taints import Taints
 from ..jobs import wire as jobs_wire
-from ..placement import read_machine_types
-from . import wire
+from ..jobs.binding import StopMode
+from ..jobs.job_spec import JobSpec
+from .cancelled_jobs import CancelledJobs
+from .wire.agents import TaskKey
 
-log = logging.getLogger("emberglade.agents")
+# Places in the row of a stored binding.
+ROW_ATTEMPT = 0
+ROW_MACHINE = 1
 
 
-class Wanted(NamedTuple):
-    """A task that the committed copy shows bound to a machine."""
+class DesiredTask(NamedTuple):
+    """A task that belongs on a machine.
+
+    Attributes:
+        stop: KEEP, STOP or SAVE.
+        stop_seen: The revision at which the stop was seen.
+        agent_epoch: Of the machine; in a later one the binding means nothing.
+    """
 
     attempt: int
-    stop: int  # KEEP, STOP or SAVE
-    stop_seen: int  # revision at which the stop was seen
-    agent_epoch: int  # of the machine
+    stop: StopMode
+    stop_seen: int
+    agent_epoch: int
+
+
+# A binding that is new, or whose stop is: (machine, key, what the change made of it). One is made
+# for every binding that changes, so it is a plain tuple.
+ChangedBinding = tuple[str, TaskKey, DesiredTask]
 
 
-class Entry:
-    """What the agents has of a live job: only what decides over commands."""
+class LiveJob:
+    """What the agents have of a live job: only what decides over commands.
 
-    __slots__ = ("spec", "generation", "cancelled", "cancelled_at", "parts")
+    Attributes:
+        generation: Of the layout of its chunks.
+        chunks: {number of a chunk: {task: its binding's row as stored}}.
+    """
 
-    def __init__(self, spec, generation):
-        # `cancelled_at`: the revision at which the cancellation was seen; `generation`: of the
-        # layout of its parts
-        self.spec, self.cancelled, self.cancelled_at, self.parts = spec, False, 0, {}
+    __slots__ = ("spec", "generation", "chunks")
+
+    def __init__(self, spec: JobSpec, generation: str) -> None:
+        self.spec = spec
         self.generation = generation
+        self.chunks: dict[int, dict[int, list]] = {}
 
-    def bindings(self):
-        """(task, row as kept) of all bound tasks."""
-        for rows in self.parts.values():
+    def bindings(self) -> Iterator[tuple[int, list]]:
+        """(task, row as stored) of all bound tasks."""
+        for rows in self.chunks.values():
             yield from rows.items()
 
 
+class EarlyChunks:
+    """Chunks seen before their job, or of a layout that its record does not name yet."""
+
+    def __init__(self) -> None:
+        # job -> {(generation, number): (chunk, mod revision)}
+        self.by_job: dict[str, dict[tuple[str, int], tuple[dict, int]]] = {}
+
+    def add(self, job_id: str, generation: str, number: int, chunk: dict, revision: int) -> None:
+        """Keeps a chunk until its job's record names its layout."""
+        self.by_job.setdefault(job_id, {})[(generation, number)] = (chunk, revision)
+
+    def discard(self, job_id: str, generation: str, number: int) -> None:
+        """Forgets a chunk that was removed."""
+        chunks = self.by_job.get(job_id)
+        if chunks is not None:
+            chunks.pop((generation, number), None)
+            self._forget_if_empty(job_id)
+
+    def take(self, job_id: str, generation: str) -> dict[int, tuple[dict, int]]:
+        """Takes out {number: (chunk, mod revision)} of a job's chunks of this layout."""
+        chunks = self.by_job.get(job_id, {})
+        taken = {
+            number: chunks.pop((chunk_generation, number))
+            for chunk_generation, number in list(chunks)
+            if chunk_generation == generation
+        }
+        self._forget_if_empty(job_id)
+        return taken
+
+    def forget(self, job_id: str) -> None:
+        """Forgets all chunks of a job."""
+        self.by_job.pop(job_id, None)
+
+    def _forget_if_empty(self, job_id: str) -> None:
+        if not self.by_job.get(job_id, True):
+            del self.by_job[job_id]
+
+
 class CommittedBindings:
-    """The part of the agent manager that follows the copy."""
-
-    def __init__(self):
-        self.jobs = {}  # job -> Entry
-        self.bindings = {}  # machine -> {(job, task): Wanted}
-        # Machines whose bindings or taint changed since their last report here.
-        self.touched = set()
-        self.fresh = []  # bindings and stops that came with the change at hand
-        self.loose = {}  # parts seen before their job, or of another layout than its own
-        self.taints = Taints()
-        self.holders = {}  # shard -> node
-        self.machine_types = {}
-        self.nodes = set()  # controllers whose keys are there
-        self.revision = -1
-
-    def on_changed(self, events, revision, whole):
-        if whole:
-            alive = {key for key, data, _ in events if data is not None}
-            for job_id in [j for j in self.jobs if jobs_wire.job_key(j) not in alive]:
-                self.drop_job(job_id)
-            self.nodes = set()
-            self.taints.forget()
-        tables = set()
-        for key, data, mod_revision in events:
-            self.absorb(key, data, mod_revision, tables)
-        self.revision = max(self.revision, revision)
-        self.evidence.compare_replicas(self.revision)
-        if tables or whole:
-            self.evidence.nodes(self.nodes, self.now())
-        for node in tables:
-            self.read_table(node)
-        fresh, self.fresh = self.fresh, []
-        if not whole:
-            self.command_directly(fresh)
-
-    def absorb(self, key, data, mod_revision, tables):
-        if jobs_wire.is_job_key(key):
-            job_id = jobs_wire.job_id_of(key)
-            if data is None:
-                self.drop_job(job_id)
-                return
-            entry = self.jobs.get(job_id)
-            generation = jobs_wire.read_generation(data)
-            if entry is None:
-                entry = self.jobs[job_id] = Entry(jobs_wire.read_spec(job_id, data), generation)
-                if job_id in self.heard_cancelled:
-                    self.see_cancellation(job_id, entry, self.heard_cancelled[job_id])
-                for number, (part, part_mod_revision) in self.take_loose(
-                    job_id, generation
-                ).items():
-                    self.put_part(job_id, entry, number, part, part_mod_revision)
-            elif generation != entry.generation:
-                self.change_layout(job_id, entry, data, mod_revision)
-            if jobs_wire.is_cancelled(data) and not entry.cancelled:
-                self.see_cancellation(job_id, entry, mod_revision)
-            self.put_part(job_id, entry, 0, jobs_wire.first_chunk(data), mod_revision)
-        elif jobs_wire.is_chunk_key(key):
-            self.absorb_part(key, data, mod_revision)
-        elif key.startswith("m/"):
-            self.touched.update(self.taints.apply(key, data, mod_revision, self.now()))
-        elif key.startswith("s/"):
-            if data is not None:
-                self.holders[int(key[2:])] = data.get("node")
-        elif key.startswith("n/"):
-            node = key[2:]
-            tables.add(node)
-            if data is None:
-                self.nodes.discard(node)
-                self.tables.pop(node, None)
-            else:
-                self.nodes.add(node)
-                self.tables.setdefault(node, {})[key] = data
-        elif key.startswith("r/"):
-            node = key.split("/")[1]
-            if data is None:
-                self.tables.get(node, {}).pop(key, None)
-            else:
-                self.tables.setdefault(node, {})[key] = data
-                tables.add(node)
-        elif key.startswith("f/"):
-            rows = ((data or {}).get("to") or {}).get(self.settings.node)
-            for update in wire.read_task_updates(rows):
-                tell(self.job_manager.on_task_update, update)
-        elif key == "catalog" and data is not None:
-            self.machine_types = read_machine_types(data)
-
-    def absorb_part(self, key, data, mod_revision):
+    """The bindings of all live jobs, kept in step with the replica.
+
+    Attributes:
+        jobs: {job: LiveJob}.
+        by_machine: {machine: {(job, task): DesiredTask}}; no empty ones.
+        touched: Machines whose bindings or taint changed since their last heartbeat here.
+        changed: The ChangedBindings of the replica's change that is being applied.
+    """
+
+    def __init__(self, cancelled: CancelledJobs) -> None:
+        self.cancelled = cancelled
+        self.jobs: dict[str, LiveJob] = {}
+        self.by_machine: dict[str, dict[TaskKey, DesiredTask]] = {}
+        self.touched: set[str] = set()
+        self.changed: list[ChangedBinding] = []
+        self.early_chunks = EarlyChunks()
+
+    def of_machine(self, machine: str) -> dict[TaskKey, DesiredTask]:
+        """{(job, task): DesiredTask} of a machine."""
+        return self.by_machine.get(machine, {})
+
+    def stop_of(self, key: TaskKey, desired: DesiredTask) -> tuple[StopMode, int]:
+        """(how it is to be stopped; the revision at which that was seen) of a bound task."""
+        cancellation = self.cancelled.by_job.get(key[0])
+        if cancellation is None:
+            return desired.stop, desired.stop_seen
+        if desired.stop != StopMode.KEEP:
+            return StopMode.STOP, min(desired.stop_seen, cancellation.revision)
+        return StopMode.STOP, cancellation.revision
+
+    def take_changed(self) -> list[ChangedBinding]:
+        """Takes out what has changed since the last call."""
+        changed, self.changed = self.changed, []
+        return changed
+
+    # --- the replica's changes
+
+    def keep_only(self, job_ids: Iterable[str]) -> None:
+        """Forgets all jobs but these."""
+        kept = set(job_ids)
+        for job_id in [job_id for job_id in self.jobs if job_id not in kept]:
+            self.drop(job_id)
+
+    def apply_record(self, job_id: str, record: dict, mod_revision: int) -> None:
+        """Takes over a job's own record, and with it its first chunk."""
+        job = self.jobs.get(job_id)
+        generation = jobs_wire.read_generation(record)
+        if job is None:
+            job = self._add(job_id, record, generation)
+        elif generation != job.generation:
+            self._change_layout(job_id, job, generation, record, mod_revision)
+        if jobs_wire.is_cancelled(record) and job_id not in self.cancelled.by_job:
+            self.note_cancelled(job_id, job, mod_revision)
+        self._put_chunk(job_id, job, 0, jobs_wire.first_chunk(record), mod_revision)
+
+    def apply_chunk(self, key: str, chunk: dict | None, mod_revision: int) -> None:
+        """Takes over the further chunk at a key; None: it was removed."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
-        entry = self.jobs.get(job_id)
-        if entry is not None and generation == entry.generation:
-            self.put_part(job_id, entry, number, data or {}, mod_revision)
-        elif data is not None:
-            self.loose.setdefault(job_id, {})[(generation, number)] = (data, mod_revision)
+        job = self.jobs.get(job_id)
+        if job is not None and generation == job.generation:
+            self._put_chunk(job_id, job, number, chunk or {}, mod_revision)
+        elif chunk is not None:
+            self.early_chunks.add(job_id, generation, number, chunk, mod_revision)
         else:
-            self.loose.get(job_id, {}).pop((generation, number), None)
-            if not self.loose.get(job_id, True):
-                del self.loose[job_id]
-
-    def take_loose(self, job_id, generation):
-        """{number: (data, stamp)} of the parts of this layout that were seen before the record
-        named it.
-        """
-        loose = self.loose.get(job_id, {})
-        taken = {number: loose.pop((of, number)) for of, number in list(loose) if of == generation}
-        if not loose:
-            self.loose.pop(job_id, None)
-        return taken
-
-    def change_layout(self, job_id, entry, data, mod_revision):
-        """The record names other parts. The tasks that both show bound stay so, in one step."""
-        old = dict(entry.bindings())
-        parts = {
-            number: jobs_wire.binding_rows(part)
-            for number, (part, _) in self.take_loose(
-                job_id, jobs_wire.read_generation(data)
-            ).items()
+            self.early_chunks.discard(job_id, generation, number)
+
+    def note_cancelled(self, job_id: str, job: LiveJob, revision: int) -> None:
+        """Notes that a job is cancelled, as seen at `revision`."""
+        self.touched.update(machine for _, (_, machine, *_) in job.bindings())
+        self.cancelled.add(job_id, revision)
+
+    def drop(self, job_id: str) -> None:
+        """Forgets a job that is over."""
+        job = self.jobs.pop(job_id, None)
+        self.early_chunks.forget(job_id)
+        self.cancelled.forget(job_id)
+        if job is not None:
+            for number in list(job.chunks):
+                self._put_chunk(job_id, job, number, {}, 0)
+
+    def _add(self, job_id: str, record: dict, generation: str) -> LiveJob:
+        job = self.jobs[job_id] = LiveJob(jobs_wire.read_spec(job_id, record), generation)
+        if job_id in self.cancelled.announced:
+            self.note_cancelled(job_id, job, self.cancelled.announced[job_id])
+        early = self.early_chunks.take(job_id, generation)
+        for number, (chunk, mod_revision) in early.items():
+            self._put_chunk(job_id, job, number, chunk, mod_revision)
+        return job
+
+    def _change_layout(
+        self, job_id: str, job: LiveJob, generation: str, record: dict, mod_revision: int
+    ) -> None:
+        """The record names other chunks. Tasks that both show bound stay so, in one step."""
+        old = dict(job.bindings())
+        chunks = {
+            number: jobs_wire.binding_rows(chunk)
+            for number, (chunk, _) in self.early_chunks.take(job_id, generation).items()
         }
-        parts[0] = jobs_wire.binding_rows(jobs_wire.first_chunk(data))
-        entry.generation, entry.parts = jobs_wire.read_generation(data), parts
-        self.rebind(job_id, old, dict(entry.bindings()), mod_revision)
-
-    def drop_job(self, job_id):
-        entry = self.jobs.pop(job_id, None)
-        self.loose.pop(job_id, None)
-        self.forget_cancellation(job_id)
-        if entry is not None:
-            for number in list(entry.parts):
-                self.put_part(job_id, entry, number, {}, 0)
-
-    def put_part(self, job_id, entry, number, data, mod_revision):
-        """Takes over one part; costs little for the tasks whose binding is the same as before."""
-        old, new = entry.parts.get(number, {}), jobs_wire.binding_rows(data)
-        self.rebind(job_id, old, new, mod_revision)
-        entry.parts[number] = new
-
-    def rebind(self, job_id, old, new, mod_revision):
+        chunks[0] = jobs_wire.binding_rows(jobs_wire.first_chunk(record))
+        job.generation = generation
+        job.chunks = chunks
+        self._rebind(job_id, old, dict(job.bindings()), mod_revision)
+
+    def _put_chunk(
+        self, job_id: str, job: LiveJob, number: int, chunk: dict, mod_revision: int
+    ) -> None:
+        new = jobs_wire.binding_rows(chunk)
+        self._rebind(job_id, job.chunks.get(number, {}), new, mod_revision)
+        job.chunks[number] = new
+
+    def _rebind(
+        self, job_id: str, old: dict[int, list], new: dict[int, list], mod_revision: int
+    ) -> None:
         """Makes the bound tasks `old` of a job `new`; only differences cost anything."""
         for task, row in old.items():
-            if new.get(task) != row:
-                here = self.bindings[row[1]]
-                before = here.pop((job_id, task))
-                if not here:
-                    del self.bindings[row[1]]
-                self.touched.add(row[1])
-                if task in new and new[task][0] == row[0]:
-                    # The same attempt: a stop counts from when it was first seen.
-                    self.want(
-                        job_id, task, new[task], before.stop_seen if before.stop else mod_revision
-                    )
-                    self.fresh.append((job_id, task, *new[task][:3]))
+            new_row = new.get(task)
+            if new_row != row:
+                before = self._unbind((job_id, task), row)
+                if new_row is not None and new_row[ROW_ATTEMPT] == before.attempt:
+                    # A stop counts from when it was first seen.
+                    stop_seen = before.stop_seen if before.stop != StopMode.KEEP else mod_revision
+                    self._bind((job_id, task), new_row, stop_seen)
         for task, row in new.items():
-            before = old.get(task)
-            if before is None or before[0] != row[0]:
-                self.want(job_id, task, row, mod_revision)
-                self.fresh.append((job_id, task, *row[:3]))
-
-    def want(self, job_id, task, row, since):
+            old_row = old.get(task)
+            if old_row is None or old_row[ROW_ATTEMPT] != row[ROW_ATTEMPT]:
+                self._bind((job_id, task), row, mod_revision)
+
+    def _unbind(self, key: TaskKey, row: list) -> DesiredTask:
+        """Removes a binding and returns what it was."""
+        machine = row[ROW_MACHINE]
+        bound = self.by_machine[machine]
+        before = bound.pop(key)
+        if not bound:
+            del self.by_machine[machine]
+        self.touched.add(machine)
+        return before
+
+    def _bind(self, key: TaskKey, row: list, stop_seen: int) -> None:
         attempt, machine, agent_epoch = row[:3]
-        wanted = Wanted(attempt, jobs_wire.read_stop_mode(row), since, agent_epoch)
-        self.bindings.setdefault(machine, {})[(job_id, task)] = wanted
-        self.touched.add(row[1])
+        stop = jobs_wire.read_stop_mode(row)
+        desired = DesiredTask(attempt, stop, stop_seen, agent_epoch)
+        self.by_machine.setdefault(machine, {})[key] = desired
+        self.touched.add(machine)
+        self.changed.append((machine, key, desired))
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -1,147 +1,121 @@
-"""Tables in the state service: counts, and machines while controllers don't hear each other."""
+"""Tables in the store: counts, and machines while controllers don't hear each other."""
 
 import logging
+from typing import Any
 
 import orjson
 
-from ..actors import callback, tell, tell_after
+from ..actors import Actor, callback, tell, tell_after
+from .peer_exchange import PeerExchange
+from .shared_state import AgentPart, SharedState
+from .wire import tables as table_wire
 
 log = logging.getLogger("emberglade.agents")
 
-
-TABLE_S = 5.0  # the DESIGN page's interval of tables
-UNREACHABLE_PARTS = 9999  # further values of a table without machines: they never come
+TABLE_INTERVAL_S = 5.0  # the DESIGN page's
 FRAME_BYTES = 96  # of a table's value: the node's incarnation, the table's number and field names
-# Of a table, however much the state service takes: transactions are limited too.
+ENTRY_BYTES = 4  # of a machine in it, besides its name and values
+# Of a table, however much the store takes: transactions are limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
 
-class Tables:
-    """The part of the agent manager that writes its own table and reads those of peers."""
-
-    def __init__(self):
-        self.tables = {}  # node -> {key: data}
-        self.table_number = 0
-        self.rows_in_table = False  # whether the last table held machines
-
-    def on_tables(self):
-        tell_after(TABLE_S, self.on_tables)
-        self.ask_for_table()
-
-    def ask_for_table(self):
-        tell(self.job_manager.on_demand, callback(self.on_table_demand))
-
-    def needs_rows(self, now):
-        """Whether a live peer and this controller don't hear each other, so that only tables tell
-        of machines.
-
-        Rows of machines are most of a table, and tables were most of what a quiet cluster wrote.
+class Tables(AgentPart):
+    """Writes this controller's table and reads those of its peers.
+
+    Attributes:
+        incarnation: This process's, once it is known.
+        has_machines: Whether the last table held machines.
+    """
+
+    def __init__(
+        self,
+        actor: Actor,
+        shared: SharedState,
+        job_manager: Any,
+        member: Any,
+        exchange: PeerExchange,
+    ) -> None:
+        super().__init__(actor, shared)
+        self.job_manager = job_manager
+        self.member = member
+        self.exchange = exchange
+        self.incarnation: int | None = None
+        self.last_number = 0
+        self.has_machines = False
+
+    def on_write_table(self) -> None:
+        """Handles `write_table`, sent to itself every TABLE_INTERVAL_S."""
+        tell_after(TABLE_INTERVAL_S, self.on_write_table)
+        self._begin_table()
+
+    def write_early(self) -> None:
+        """Writes a table at once if it has to hold machines and the last one did not."""
+        if self.exchange.lacks_peer(self.now()) and not self.has_machines:
+            self._begin_table()
+
+    def _begin_table(self) -> None:
+        tell(self.job_manager.on_demand, callback(self.on_demand_counted))
+
+    def on_demand_counted(self, demand: dict, shortage: dict) -> None:
+        """Handles the job manager's counts for a table: passes that on to the member.
+
+        Machines are most of a table, and tables were most of what a quiet cluster wrote; so it
+        holds them only while only tables tell of them.
         """
-        lately = now - 2 * self.settings.agent_heartbeat_s
-        return any(
-            self.asked_by.get(name, -1e9) < lately
-            or name not in self.evidence.told
-            or self.evidence.told[name].asked < lately
-            for name in self.peers
-            if name in self.nodes
-        )
-
-    def on_table_demand(self, demand, shortage):
-        """Counts, and machines if they are needed, in as many values as they take."""
         now = self.now()
-        machine_types = sorted(self.machine_types)
-        # The lease's number and a count: no two tables of a node share it.
-        self.table_number += 1
-        number = f"{self.incarnation}-{self.table_number}"
-        first = {
-            "t": number,
-            "parts": UNREACHABLE_PARTS,
-            "d": [[*pool, round(count, 4)] for pool, count in demand.items()],
-            "wall": self.system.wall(),
-            "z": [[*pool, round(count, 4)] for pool, count in shortage.items()],
-            "up": now - self.born,
-            "contact": min(1e6, now - self.last_contact),
-            "rev": self.revision,
-            "types": machine_types,
-            "m": {},
-        }
-        most = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
-        self.rows_in_table = self.needs_rows(now)
-        # A table that lacks further values is never taken for a statement about machines.
-        places = [{}]
-        if self.rows_in_table:
-            places = self.pack_rows(machine_types, now, most, most - len(orjson.dumps(first)))
-            first["parts"], first["m"] = len(places) - 1, places[0]
-        tell(self.member.on_table, first, [{"t": number, "m": rows} for rows in places[1:]])
-
-    def pack_rows(self, machine_types, now, most, first_room):
-        """The machines' rows in dictionaries of at most `most` bytes each, the first of them
-        `first_room`.
-        """
-        zones, places, room = self.settings.zones, [{}], first_room
-        for name, (
-            age_s,
-            kind,
-            zone,
-            spot,
-            agent_epoch,
-            sequence,
-            spot_notice,
-            unreachable,
-            addr,
-        ) in self.rows(now, 2 * self.settings.lease_s).items():
-            short = [
-                age_s,
-                machine_types.index(kind) if kind in machine_types else kind,
-                zones.index(zone) if zone in zones else zone,
-                int(spot),
-                agent_epoch,
-                sequence,
-                int(spot_notice),
-                int(unreachable),
-                addr,
+        header = self._header(demand, shortage, now)
+        table = table_wire.write_table(header)
+        overflow: list[dict] = []
+        self.has_machines = self.exchange.lacks_peer(now)
+        if self.has_machines:
+            value_bytes = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
+            first_bytes = value_bytes - len(orjson.dumps(table))
+            values = self._pack_machines(header.machine_types, now, value_bytes, first_bytes)
+            table_wire.add_machines(table, values)
+            overflow = [
+                table_wire.write_overflow_value(header.number, machines) for machines in values[1:]
             ]
-            room -= len(orjson.dumps(short)) + len(name) + 4
-            if room < 0:
-                places.append({})
-                room = most - len(orjson.dumps(short)) - len(name) - 4
-            places[-1][name] = short
-        return places
-
-    def read_table(self, node):
-        parts = self.tables.get(node, {})
-        first = parts.get("n/" + node)
-        if node == self.settings.node or first is None or not first.get("table"):
+        tell(self.member.on_table, table, overflow)
+
+    def _header(self, demand: dict, shortage: dict, now: float) -> table_wire.TableHeader:
+        # The incarnation and a count: no two tables of a controller share it.
+        self.last_number += 1
+        return table_wire.TableHeader(
+            number=f"{self.incarnation}-{self.last_number}",
+            demand=demand,
+            shortage=shortage,
+            wall=self.system.wall(),
+            up_s=now - self.evidence.began_at,
+            contact_age_s=now - self.evidence.last_contact,
+            revision=self.committed.revision,
+            machine_types=sorted(self.committed.machine_types),
+        )
+
+    def _pack_machines(
+        self, machine_types: list[str], now: float, value_bytes: int, first_bytes: int
+    ) -> list[dict[str, list]]:
+        """The machines in values of at most `value_bytes` each, `first_bytes` in the first."""
+        values: list[dict[str, list]] = [{}]
+        bytes_left = first_bytes
+        for name, machine in self.records.known_machines(now, 2 * self.settings.lease_s).items():
+            row = table_wire.compact_machine(machine, machine_types, self.settings.zones)
+            row_bytes = len(orjson.dumps(row)) + len(name) + ENTRY_BYTES
+            bytes_left -= row_bytes
+            if bytes_left < 0:
+                values.append({})
+                bytes_left = value_bytes - row_bytes
+            values[-1][name] = row
+        return values
+
+    def read(self, node: str) -> None:
+        """Reads a controller's table, as the replica shows it now, if it is complete."""
+        if node == self.settings.node:
             return
-        table = first["table"]
+        stored = self.committed.tables.get(node, {})
         try:
-            machine_types, zones = table["types"], self.settings.zones
-            values = [
-                table,
-                *(
-                    data
-                    for key, data in parts.items()
-                    if key.startswith("r/") and data["t"] == table["t"]
-                ),
-            ]
-            if len(values) != table["parts"] + 1:
-                # the rest is on its way; a row that is missing would pass for a machine never heard
-                return
-            rows = {}
-            for data in values:
-                for name, (age_s, kind, zone, *rest) in data["m"].items():
-                    rows[name] = [
-                        age_s,
-                        machine_types[kind] if isinstance(kind, int) else kind,
-                        zones[zone] if isinstance(zone, int) else zone,
-                        *rest,
-                    ]
-            body = {
-                "up": table["up"],
-                "contact": table["contact"],
-                "rev": table["rev"],
-                "known": rows,
-            }
-            self.evidence.read_table(node, self.now(), self.system.wall() - table["wall"], body)
+            table = table_wire.read_table(node, stored, self.settings.zones)
+            if table is not None:
+                age_s = self.system.wall() - table.wall
+                self.evidence.add_table(node, self.now(), age_s, table.view)
         except (KeyError, TypeError, ValueError, IndexError) as error:
-            log.info("the table of %s is odd (%s); the next one is awaited", node, error)
+            log.info("the table of %s is malformed (%s); the next one is awaited", node, error)
--- /dev/null
+++ b/emberglade/agents/wire/records.py
@@ -0,0 +1,41 @@
+"""The keys and records of the store that this slice reads or writes, besides tables.
+
+Keys are without the LIVE prefix, as the replica holds them.
+"""
+
+from typing import Any
+
+from ...membership.wire import NODE_PREFIX, SHARD_PREFIX, node_key
+from .peers import read_task_updates
+
+__all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
+
+TAINT_PREFIX = "m/"
+OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
+UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their holders
+CATALOG_KEY = "catalog"
+
+
+def overflow_owner(key: str) -> str:
+    """The controller whose table the overflow value at this key belongs to."""
+    return key.split("/")[1]
+
+
+def shard_holder(record: dict) -> str | None:
+    """The controller that a shard's record names."""
+    return record.get("node")
+
+
+def undelivered_key(node: str) -> str:
+    """The key under which a controller leaves updates for holders that it does not reach."""
+    return UNDELIVERED_PREFIX + node
+
+
+def write_undelivered(rows: dict[str, list]) -> dict:
+    """The record of such a key: {holder: rows of `peers.write_task_updates`}."""
+    return {"to": rows}
+
+
+def read_undelivered(record: Any, node: str) -> list:
+    """The updates in such a record that are for this controller."""
+    return read_task_updates(((record or {}).get("to") or {}).get(node))
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -56,7 +56,7 @@
         """How much there is of what takes memory."""
         return (
             f"{len(self.store.replica)} live keys, {len(self.job_manager.jobs)} jobs, "
-            f"{len(self.agents.evidence.view)} machines, "
+            f"{len(self.agents.evidence.last_seen)} machines, "
             f"{len(self.user_api.lookup.final_states)} final states at hand"
         )
 
@@ -91,7 +91,7 @@
     operators: Operators,
     state_client: Any,
     cloud_client: Any,
-    peer_clients: Mapping[str, Any],
+    peer_clients: dict[str, Any],
     workers: Any,
 ) -> Controller:
     """The actors of one controller, not running yet.
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..actors import callback_inline, tell, tell_after, tell_inline
+from ..agents.wire.peers import MACHINES_PATH
 from ..membership import ownership_revision
 from ..membership.wire import NODE_PREFIX, read_incarnation
 from ..state import Change, ReplicaSubscriber, Store
@@ -35,7 +36,7 @@
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: "Reply") -> None:
         """Like the link's own `call`."""
-        if path == wire.EXCHANGE_PATH:
+        if path == MACHINES_PATH:
             tell_inline(self.monitor.on_ask, self.peer, body, timeout, reply)
         else:
             self.link.call(method, path, body, timeout, reply)
@@ -181,7 +182,7 @@
         """
         self.links[peer].call(
             "POST",
-            wire.EXCHANGE_PATH,
+            MACHINES_PATH,
             self.heartbeats.add_to(body),
             timeout,
             callback_inline(self.on_asked, peer, self.now() + timeout, reply),
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -21,7 +21,7 @@
 
 Member = TypeVar("Member", bound=enum.Enum)
 
-EXCHANGE_PATH = "/peer/heard"  # the exchange between controllers, which heartbeats ride on
+
 PING_PATH = "/peer/ping"
 PROBE_PATH = "/peer/probe"
 
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -6,20 +6,22 @@
 import orjson
 
 from .actors import tell, tell_inline
-from .agents import AgentManager, read_cancellation, read_question, read_task_updates
+from .agents import (
+    CANCELLATION_PATH,
+    MACHINES_PATH,
+    TASK_UPDATES_PATH,
+    AgentManager,
+    read_cancellation,
+    read_question,
+    read_task_updates,
+)
 from .jobs import JobManager
 from .state import Store, read_changes_request
+from .state.wire import PEER_CHANGES_PATH
 
 if TYPE_CHECKING:
     from .failure_detection import PeerMonitor
 
-MACHINES_PATH = "/peer/heard"  # what is known here of machines
-TASK_UPDATES_PATH = "/peer/facts"
-REPLICA_CHANGES_PATH = "/peer/changes"
-CANCELLATION_PATH = "/peer/withdrawn"
-PING_PATH = "/peer/ping"
-PROBE_PATH = "/peer/probe"
-
 Reply = Callable[..., None]  # reply(status, body)
 PeerHandler = Callable[[Any, Reply], None]
 
@@ -46,10 +48,13 @@
         self.handlers: dict[str, PeerHandler] = {
             MACHINES_PATH: self._machines,
             TASK_UPDATES_PATH: self._task_updates,
-            REPLICA_CHANGES_PATH: self._replica_changes,
+            PEER_CHANGES_PATH: self._replica_changes,
             CANCELLATION_PATH: self._cancellation,
         }
         if peer_monitor is not None:
+            # A start without failure detection does not pay for its import.
+            from .failure_detection.wire import PING_PATH, PROBE_PATH
+
             self.handlers[PING_PATH] = self._ping
             self.handlers[PROBE_PATH] = self._probe
 
@@ -71,7 +76,7 @@
         if self.peer_monitor is not None:
             tell_inline(self.peer_monitor.on_hear_question, data)
             reply = self.peer_monitor.answering(reply)
-        tell_inline(self.agents.on_heard, read_question(data), reply)
+        tell_inline(self.agents.on_machine_question, read_question(data), reply)
 
     def _ping(self, data: Any, reply: Reply) -> None:
         """A peer wants a sign of life."""
