--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -262,7 +262,7 @@
             last_seen, known, taint = (
                 self.evidence.view.get(name),
                 self.known.get(name),
-                self.taints.of.get(name),
+                self.taints.by_machine.get(name),
             )
             own = max(known.heard, known.answered) if known else self.born
             heard = last_seen.heard if last_seen is not None else self.born
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -1,71 +1,106 @@
 """Writes the leader's taints, one transaction at a time."""
 
-import logging
+from collections.abc import Iterable
+from http import HTTPStatus
+from typing import Any
 
-from ..actors import callback, tell, tell_after
-from ..state import LIVE_PREFIX
-from ..state import wire as state_wire
-from ..state.store import DECISIONS
+from ..actors import Actor, ActorPart, callback, tell, tell_after
+from ..config.platform import Settings
+from ..membership import Holder
+from ..state import Store
+from .leadership import Leadership
+from .states import Taint
+from .taint_change import ChangeLimits, plan_change
+from .taints import Taints
 
-log = logging.getLogger("emberglade.fleet")
+SYNC_RETRY_S = 0.5
 
 
-class TaintWriter:
-    """The part of the autoscaler that makes taints durable."""
+class TaintWriter(ActorPart):
+    """Makes changes of taints durable.
 
-    def taint(self, names, taint):
-        """Wishes for a taint. A machine has one wish at a time, so each is for the taint that it
-        was seen with.
+    Attributes:
+        pending: The taint that each machine is to get, None where it loses its taint.
+        in_flight: Those of them that are being written.
+        format_raised: Whether every controller reads the new record format.
+    """
+
+    def __init__(
+        self, actor: Actor, settings: Settings, store: Store, leadership: Leadership, taints: Taints
+    ) -> None:
+        super().__init__(actor)
+        self.settings = settings
+        self.store = store
+        self.leadership = leadership
+        self.taints = taints
+        self.pending: dict[str, Taint | None] = {}
+        self.in_flight: dict[str, Taint | None] = {}
+        self.format_raised = False
+
+    def begin_leadership(self) -> None:
+        """Drops what a former leadership was about to write."""
+        self.pending = {}
+        self.in_flight = {}
+
+    def is_changing(self, machine: str) -> bool:
+        """Whether a change of this machine's taint is pending or in flight."""
+        return machine in self.in_flight or machine in self.pending
+
+    def change(self, machines: Iterable[str], taint: Taint | None) -> None:
+        """Gives machines a taint; None: removes theirs.
+
+        A machine has one change at a time, so each follows from the taint that it was seen with.
+        Only proof that it is gone replaces a change that is pending.
         """
-        self.wishes.update(
+        replaces = taint == Taint.GONE
+        self.pending.update(
             (name, taint)
-            for name in names
-            if name not in self.tainting and (taint == "gone" or name not in self.wishes)
+            for name in machines
+            if name not in self.in_flight and (replaces or name not in self.pending)
         )
-        self.write_taints()
+        self._write()
 
-    def write_taints(self):
-        """One transaction at a time, of all machines that anything is wished for: keys hold many
-        taints.
-        """
-        if self.tainting or not self.wishes or not self.leading:
+    def _write(self) -> None:
+        """Writes pending changes, of all machines in one transaction: keys hold many taints."""
+        if self.in_flight or not self.pending or not self.leadership.leading:
             return
-        values, self.tainting = self.taints.with_changes(
-            self.wishes, self.settings.value_bytes, self.settings.txn_ops, self.format_raised
-        )
-        if not self.tainting:
+        limits = ChangeLimits(self.settings.value_bytes, self.settings.txn_ops, self.format_raised)
+        values, self.in_flight = plan_change(self.taints, self.pending, limits)
+        if not self.in_flight:
             return
-        for name in self.tainting:
-            del self.wishes[name]
-        conditions = [(LIVE_PREFIX + "lead", self.leader[2])] + [
-            (LIVE_PREFIX + key, mod_revision) for key, (mod_revision, _) in values.items()
-        ]
-        writes = [state_wire.put(LIVE_PREFIX + key, taints) for key, (_, taints) in values.items()]
-        tell(
-            self.store.on_commit,
-            DECISIONS,
-            conditions,
-            writes,
-            callback(self.on_tainted, self.leader),
+        for name in self.in_flight:
+            del self.pending[name]
+        self.leadership.commit(
+            [(key, row.mod_revision) for key, row in values.items()],
+            [(key, row.taints) for key, row in values.items()],
+            callback(self.on_written, self.leadership.holder),
         )
 
-    def on_tainted(self, leader, status, revision, failed):
-        tell(self.store.on_sync, callback(self.on_taint_seen, leader, status))
+    def on_written(self, holder: Holder, status: int, revision: int | None, failed: Any) -> None:
+        """Handles the store's answer to a commit of taints: a sync shows what became of it.
+
+        `holder` is the leader's key as of the commit.
+        """
+        tell(self.store.on_sync, callback(self.on_taints_synced, holder, status))
 
-    def on_taint_seen(self, leader, status, revision):
-        if self.leader != leader:
+    def on_taints_synced(self, holder: Holder, status: int, revision: int | None) -> None:
+        """Handles the sync after a commit of taints that was answered with `status`.
+
+        Ignored if the leader's key has changed since. Writes what is pending meanwhile.
+        """
+        if self.leadership.holder != holder:
             return
         if revision is None:
-            # The copy may not show what was written; the next taints are worked out from it.
-            tell_after(0.5, self.on_tainted, leader, status, None, None)
+            # The replica may not show what was written; the next change is worked out from it.
+            tell_after(SYNC_RETRY_S, self.on_written, holder, status, None, None)
             return
-        tainting, self.tainting = self.tainting, {}
-        if status != 200:
-            # Others are wished for again as long as they are due; this one is the proof that came
-            # once.
-            self.wishes.update(
+        written, self.in_flight = self.in_flight, {}
+        if status != HTTPStatus.OK:
+            # Other changes are asked for again as long as they are due; this one is the proof that
+            # came once.
+            self.pending.update(
                 (name, taint)
-                for name, taint in tainting.items()
-                if taint == "gone" and self.taints.get(name) != "gone"
+                for name, taint in written.items()
+                if taint == Taint.GONE and self.taints.get(name) != Taint.GONE
             )
-        self.write_taints()
+        self._write()
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -223,7 +223,7 @@
             placement.zone_shortage(
                 own,
                 self.capacity,
-                self.open_machines.difference(self.taints.of),
+                self.open_machines.difference(self.taints.by_machine),
                 self.machine_types,
             ),
         )
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -50,7 +50,7 @@
         ]
         if not any(self.mine(job) for job in waiting):
             return
-        usable = self.open_machines.difference(self.taints.of)
+        usable = self.open_machines.difference(self.taints.by_machine)
         usable.difference_update(
             [name for name, (until, _) in self.suspects.items() if until > now]
         )
--- a/tests/broken_builds/fleet.py
+++ b/tests/broken_builds/fleet.py
@@ -1,6 +1,6 @@
 """Broken builds of the leader and its taints."""
 
-from emberglade.fleet.taints import TaintChange
+from emberglade.fleet.taint_change import TaintChange
 
 
 def taints_stay(patch):
