--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -22,7 +22,7 @@
 from .demand import DemandTargets, Pool
 from .leadership import Leadership
 from .listing import MachineListing
-from .liveness import MachineLiveness
+from .liveness import LivenessWatch
 from .machines import FleetMachines
 from .scale_in import ScaleIn
 from .scale_out import ScaleOut
@@ -82,7 +82,7 @@
         self.listing = MachineListing(
             self, settings, cloud, self.leadership, self.machines, self.taint_writer
         )
-        self.liveness = MachineLiveness(
+        self.liveness = LivenessWatch(
             self, settings, agents, self.leadership, self.machines, self.taint_writer
         )
         max_requests = requests_per_round(settings, operators)
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -44,7 +44,7 @@
 Silences = dict[str, tuple[float, bool, bool, bool]]
 
 
-class MachineLiveness(ActorPart):
+class LivenessWatch(ActorPart):
     """Taints machines as lost or ended, and removes these taints when they are back."""
 
     def __init__(
