--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -13,19 +13,15 @@
 from ..config.platform import Settings
 from ..membership import FORMAT_KEY, is_raised
 from ..membership.wire import LEADER_KEY, NODE_PREFIX
-from ..placement import MachineType
 from ..state import ReplicaSubscriber, Store
 from ..transport import Client
-from .balance import TypeBalance
 from .catalog import MachineCatalog
-from .consolidation import Consolidation
-from .demand import DemandTargets, Pool
+from .cost_round import CostRound
+from .demand import DemandTargets
 from .leadership import Leadership
 from .listing import MachineListing
 from .liveness import LivenessWatch
 from .machines import FleetMachines
-from .scale_in import ScaleIn
-from .scale_out import ScaleOut
 from .taint_writer import TaintWriter
 from .taints import Taints
 from .wire import CATALOG_KEY, TAINT_PREFIX
@@ -42,15 +38,6 @@
 FIRST_ROUND_TICKS = 3
 
 
-def requests_per_round(settings: Settings, operators: Operators) -> int:
-    """How many requests of one kind a cost round may make to the cloud.
-
-    A third of what the cloud answers in it, and at least one for each zone.
-    """
-    a_third = settings.cloud_rps * operators.cost_round_s / 3
-    return max(len(settings.zones), int(a_third))
-
-
 class Autoscaler(ReplicaSubscriber):
     """Sizes the fleet while this controller leads; otherwise only follows what the leader wrote.
 
@@ -85,24 +72,11 @@
         self.liveness = LivenessWatch(
             self, settings, agents, self.leadership, self.machines, self.taint_writer
         )
-        max_requests = requests_per_round(settings, operators)
-        self.scale_out = ScaleOut(
-            self, settings, operators, cloud, self.leadership, self.machines, max_requests
-        )
-        self.scale_in = ScaleIn(
+        self.cost_round = CostRound(
             self,
             settings,
             operators,
             cloud,
-            self.leadership,
-            self.machines,
-            self.catalog,
-            self.taint_writer,
-            max_requests,
-        )
-        self.consolidation = Consolidation(
-            self,
-            operators,
             job_manager,
             self.leadership,
             self.machines,
@@ -160,10 +134,9 @@
         self.leadership.since = self.now()
         self.machines.begin_leadership()
         self.demand.begin_leadership()
-        self.scale_out.begin_leadership()
+        self.cost_round.begin_leadership()
         self.taint_writer.begin_leadership()
         self.listing.begin_leadership()
-        self.consolidation.begin_leadership()
         self.ticks = max(0, int(self.operators.cost_round_s) - FIRST_ROUND_TICKS)
         # What every controller knows of silent machines is the new leader's account of them.
         self.liveness.ask(tainted_only=True)
@@ -189,49 +162,8 @@
         total = self.demand.total()
         self.demand.record(total, self.catalog.machine_types)
         if self.ticks % int(self.operators.cost_round_s) == 0 and self.listing.read_once:
-            self._play_round(total, now)
+            self.cost_round.play(total, now)
 
     def on_occupied(self, occupied: set[str]) -> None:
         """Handles the job manager's answer: which machines tasks are bound to."""
         self.machines.note_occupied(occupied, self.now())
-
-    # --- the cost round
-
-    def _play_round(self, total: dict[Pool, float], now: float) -> None:
-        """Draws targets, and scales each machine type out or in towards them."""
-        machine_types = self.catalog.machine_types
-        self.demand.draw(total, machine_types, now - self.leadership.since)
-        for name, machine_type in machine_types.items():
-            balance = self._balance(machine_type)
-            self._log_balance(balance)
-            self.scale_out.fill(balance, now)
-            self.scale_in.drain_idle(balance, now)
-            self.scale_out.serve_zones(machine_type, self.demand.zone_shortages(name), now)
-            self.consolidation.consider(name)
-        self.scale_in.review(now)
-
-    def _balance(self, machine_type: MachineType) -> TypeBalance:
-        name = machine_type.name
-        machines = self.machines.counted(name)
-        spot = sum(machine.spot for machine in machines)
-        return TypeBalance(
-            machine_type,
-            machines,
-            len(machines) - spot + self.scale_out.pending_count(name, False),
-            spot + self.scale_out.pending_count(name, True),
-            self.demand.target(name, False),
-            self.demand.target(name, True),
-        )
-
-    @staticmethod
-    def _log_balance(balance: TypeBalance) -> None:
-        log.info(
-            "%s: %d ordinary and %d spot machines, %d and %d of them idle; targets %d and %d",
-            balance.machine_type.name,
-            balance.ordinary,
-            balance.spot,
-            balance.idle(False),
-            balance.idle(True),
-            balance.ordinary_target,
-            balance.spot_target,
-        )
