--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from ..actors import Actor, ActorPart
+from ..fleet import wire as fleet_wire
 from ..fleet.taints import Taints
 from ..jobs import wire as jobs_wire
 from ..jobs.job import shard_of
@@ -101,7 +102,7 @@
                 self.bindings.apply_record(job_id, data, mod_revision)
         elif jobs_wire.is_chunk_key(key):
             self.bindings.apply_chunk(key, data, mod_revision)
-        elif key.startswith(records.TAINT_PREFIX):
+        elif key.startswith(fleet_wire.TAINT_PREFIX):
             changed = self.taints.apply(key, data, mod_revision, self.now())
             self.bindings.touched.update(changed)
         elif key.startswith(records.SHARD_PREFIX):
@@ -114,7 +115,7 @@
             self._apply_overflow(key, data, change)
         elif key.startswith(records.UNDELIVERED_PREFIX):
             change.task_updates += records.read_undelivered(data, self.settings.node)
-        elif key == records.CATALOG_KEY and data is not None:
+        elif key == fleet_wire.CATALOG_KEY and data is not None:
             self.machine_types = read_machine_types(data)
 
     def _apply_controller(self, key: str, data: Any, change: ReplicaChange) -> None:
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -43,14 +43,16 @@
 
     def _liveness(self, machine: str, now: float) -> MachineLiveness:
         last_seen = self.evidence.last_seen.get(machine)
-        leases_over = machine in self.committed.taints.of and self._leases_over(machine, now)
+        leases_over = machine in self.committed.taints.by_machine and self._leases_over(
+            machine, now
+        )
         if last_seen is None:
             return MachineLiveness(self.evidence.began_at, leases_over, False, False)
         return MachineLiveness(last_seen.heard_at, leases_over, last_seen.status.unreachable, True)
 
     def _leases_over(self, machine: str, now: float) -> bool:
         """Whether every lease that a tainted machine may have is proven to be over."""
-        _, taint_revision, taint_seen_at = self.committed.taints.of[machine]
+        _, taint_revision, taint_seen_at = self.committed.taints.by_machine[machine]
         record = self.records.get(machine)
         own_contact = record.contact_at if record is not None else self.evidence.began_at
         return self.evidence.proves_leases_over(
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -10,10 +10,8 @@
 
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
-TAINT_PREFIX = "m/"
 OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
 UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their holders
-CATALOG_KEY = "catalog"
 
 
 def overflow_owner(key: str) -> str:
--- a/emberglade/jobs/cluster_view.py
+++ b/emberglade/jobs/cluster_view.py
@@ -44,7 +44,7 @@
 
     def untainted_machines(self) -> set[str]:
         """The names of the machines that may be given tasks."""
-        return self.open_machines.difference(self.taints.of)
+        return self.open_machines.difference(self.taints.by_machine)
 
     def tasks_on(self, machine: str) -> dict[tuple[str, int], tuple[Job, Binding]]:
         """{(job id, task): (Job, Binding)} of all that is bound to a machine."""
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..fleet.wire import CATALOG_KEY, TAINT_PREFIX
 from ..membership import FORMAT_KEY, is_raised
 from ..membership import wire as membership_wire
 from . import wire
@@ -17,8 +18,6 @@
 from .unattached_chunks import ChunkVersion, UnattachedChunks
 
 # Keys of the leader: taints, and the machine types.
-TAINT_PREFIX = "m/"
-MACHINE_TYPES_KEY = "catalog"
 
 
 class CommittedState:
@@ -66,7 +65,7 @@
         elif key.startswith(TAINT_PREFIX):
             taints = self._cluster.taints
             self._changed_taints.update(taints.apply(key, record, mod_revision, self._clock()))
-        elif key == MACHINE_TYPES_KEY and record is not None:
+        elif key == CATALOG_KEY and record is not None:
             self._cluster.update_machine_types(record)
         elif key == FORMAT_KEY:
             raised = self._chunk_limits.format_raised or is_raised(record)
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -7,14 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ..fleet.wire import CATALOG_KEY
 from ..jobs import wire as jobs_wire
 from ..jobs.dependencies import DependencyGraph
 from ..membership import FORMAT_KEY, is_raised
 from ..placement import MachineType, read_machine_types
 from ..state import Change
 
-CATALOG_KEY = "catalog"
-
 
 @dataclass(slots=True)
 class LiveJob:
