--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -9,11 +9,11 @@
 from ..actors import ActorPart, callback, tell, tell_after
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
-from .shard_holders import ShardHolders, full_shard_key
+from .shard_holders import full_shard_key
 from .transaction import CommitInFlight
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -30,13 +30,12 @@
     def __init__(
         self,
         actor: "JobManager",
-        settings: "Settings",
         store: "Store",
-        holders: ShardHolders,
+        view: View,
         settled: Callable[[dict[str, Any]], None],
     ) -> None:
         super().__init__(actor)
-        self._settings, self._store, self._holders = settings, store, holders
+        self._settings, self._store, self._holders = view.settings, store, view.holders
         self._settled = settled
 
     def settle(self, in_flight: CommitInFlight, decided: bool) -> None:
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -7,18 +7,14 @@
 from ..state.store import DECISIONS
 from ..transport import status_text
 from . import wire
-from .chunking import ChunkLimits
 from .commit_settlement import CommitSettlement
 from .garbage_collection import GarbageCollection
 from .job import Job
-from .job_table import JobTable
 from .pending_writes import WRITE_DELAY_S, PendingWrites
-from .shard_holders import ShardHolders
 from .transaction import CommitInFlight, Event, JobEnd, Transaction
-from .write_budget import WriteBudget
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -57,23 +53,20 @@
     def __init__(
         self,
         actor: "JobManager",
-        settings: "Settings",
         store: "Store",
-        jobs: JobTable,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
-        budget: WriteBudget,
+        view: View,
         garbage: GarbageCollection,
         listener: CommitListener,
     ) -> None:
         super().__init__(actor)
-        self._settings, self._store = settings, store
-        self._jobs, self._holders, self._chunk_limits = jobs, holders, chunk_limits
-        self._budget, self._garbage, self._listener = budget, garbage, listener
+        self._settings, self._store, self._budget = view.settings, store, view.budget
+        self._jobs, self._holders = view.jobs, view.holders
+        self._chunk_limits = view.chunk_limits
+        self._garbage, self._listener = garbage, listener
         self._flush_at = float("inf")  # when the next flush is due
-        self.pending = PendingWrites(settings, jobs, budget)
+        self.pending = PendingWrites(view)
         self.in_flight: CommitInFlight | None = None
-        self._settlement = CommitSettlement(actor, settings, store, holders, self.on_settled)
+        self._settlement = CommitSettlement(actor, store, view, self.on_settled)
 
     # --- what is to be written
 
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -6,15 +6,11 @@
 from ..membership import FORMAT_KEY, is_raised
 from ..membership import wire as membership_wire
 from . import wire
-from .chunking import ChunkLimits
-from .cluster_view import ClusterView
 from .commits import Commits
-from .dependencies import DependencyGraph
 from .garbage_collection import GarbageCollection
 from .job import Job
-from .job_table import JobTable
-from .shard_holders import ShardHolders
-from .unattached_chunks import ChunkVersion, UnattachedChunks
+from .unattached_chunks import ChunkVersion
+from .view import View
 
 # Keys of the leader: taints, and the machine types.
 TAINT_PREFIX = "m/"
@@ -28,19 +24,11 @@
     """
 
     def __init__(
-        self,
-        jobs: JobTable,
-        unattached: UnattachedChunks,
-        cluster: ClusterView,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
-        graph: DependencyGraph,
-        commits: Commits,
-        garbage: GarbageCollection,
-        clock: Callable[[], float],
+        self, view: View, commits: Commits, garbage: GarbageCollection, clock: Callable[[], float]
     ) -> None:
-        self._jobs, self._unattached, self._cluster = jobs, unattached, cluster
-        self._holders, self._chunk_limits, self._graph = holders, chunk_limits, graph
+        self._jobs, self._unattached, self._cluster = view.jobs, view.unattached, view.cluster
+        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._graph = view.graph
         self._commits, self._garbage, self._clock = commits, garbage, clock
         self._changed_taints: set[str] = set()
 
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -14,17 +14,13 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
-from .chunking import ChunkLimits
 from .commits import NOT_EXECUTED
-from .dependencies import DependencyGraph
 from .job import Job
-from .shard_holders import ShardHolders
+from .view import View
 from .waiting_job import WaitingJob, released_spec
 from .wire import Outcome
-from .write_budget import WriteBudget
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -37,19 +33,11 @@
 class DependencyRelease(ActorPart):
     """Releases and ends the waiting jobs of the shards that this controller holds."""
 
-    def __init__(
-        self,
-        actor: "JobManager",
-        settings: "Settings",
-        store: "Store",
-        graph: DependencyGraph,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
-        budget: WriteBudget,
-    ) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
-        self._settings, self._store, self._graph = settings, store, graph
-        self._holders, self._chunk_limits, self._budget = holders, chunk_limits, budget
+        self._settings, self._store, self._budget = view.settings, store, view.budget
+        self._graph, self._holders = view.graph, view.holders
+        self._chunk_limits = view.chunk_limits
         self._busy = False  # a transaction is on its way, or its outcome not seen yet
         self._being_read: set[str] = set()  # dependencies whose final key is being read
 
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -8,13 +8,9 @@
 from ..state.store import DECISIONS
 from . import wire
 from .job import Job
-from .job_table import JobTable
-from .shard_holders import ShardHolders
-from .unattached_chunks import UnattachedChunks
-from .write_budget import WriteBudget
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -24,19 +20,11 @@
 class GarbageCollection(ActorPart):
     """Removes chunks of jobs that are over, and of generations that were replaced."""
 
-    def __init__(
-        self,
-        actor: "JobManager",
-        settings: "Settings",
-        store: "Store",
-        jobs: JobTable,
-        holders: ShardHolders,
-        budget: WriteBudget,
-        unattached: UnattachedChunks,
-    ) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
-        self._settings, self._store, self._jobs = settings, store, jobs
-        self._holders, self._budget, self._unattached = holders, budget, unattached
+        self._settings, self._store, self._budget = view.settings, store, view.budget
+        self._jobs, self._holders = view.jobs, view.holders
+        self._unattached = view.unattached
         self._garbage: dict[str, int] = {}  # key of a chunk to be removed -> its mod revision
         self._orphaned_since: dict[str, float] = {}  # job -> when chunks without it were seen
 
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -11,27 +11,21 @@
 from ..actors import tell, tell_after
 from ..membership import Holder
 from ..state import ReplicaSubscriber
-from .chunking import ChunkLimits
-from .cluster_view import ClusterView
 from .commits import Commits
 from .committed import CommittedState
-from .dependencies import DependencyGraph
 from .dependency_release import DependencyRelease
 from .failure_backoff import FailureBackoff
 from .garbage_collection import GarbageCollection
 from .job import Job
-from .job_table import JobTable
 from .preemption import Preemption
 from .rechunking import Rechunking
 from .scheduler import Scheduler
 from .segment_collection import SegmentCollection
-from .shard_holders import ShardHolders
 from .task_lifecycle import TaskLifecycle
 from .task_updates import StopWanted, TaskUpdate
 from .transaction import Event
-from .unattached_chunks import UnattachedChunks
 from .underused_machine import find_underused_machine
-from .write_budget import WriteBudget
+from .view import View
 
 if TYPE_CHECKING:
     from ..agents import AgentManager
@@ -46,7 +40,7 @@
 
     Its parts do the work, each in this actor's turn:
 
-    - `committed` keeps the view in step with the replica; `shard_holders` knows who decides.
+    - `committed` keeps the view in step with the replica.
     - `tasks` changes bindings by what agents report; `scheduler` places, `preemption` stops others.
     - `commits` writes what was decided; `rechunking` and `garbage` look after chunks.
     - `release` turns waiting jobs into live ones.
@@ -59,77 +53,27 @@
 
     def __init__(self, settings: "Settings", store: "Store") -> None:
         self.settings, self.store = settings, store
-        self.shard_holders = ShardHolders(settings)
-        self.cluster = ClusterView(settings)
-        self.table = JobTable(self.cluster, self.now)
-        self.graph = DependencyGraph()
-        self._chunk_limits = ChunkLimits(settings.value_bytes)
-        self._budget = WriteBudget(settings)
-        self._add_writers()
-        self._add_deciders()
-
-    def _add_writers(self) -> None:
-        """Adds the parts that write records and follow what is committed."""
-        settings, store, jobs, holders = self.settings, self.store, self.table, self.shard_holders
-        limits, budget = self._chunk_limits, self._budget
-        unattached = UnattachedChunks()
-        self.garbage = GarbageCollection(self, settings, store, jobs, holders, budget, unattached)
-        self.commits = Commits(
-            self, settings, store, jobs, holders, limits, budget, self.garbage, listener=self
-        )
-        self.rechunking = Rechunking(
-            self, settings, store, jobs, holders, limits, budget, self.commits
-        )
-        self.release = DependencyRelease(self, settings, store, self.graph, holders, limits, budget)
-        self.segments = SegmentCollection(self, settings, store, self.graph, holders, budget)
-        self.committed = CommittedState(
-            jobs,
-            unattached,
-            self.cluster,
-            holders,
-            limits,
-            self.graph,
-            self.commits,
-            self.garbage,
-            self.now,
-        )
-
-    def _add_deciders(self) -> None:
-        """Adds the parts that decide what runs where."""
-        settings, jobs, cluster, holders = (
-            self.settings,
-            self.table,
-            self.cluster,
-            self.shard_holders,
-        )
-        limits, backoff = self._chunk_limits, FailureBackoff(settings)
-        self.tasks = TaskLifecycle(
-            self, jobs, cluster, holders, limits, self.commits, backoff, self.schedule_placement
-        )
-        self.preemption = Preemption(
-            self, settings, jobs, cluster, holders, limits, self.tasks, self.request_stop
-        )
-        self.scheduler = Scheduler(
-            self,
-            settings,
-            jobs,
-            cluster,
-            holders,
-            limits,
-            self.commits,
-            backoff,
-            self.preemption,
-        )
+        self.view = view = View(settings, self.now)
+        self.garbage = GarbageCollection(self, store, view)
+        self.commits = Commits(self, store, view, self.garbage, listener=self)
+        self.committed = CommittedState(view, self.commits, self.garbage, self.now)
+        self.rechunking = Rechunking(self, store, view, self.commits)
+        self.release = DependencyRelease(self, store, view)
+        self.segments = SegmentCollection(self, store, view)
+        backoff = FailureBackoff(settings)
+        self.tasks = TaskLifecycle(self, view, self.commits, backoff, self.schedule_placement)
+        self.preemption = Preemption(self, view, self.tasks, self.request_stop)
+        self.scheduler = Scheduler(self, view, self.commits, backoff, self.preemption)
 
     @property
     def jobs(self) -> dict[str, Job]:
         """Job id -> Job, of all live jobs."""
-        return self.table.jobs
+        return self.view.jobs.jobs
 
     @property
     def holders(self) -> dict[int, Holder]:
         """Shard -> Holder, as the replica shows them."""
-        return self.shard_holders.holders
+        return self.view.holders.holders
 
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes to the store, and ticks."""
@@ -139,13 +83,13 @@
     def on_identity(self, incarnation: int) -> None:
         """Handles `identity(incarnation)` from the member: which process this is."""
         super().on_identity(incarnation)
-        self.shard_holders.incarnation = incarnation
+        self.view.holders.incarnation = incarnation
 
     # --- what agents and the store tell
 
     def on_inventory(self, machines: Mapping[str, placement.Machine]) -> None:
         """Handles `inventory(machines)` from the agent manager: what machines there are now."""
-        self.cluster.update_machines(machines)
+        self.view.cluster.update_machines(machines)
         self.schedule_placement()
 
     def on_task_update(self, update: TaskUpdate) -> None:
@@ -169,11 +113,11 @@
         self.schedule_placement()
 
     def _follow_dependencies(self, events: list[Event], whole: bool) -> None:
-        self.graph.apply(events, whole)
-        for job_id in self.graph.urgency.take_changes():
-            job = self.table.get(job_id)
+        self.view.graph.apply(events, whole)
+        for job_id in self.view.graph.urgency.take_changes():
+            job = self.view.jobs.get(job_id)
             if job is not None:
-                job.inherit_urgency(self.graph.urgency.get(job_id))
+                job.inherit_urgency(self.view.graph.urgency.get(job_id))
         self.release.advance()
 
     def on_tick(self) -> None:
@@ -231,9 +175,9 @@
         `reply({(type, spot): machines}, {(type, spot, zone): machines})`: the demand per pool, and
         what of it finds no capacity in the only zone where it can run.
         """
-        settings, cluster = self.settings, self.cluster
+        settings, cluster = self.settings, self.view.cluster
         own = [
-            job for job in self.jobs.values() if self.shard_holders.holds(job) and not job.cancelled
+            job for job in self.jobs.values() if self.view.holders.holds(job) and not job.cancelled
         ]
         buffer = placement.capacity_buffer(
             own, settings.objectives, cluster.machine_types, self.system.wall()
@@ -250,11 +194,11 @@
 
         `reply(the machines that any task is bound to)`.
         """
-        reply(set(self.cluster.bound_machines()))
+        reply(set(self.view.cluster.bound_machines()))
 
     def on_replicas(self, reply: Callable[[int], None]) -> None:
         """Handles `replicas(reply)` from the autoscaler: `reply(how many replicas are bound)`."""
-        reply(sum(self.cluster.capacity.replicas.values()))
+        reply(sum(self.view.cluster.capacity.replicas.values()))
 
     def on_underused_machine(
         self, type_name: str, limit: int, reply: Callable[[str | None, int], None]
@@ -264,7 +208,7 @@
         `reply(machine, count)`: one that only holds up to `limit` replicas, which could all move to
         other machines in use; `reply(None, 0)` if there is none.
         """
-        found = find_underused_machine(self.cluster, type_name, limit)
+        found = find_underused_machine(self.view.cluster, type_name, limit)
         if found is None:
             reply(None, 0)
         else:
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -1,13 +1,7 @@
 """The records that changed and are not written yet, and when each is due."""
 
-from typing import TYPE_CHECKING
-
 from . import wire
-from .job_table import JobTable
-from .write_budget import WriteBudget
-
-if TYPE_CHECKING:
-    from ..config import Settings
+from .view import View
 
 WRITE_DELAY_S = 0.02  # so that what changes in one turn is written together
 MIN_DELAY_SHARE = 0.1  # of an agent heartbeat: the least that a change waits for others
@@ -20,8 +14,8 @@
         due: key -> when it should be written, on the steady clock.
     """
 
-    def __init__(self, settings: "Settings", jobs: JobTable, budget: WriteBudget) -> None:
-        self._settings, self._jobs, self._budget = settings, jobs, budget
+    def __init__(self, view: View) -> None:
+        self._settings, self._jobs, self._budget = view.settings, view.jobs, view.budget
         self.due: dict[str, float] = {}
 
     def __bool__(self) -> bool:
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -2,19 +2,13 @@
 
 import logging
 import math
-from typing import TYPE_CHECKING
 
 from .. import placement
 from .binding import Binding
 from .chunking import chunk_size
-from .cluster_view import ClusterView
 from .commits import Commits
 from .job import Job
-from .job_table import JobTable
-from .shard_holders import ShardHolders
-
-if TYPE_CHECKING:
-    from ..config import Settings
+from .view import View
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -33,22 +27,20 @@
 
     def __init__(
         self,
-        settings: "Settings",
-        jobs: JobTable,
-        cluster: ClusterView,
-        holders: ShardHolders,
+        view: View,
         commits: Commits,
         placement_round: placement.PlacementRound,
         starving: set[str],
         now: float,
         wall: float,
     ) -> None:
-        self._jobs, self._cluster, self._holders = jobs, cluster, holders
+        settings = view.settings
+        self._jobs, self._cluster, self._holders = view.jobs, view.cluster, view.holders
         self._commits, self._round, self._starving = commits, placement_round, starving
         self._teams, self._now, self._wall = settings.teams, now, wall
         # (a job, tasks like it that are expected soon): capacity is kept free for them.
         self._buffer = placement.capacity_buffer(
-            jobs.jobs.values(), settings.objectives, cluster.machine_types, wall
+            view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall
         )
         self._tasks_left = (
             settings.txn_ops * COMMITS_A_ROUND * chunk_size(settings.value_bytes)
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -6,16 +6,12 @@
 from .. import placement
 from ..actors import ActorPart
 from .binding import Binding, StopMode
-from .chunking import ChunkLimits
-from .cluster_view import ClusterView
 from .job import Job
-from .job_table import JobTable
-from .shard_holders import ShardHolders
 from .task_lifecycle import TaskLifecycle
 from .task_updates import StopWanted
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from .manager import JobManager
 
 MAX_STOPS = 16  # in a round: each costs a look at all machines, and the next round comes soon
@@ -43,18 +39,15 @@
     def __init__(
         self,
         actor: "JobManager",
-        settings: "Settings",
-        jobs: JobTable,
-        cluster: ClusterView,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
+        view: View,
         tasks: TaskLifecycle,
         request_stop: Callable[[StopWanted], None],
     ) -> None:
         super().__init__(actor)
-        self._settings, self._jobs, self._cluster = settings, jobs, cluster
-        self._holders, self._chunk_limits, self._tasks = holders, chunk_limits, tasks
-        self._request_stop = request_stop
+        self._settings = view.settings
+        self._jobs, self._cluster = view.jobs, view.cluster
+        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._tasks, self._request_stop = tasks, request_stop
         self._last_round_at = float("-inf")
         # (job, task, attempt) -> when its holder was asked to stop it
         self._requested: dict[tuple[str, int, int], float] = {}
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -17,16 +17,13 @@
 from ..transport import status_text
 from . import wire
 from .chunk import Chunk
-from .chunking import ChunkLimits, rechunk
+from .chunking import rechunk
 from .commits import NOT_EXECUTED, Commits
 from .job import Job
-from .job_table import JobTable
-from .shard_holders import ShardHolders
 from .transaction import CommitInFlight
-from .write_budget import WriteBudget
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -54,21 +51,12 @@
 class Rechunking(ActorPart):
     """Rechunks own jobs, one at a time."""
 
-    def __init__(
-        self,
-        actor: "JobManager",
-        settings: "Settings",
-        store: "Store",
-        jobs: JobTable,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
-        budget: WriteBudget,
-        commits: Commits,
-    ) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: View, commits: Commits) -> None:
         super().__init__(actor)
-        self._settings, self._store, self._jobs = settings, store, jobs
-        self._holders, self._chunk_limits = holders, chunk_limits
-        self._budget, self._commits = budget, commits
+        self._settings, self._store, self._budget = view.settings, store, view.budget
+        self._jobs, self._holders = view.jobs, view.holders
+        self._chunk_limits = view.chunk_limits
+        self._commits = commits
         self._current: Rechunk | None = None
         self._count = 0  # of those begun by this process
 
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -4,18 +4,14 @@
 
 from .. import placement
 from ..actors import ActorPart, tell_after
-from .chunking import ChunkLimits
-from .cluster_view import ClusterView
 from .commits import Commits
 from .failure_backoff import FailureBackoff
 from .job import Job
-from .job_table import JobTable
 from .placement_pass import PlacementPass
 from .preemption import Preemption
-from .shard_holders import ShardHolders
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from .manager import JobManager
 
 # How many of each there are in an agent heartbeat.
@@ -34,19 +30,16 @@
     def __init__(
         self,
         actor: "JobManager",
-        settings: "Settings",
-        jobs: JobTable,
-        cluster: ClusterView,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
+        view: View,
         commits: Commits,
         backoff: FailureBackoff,
         preemption: Preemption,
     ) -> None:
         super().__init__(actor)
-        self._settings, self._jobs, self._cluster = settings, jobs, cluster
-        self._holders, self._chunk_limits, self._commits = holders, chunk_limits, commits
-        self._backoff, self._preemption = backoff, preemption
+        self._settings, self._view = view.settings, view
+        self._jobs, self._cluster = view.jobs, view.cluster
+        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._commits, self._backoff, self._preemption = commits, backoff, preemption
         self._round_scheduled = False
         self._next_round_at = float("-inf")
         self._guaranteed: set[str] = set()  # jobs within their team's guarantee
@@ -107,15 +100,7 @@
         self._sort(pending, starving, wall)
         self._update_guaranteed(now)
         placement_pass = PlacementPass(
-            self._settings,
-            self._jobs,
-            self._cluster,
-            self._holders,
-            self._commits,
-            placement_round,
-            starving,
-            now,
-            wall,
+            self._view, self._commits, placement_round, starving, now, wall
         )
         placement_pass.play(pending)
         self._preemption.preempt(now, pending, self._guaranteed, placement_round)
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -7,12 +7,9 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
-from .dependencies import DependencyGraph
-from .shard_holders import ShardHolders
-from .write_budget import WriteBudget
+from .view import View
 
 if TYPE_CHECKING:
-    from ..config import Settings
     from ..state import Store
     from .manager import JobManager
 
@@ -22,18 +19,10 @@
 class SegmentCollection(ActorPart):
     """Removes lists of attempts that came to nothing, or of jobs that wait no more."""
 
-    def __init__(
-        self,
-        actor: "JobManager",
-        settings: "Settings",
-        store: "Store",
-        graph: DependencyGraph,
-        holders: ShardHolders,
-        budget: WriteBudget,
-    ) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
-        self._settings, self._store = settings, store
-        self._graph, self._holders, self._budget = graph, holders, budget
+        self._settings, self._store, self._budget = view.settings, store, view.budget
+        self._graph, self._holders = view.graph, view.holders
         self._unused_since: dict[tuple[str, str], float] = {}  # (job, list id) -> when first seen
 
     def sweep(self) -> None:
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -6,14 +6,11 @@
 
 from ..actors import ActorPart
 from .binding import Binding, StopMode
-from .chunking import ChunkLimits
-from .cluster_view import ClusterView
 from .commits import Commits
 from .failure_backoff import DONE, FailureBackoff
 from .job import Job, task_name
-from .job_table import JobTable
-from .shard_holders import ShardHolders
 from .task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+from .view import View
 
 if TYPE_CHECKING:
     from .manager import JobManager
@@ -33,17 +30,15 @@
     def __init__(
         self,
         actor: "JobManager",
-        jobs: JobTable,
-        cluster: ClusterView,
-        holders: ShardHolders,
-        chunk_limits: ChunkLimits,
+        view: View,
         commits: Commits,
         backoff: FailureBackoff,
         schedule_placement: Callable[[], None],
     ) -> None:
         super().__init__(actor)
-        self._jobs, self._cluster, self._holders = jobs, cluster, holders
-        self._chunk_limits, self._commits, self._backoff = chunk_limits, commits, backoff
+        self._jobs, self._cluster = view.jobs, view.cluster
+        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._commits, self._backoff = commits, backoff
         self._schedule_placement = schedule_placement
 
     def may_change(self, job: Job) -> bool:
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -17,9 +17,9 @@
 
     def on_tick(self):
         for job in list(self.jobs.values()):
-            if self.shard_holders.holds(job):
+            if self.view.holders.holds(job):
                 for task, binding in list(job.bindings()):
-                    machine = self.cluster.machines.get(binding.machine)
+                    machine = self.view.cluster.machines.get(binding.machine)
                     if machine is not None and not machine.open:
                         self.tasks.release(job, task, binding.attempt, binding.machine)
         original(self)
