--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -229,7 +229,7 @@
                 old = self.inventory.get(name)
                 if (
                     old is None
-                    or (old.agent_epoch, old.open) != (row.agent_epoch, usable)
+                    or (old.agent_epoch, old.schedulable) != (row.agent_epoch, usable)
                     or old.type is not self.machine_types[row.type]
                 ):
                     old = Machine(
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -34,6 +34,11 @@
     def limited(self):
         return self.cpu_quota > 0 or self.gpu_quota > 0
 
+    @property
+    def has_guarantee(self):
+        """Whether it is guaranteed anything."""
+        return bool(self.guaranteed_cpus or self.guaranteed_gpus)
+
 
 @dataclass(frozen=True)
 class ServiceLevelObjective:
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -152,7 +152,7 @@
         self.capacity.add(job, task, binding)
         machine = self.inventory.get(binding.machine)
         if machine is not None:
-            self.images.note(
+            self.images.add(
                 binding.machine, job.spec.image, job.spec.image_gb, machine.type.cache_gb
             )
 
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -60,8 +60,8 @@
 
     def on_inventory(self, machines):
         self.inventory = machines
-        self.open_machines = {name for name, machine in machines.items() if machine.open}
-        self.capacity.inventory(machines)
+        self.open_machines = {name for name, machine in machines.items() if machine.schedulable}
+        self.capacity.set_machines(machines)
         self.images.keep_only(machines)
         self.soon_place()
 
@@ -153,7 +153,7 @@
         moved = {}
         for machine in machines:
             taint = self.taints.get(machine)
-            for (_, task), (job, binding) in list(self.capacity.on.get(machine, {}).items()):
+            for job, task, binding in list(self.capacity.bound_tasks.get(machine, {}).values()):
                 if not self.decides(job):
                     continue
                 if taint in ("ended", "gone"):
@@ -192,7 +192,7 @@
             [
                 machine
                 for machine, taint in self.taints.items()
-                if taint in ("ended", "gone", "drain") and machine in self.capacity.on
+                if taint in ("ended", "gone", "drain") and machine in self.capacity.bound_tasks
             ]
         )
         self.sweep()
@@ -230,7 +230,7 @@
 
     def on_occupied(self, reply):
         """`reply(machines that any bound task names)`."""
-        reply(set(self.capacity.on))
+        reply(set(self.capacity.bound_tasks))
 
     def on_replicas(self, reply):
         reply(sum(self.capacity.replicas.values()))
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -67,16 +67,16 @@
         ]
         if not pressing:
             return []
-        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
+        rules = placement.PreemptionRules(self.capacity, self.settings.teams)
         running = {
-            placement.preempt.stop_class(job.spec): job.spec
+            placement.preemption_class(job.spec): job.spec
             for job in self.jobs.values()
             if job.binding_count()
         }
         return [
             job
             for job in pressing
-            if any(rules.may_stop(job.spec, victim) for victim in running.values())
+            if any(rules.may_preempt(job.spec, victim) for victim in running.values())
         ]
 
     def count_stopping_as_free(self, placement_round):
@@ -85,7 +85,7 @@
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
             ]:
-                placement_round.give(job.spec, binding.machine)
+                placement_round.release(job.spec, binding.machine)
         for job_id, task, attempt in self.asked:
             job = self.jobs.get(job_id)
             binding = job.part(task).bindings.get(task) if job is not None else None
@@ -95,18 +95,18 @@
                 and not binding.stop
                 and not job.cancelled
             ):
-                placement_round.give(job.spec, binding.machine)
+                placement_round.release(job.spec, binding.machine)
 
     def stoppable_rows(self, now, pressing):
-        """{machine: [(job, task, bound)]} of what may be stopped there, the cheapest first."""
-        rules = placement.preempt.StopRules(self.capacity, self.settings.teams)
+        """{machine: [BoundTask]} of what may be stopped there, the cheapest first."""
+        rules = placement.PreemptionRules(self.capacity, self.settings.teams)
         kinds = list({(job.spec.priority, job.spec.team): job.spec for job in pressing}.values())
         rows = {}
         for job in self.jobs.values():
             if (
                 job.cancelled
                 or self.needs_relayout(job)
-                or not any(rules.may_stop(spec, job.spec) for spec in kinds)
+                or not any(rules.may_preempt(spec, job.spec) for spec in kinds)
             ):
                 continue
             for task, binding in job.bindings():
@@ -115,9 +115,11 @@
                     and (job.id, task, binding.attempt) not in self.asked
                     and not self.late_start(job, binding, now)
                 ):
-                    rows.setdefault(binding.machine, []).append((job, task, binding))
+                    rows.setdefault(binding.machine, []).append(
+                        placement.BoundTask(job, task, binding)
+                    )
         for there in rows.values():
-            there.sort(key=lambda row: placement.preempt.turn_to_go(row, self.is_fresh(row, now)))
+            there.sort(key=lambda row: placement.victim_order(row, self.is_fresh(row, now)))
         return rows
 
     @staticmethod
@@ -137,9 +139,9 @@
                     continue
                 for row in victims:
                     rows[row[2].machine].remove(row)
-                    placement_round.give(row[0].spec, row[2].machine)
+                    placement_round.release(row[0].spec, row[2].machine)
                     self.ask_stop(now, row, f"room for {job.id}")
-                placement_round.fill(job, 1)
+                placement_round.place(job, 1)
                 stops_left -= 1
                 if stops_left <= 0:
                     return
@@ -152,12 +154,12 @@
             return self.is_fresh(row, now)
 
         if not capacity.tasks_within_quota(job.spec):
-            victims = placement.preempt.victims_for_quota(job.spec, rows, capacity, teams, fresh)
-            helps = victims and placement.preempt.has_fit(job, victims, placement_round)
+            victims = placement.victims_for_quota(job.spec, rows, capacity, teams, fresh)
+            helps = victims and placement.has_fit(job, victims, placement_round)
             return victims if helps else None
-        if placement_round.fill(job, 1):
+        if placement_round.place(job, 1):
             return []
-        return placement.preempt.victims_for_capacity(job, rows, placement_round, teams, fresh)
+        return placement.victims_for_capacity(job, rows, placement_round, teams, fresh)
 
     def ask_stop(self, now, row, reason):
         job, task, binding = row
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -54,11 +54,8 @@
         usable.difference_update(
             [name for name, (until, _) in self.suspects.items() if until > now]
         )
-        placement_round = placement.PlacementRound(self.capacity, usable, self.images)
-        try:
+        with placement.PlacementRound(self.capacity, usable, self.images) as placement_round:
             self.play(now, waiting, placement_round)
-        finally:
-            placement_round.undo()
 
     def play(self, now, waiting, placement_round):
         """One round: takes room for everybody's waiting tasks in order, and binds its own.
@@ -77,7 +74,7 @@
         )
         if now - self.guaranteed_at > self.settings.agent_heartbeat_s / 5:
             self.guaranteed_at = now
-            self.guaranteed = placement.preempt.guaranteed(
+            self.guaranteed = placement.guaranteed_jobs(
                 (job for job in self.jobs.values() if not job.cancelled), teams
             )
         ahead = placement.capacity_buffer(
@@ -94,8 +91,8 @@
             for job in waiting:
                 for row in [row for row in ahead if row[0].spec.priority < job.spec.priority]:
                     ahead.remove(row)
-                    placement_round.fill(row[0], math.ceil(row[1]))
-                most = min(job.waiting_count(), placement_round.most(job.spec), 256)
+                    placement_round.place(row[0], math.ceil(row[1]))
+                most = min(job.waiting_count(), placement_round.max_tasks(job.spec), 256)
                 if within and job.spec.priority:
                     most = min(most, self.capacity.tasks_within_guarantee(job.spec))
                 if job.id in starving:
@@ -115,7 +112,7 @@
                         for task in job.waiting(now, most + past)
                         if hopeful or job.part(task).tried.get(task, 0) <= 3
                     ]
-                    played[job.id] = past + len(placement_round.fill(job, len(tasks) - past))
+                    played[job.id] = past + len(placement_round.place(job, len(tasks) - past))
                 elif budget > 0:
                     budget -= self.place(job, job.waiting(now, most), placement_round, wall)
         self.preempt(now, waiting, placement_round)
@@ -127,8 +124,8 @@
 
     def place(self, job, tasks, placement_round, wall):
         """Binds as many of the tasks as find room; returns how many."""
-        found = placement_round.fill(job, len(tasks))
-        placement_round.forget(len(found))
+        found = placement_round.place(job, len(tasks))
+        placement_round.take_back(found)
         if not found or (
             job.spec.gang and not job.binding_count() and len(found) < job.waiting_count()
         ):
@@ -173,29 +170,29 @@
         replicas = self.capacity.replicas
         rows = []
         for name, machine in self.inventory.items():
-            on = self.capacity.on.get(name, {})
+            on = self.capacity.bound_tasks.get(name, {})
             if (
                 machine.type.name == type_name
                 and not machine.spot
-                and machine.open
+                and machine.schedulable
                 and name not in self.taints
                 and 0 < len(on) <= most
                 and all(
                     job.spec.service and not binding.stop and not job.cancelled
-                    for job, binding in on.values()
+                    for job, _, binding in on.values()
                 )
             ):
                 rows.append((len(on), name))
         usable = {
             name
             for name, machine in self.inventory.items()
-            if machine.open and name not in self.taints and replicas.get(name)
+            if machine.schedulable and name not in self.taints and replicas.get(name)
         }
         for count, name in sorted(rows)[:8]:
             placement_round = placement.PlacementRound(self.capacity, usable - {name}, self.images)
             fits = True
-            for job, _ in self.capacity.on[name].values():
-                found = placement_round.fill(job, 1)
+            for job, _, _ in self.capacity.bound_tasks[name].values():
+                found = placement_round.place(job, 1)
                 if not found or not self.images.has(found[0], job.spec.image):
                     fits = False
                     break
--- a/emberglade/placement/__init__.py
+++ b/emberglade/placement/__init__.py
@@ -1,24 +1,41 @@
-"""Placement: types, free room, fit, zones, team limits, image locality. Pure, no messages."""
+"""Placement: bin packing on free capacity, quotas, guarantees, preemption, demand.
 
-from . import preempt
-from .capacity import ClusterCapacity, Machine, PlacementRound, placement_order
-from .capacity_buffer import capacity_buffer
-from .demand import demand, zone_shortage
+Pure functions and tables without messages: the job manager holds them and plays its rounds on
+them. What they are told of a job is its `Spec` (`emberglade/jobs/record.py`).
+"""
+
+from .capacity import BoundTask, ClusterCapacity
+from .capacity_buffer import ExpectedTasks, capacity_buffer
+from .demand import Pool, ZonePool, demand, zone_shortage
 from .images import ImageCaches
-from .machine_types import MachineType, fits_some_type, read_machine_types, write_machine_types
+from .machines import Machine, MachineType, fits_some_type
+from .placement_round import PlacementRound, placement_order
+from .preemption_rules import PreemptionRules, guaranteed_jobs, preemption_class
+from .victims import has_fit, victim_order, victims_for_capacity, victims_for_quota
+from .wire import read_machine_types, write_machine_types
 
 __all__ = [
+    "BoundTask",
+    "ClusterCapacity",
+    "ExpectedTasks",
     "ImageCaches",
     "Machine",
     "MachineType",
-    "ClusterCapacity",
     "PlacementRound",
+    "Pool",
+    "PreemptionRules",
+    "ZonePool",
+    "capacity_buffer",
     "demand",
     "fits_some_type",
-    "capacity_buffer",
+    "guaranteed_jobs",
+    "has_fit",
     "placement_order",
-    "preempt",
+    "preemption_class",
     "read_machine_types",
+    "victim_order",
+    "victims_for_capacity",
+    "victims_for_quota",
     "write_machine_types",
     "zone_shortage",
 ]
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -1,30 +1,75 @@
-"""Room kept free for classes that must start sooner than a machine boots.
+"""Capacity that is kept free for classes whose tasks must start sooner than a machine boots.
 
 Cackle hands such work to its elastic pool; without one, the work of a boot time is expected ahead.
 """
 
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, NamedTuple
 
-def capacity_buffer(jobs, objectives, machine_types, wall):
-    """[(a job, tasks like it expected within a boot time)], by image, for classes with a `wait`
-    aim.
+from .machines import MachineType
+
+if TYPE_CHECKING:
+    from ..config.platform import ServiceLevelObjective
+    from ..jobs.record import Job
+
+WINDOW_BOOT_TIMES = 4  # the arrivals of so many boot times say what one boot time will bring
+
+
+class ExpectedTasks(NamedTuple):
+    """Tasks that are expected within a boot time.
+
+    Attributes:
+        job: A job whose tasks are like them.
+        tasks: How many, not rounded.
+    """
+
+    job: "Job"
+    tasks: float
+
+
+def capacity_buffer(
+    jobs: "Iterable[Job]",
+    objectives: "tuple[ServiceLevelObjective, ...]",
+    machine_types: dict[str, MachineType],
+    wall: float,
+) -> list[ExpectedTasks]:
+    """The tasks expected within a boot time, for classes with a `wait` objective below it.
 
     By image, since room on a machine that would have to fetch the image first is no help.
+
+    Args:
+        jobs: All live jobs: those submitted lately say how many will come.
+        objectives: All objectives.
+        machine_types: The catalog, by name; the longest boot time counts.
+        wall: The time of day, in seconds.
+
+    Returns:
+        One row for each class and image of which tasks were submitted lately.
     """
-    boot_s = max((t.boot_s for t in machine_types.values()), default=0.0)
-    urgent = {
-        o.job_class
-        for o in objectives
-        if o.kind == "wait" and o.within_s is not None and o.within_s < boot_s
+    boot_s = max((machine_type.boot_s for machine_type in machine_types.values()), default=0.0)
+    urgent_classes = {
+        objective.job_class
+        for objective in objectives
+        if objective.kind == "wait"
+        and objective.within_s is not None
+        and objective.within_s < boot_s
     }
-    window = 4 * boot_s
-    found: dict[tuple, tuple] = {}  # (class, image) -> (its latest job, tasks in the window)
+    window_s = WINDOW_BOOT_TIMES * boot_s
+    # By class and image: the latest job, and the tasks submitted within the window.
+    arrivals: dict[tuple[str, str], tuple[Job, int]] = {}
     for job in jobs:
         spec = job.spec
-        if spec.job_class not in urgent:
+        if spec.job_class not in urgent_classes:
             continue
         key = (spec.job_class, spec.image)
-        latest, tasks = found.get(key, (job, 0))
-        if spec.submitted_at > wall - window:
+        latest, tasks = arrivals.get(key, (job, 0))
+        if spec.submitted_at > wall - window_s:
             tasks += spec.tasks
-        found[key] = (max(latest, job, key=lambda j: (j.spec.submitted_at, j.id)), tasks)
-    return [(job, tasks * boot_s / window) for job, tasks in found.values() if tasks]
+        arrivals[key] = (max(latest, job, key=_submission_order), tasks)
+    return [
+        ExpectedTasks(job, tasks * boot_s / window_s) for job, tasks in arrivals.values() if tasks
+    ]
+
+
+def _submission_order(job: "Job") -> tuple[float, str]:
+    return job.spec.submitted_at, job.id
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -1,95 +1,152 @@
-"""The capacity that running and waiting tasks request, in whole machines per pool.
+"""The capacity that running and waiting tasks ask for, in machines per pool.
 
 A pool is a machine type and whether its jobs may use spot machines: the design counts per type,
 and spot machines can't serve everyone.
 """
 
-from .machine_types import SLACK
+from collections.abc import Iterable, Iterator
+from typing import TYPE_CHECKING, NamedTuple
 
+from .capacity import ClusterCapacity
+from .capacity_buffer import ExpectedTasks
+from .machines import MachineType, cheapest_type
+from .resources import TeamUsage, tasks_that_fit
 
-def demand(jobs, spare, machine_types, teams):
-    """{(type, spot): fraction of machines, not rounded, so that nodes' parts can be summed}."""
-    counts: dict[tuple, float] = {}
-    used: dict[str, list[float]] = {}
-    rows = [
-        (job.spec, job.spec.tasks - job.done_count())
-        for job in sorted(jobs, key=lambda job: (job.spec.priority, job.spec.submitted_at))
-    ]
-    rows += [(job.spec, tasks) for job, tasks in spare]
-    for spec, tasks in rows:
+if TYPE_CHECKING:
+    from ..config.platform import Team
+    from ..jobs.record import Job, Spec
+
+
+class Pool(NamedTuple):
+    """What demand is counted by.
+
+    Attributes:
+        machine_type: Name of the machine type.
+        spot: Whether the jobs may use spot machines.
+    """
+
+    machine_type: str
+    spot: bool
+
+
+class ZonePool(NamedTuple):
+    """A pool in one zone.
+
+    Attributes:
+        machine_type: Name of the machine type.
+        spot: Whether the jobs may use spot machines.
+        zone: The zone.
+    """
+
+    machine_type: str
+    spot: bool
+    zone: str
+
+
+def demand(
+    jobs: "Iterable[Job]",
+    expected: list[ExpectedTasks],
+    machine_types: dict[str, MachineType],
+    teams: dict[str, "Team"],
+) -> dict[Pool, float]:
+    """How many machines the jobs' unfinished tasks ask for.
+
+    Args:
+        jobs: The jobs that are counted.
+        expected: Tasks that are not submitted yet and are counted with them.
+        machine_types: The catalog, by name.
+        teams: The teams by name; what a team's quota keeps from running asks for no machines.
+
+    Returns:
+        Machines by pool, not rounded, so that controllers' parts can be summed.
+    """
+    machines: dict[Pool, float] = {}
+    usages: dict[str, TeamUsage] = {}
+    for spec, tasks in _requested_tasks(jobs, expected):
         team = teams.get(spec.team)
         if team is not None:
-            # What a team's limit keeps from running asks for no machines.
-            for limit, need, slot in (
-                (team.cpu_quota, spec.cpus, 0),
-                (team.gpu_quota, spec.gpus, 1),
-            ):
-                if limit > 0 and need > 0:
-                    taken = used.setdefault(spec.team, [0.0, 0.0])
-                    tasks = max(0, min(tasks, int((limit - taken[slot]) / need + 1e-9)))
-            taken = used.setdefault(spec.team, [0.0, 0.0])
-            taken[0] += tasks * spec.cpus
-            taken[1] += tasks * spec.gpus
-        fitting = [t for t in machine_types.values() if t.allows(spec)]
-        if not fitting or not tasks:
-            continue
-        chosen = min(
-            fitting,
-            key=lambda t: ((t.spot_price if spec.spot else t.price) / t.holds(spec), t.name),
-        )
-        share = max(
-            spec.cpus / chosen.cpus if chosen.cpus else 0,
-            spec.ram_gb / chosen.ram_gb if chosen.ram_gb else 0,
-            spec.gpus / chosen.gpus if chosen.gpus else 0,
-        )
-        key = (chosen.name, spec.spot)
-        counts[key] = counts.get(key, 0.0) + tasks * share
-    return counts
-
-
-def zone_shortage(jobs, capacity, usable, machine_types):
-    """{(type, spot, zone): machines} for tasks that can run in one zone only and find no room
-    there.
-
-    The counts above don't say where: with idle machines elsewhere no more would be rented, ever.
+            usage = usages.setdefault(spec.team, TeamUsage())
+            tasks = usage.tasks_within(spec, tasks, team.cpu_quota, team.gpu_quota)
+            usage.add(spec, tasks)
+        chosen = cheapest_type(spec, machine_types.values()) if tasks else None
+        if chosen is not None:
+            pool = Pool(chosen.name, spec.spot)
+            machines[pool] = machines.get(pool, 0.0) + tasks * _share_of_machine(spec, chosen)
+    return machines
+
+
+def _requested_tasks(
+    jobs: "Iterable[Job]", expected: list[ExpectedTasks]
+) -> "Iterator[tuple[Spec, float]]":
+    """Yields jobs and their unfinished tasks by priority and age, then what is expected."""
+    for job in sorted(jobs, key=lambda job: (job.spec.priority, job.spec.submitted_at)):
+        yield job.spec, job.spec.tasks - job.done_count()
+    for job, tasks in expected:
+        yield job.spec, tasks
+
+
+def _share_of_machine(spec: "Spec", machine_type: MachineType) -> float:
+    """The largest share that one task of a job takes of a machine's processors, GPUs or memory."""
+    return max(
+        spec.cpus / machine_type.cpus if machine_type.cpus else 0,
+        spec.ram_gb / machine_type.ram_gb if machine_type.ram_gb else 0,
+        spec.gpus / machine_type.gpus if machine_type.gpus else 0,
+    )
+
+
+def zone_shortage(
+    jobs: "Iterable[Job]",
+    capacity: ClusterCapacity,
+    usable: set[str],
+    machine_types: dict[str, MachineType],
+) -> dict[ZonePool, float]:
+    """How many machines are missing for tasks that can run in one zone only.
+
+    `demand` does not say where: with idle machines elsewhere the fleet would never be scaled out.
+
+    Args:
+        jobs: The jobs that are counted.
+        capacity: What is free on the machines.
+        usable: Names of the machines that may be given tasks.
+        machine_types: The catalog, by name.
+
+    Returns:
+        Machines by pool and zone, not rounded.
     """
-    counts: dict[tuple, float] = {}
+    machines: dict[ZonePool, float] = {}
     for job in jobs:
-        spec, zone = job.spec, job.spec.zone
+        spec = job.spec
         waiting = min(job.waiting_count(), capacity.tasks_within_quota(spec))
-        if zone is None and spec.single_zone and waiting:
-            zone = next(iter(capacity.zones_of(job)[0]), None)
-        if zone is None or not waiting:
+        zone = _only_zone(job, capacity) if waiting else None
+        if zone is None:
             continue
-        for name in usable:
-            machine = capacity.machines[name]
-            if (
-                machine.zone == zone
-                and (spec.spot or not machine.spot)
-                and (spec.allowed_types is None or machine.type.name in spec.allowed_types)
-            ):
-                free = capacity.free[name]
-                waiting -= int(
-                    min(
-                        (
-                            have / need
-                            for have, need in zip(
-                                free, (spec.cpus, spec.gpus, spec.ram_gb), strict=True
-                            )
-                            if need > 0
-                        ),
-                        default=waiting,
-                    )
-                    + SLACK
-                )
-                if waiting <= 0:
-                    break
-        fitting = [t for t in machine_types.values() if t.allows(spec) and zone in t.zones]
-        if waiting > 0 and fitting:
-            chosen = min(
-                fitting,
-                key=lambda t: ((t.spot_price if spec.spot else t.price) / t.holds(spec), t.name),
-            )
-            key = chosen.name, spec.spot, zone
-            counts[key] = counts.get(key, 0.0) + waiting / chosen.holds(spec)
-    return counts
+        missing = _tasks_without_capacity(spec, waiting, zone, capacity, usable)
+        if missing <= 0:
+            continue
+        of_zone = [row for row in machine_types.values() if zone in row.zones]
+        chosen = cheapest_type(spec, of_zone)
+        if chosen is not None:
+            pool = ZonePool(chosen.name, spec.spot, zone)
+            needed = missing / chosen.tasks_that_fit(spec)
+            machines[pool] = machines.get(pool, 0.0) + needed
+    return machines
+
+
+def _only_zone(job: "Job", capacity: ClusterCapacity) -> str | None:
+    """The only zone in which a job's tasks can run, or None if there are several."""
+    if job.spec.zone is None and job.spec.single_zone:
+        return next(iter(capacity.zones_of(job).counts), None)
+    return job.spec.zone
+
+
+def _tasks_without_capacity(
+    spec: "Spec", tasks: int, zone: str, capacity: ClusterCapacity, usable: set[str]
+) -> int:
+    """How many of a job's tasks find no room on the usable machines of a zone."""
+    for name in usable:
+        machine = capacity.machines[name]
+        if machine.zone == zone and machine.is_allowed_for(spec):
+            tasks -= tasks_that_fit(spec, capacity.free[name], without_needs=tasks)
+            if tasks <= 0:
+                break
+    return tasks
--- /dev/null
+++ b/emberglade/placement/placement_round.py
@@ -0,0 +1,226 @@
+"""One round of bin packing: which machines take the waiting tasks."""
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from .capacity import ClusterCapacity
+from .images import ImageCaches
+from .resources import ROUNDING_TOLERANCE, Resources
+from .zones import has_zone_rule, zone_allows
+
+if TYPE_CHECKING:
+    from ..config.platform import ServiceLevelObjective
+    from ..jobs.record import Job, Spec
+
+MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time: estimates are often wrong by half
+
+
+def placement_order(
+    spec: "Spec", objectives: "tuple[ServiceLevelObjective, ...]", wall: float
+) -> tuple[int, bool, float, float, str]:
+    """The key by which jobs are served in a round, the lowest first.
+
+    By priority, then by what is due first, then by age. Within a priority, what can't be in time
+    any more comes after what still can.
+
+    Args:
+        spec: The job.
+        objectives: All objectives; those on finishing jobs of its class count.
+        wall: The time of day, in seconds.
+
+    Returns:
+        The priority, whether the job will be late, when it is due, when it was submitted (both
+        times of day, in seconds), and its id.
+    """
+    due = _due_at(spec, objectives)
+    late = due - wall < spec.estimated_run_s * MIN_ESTIMATE_SHARE
+    return spec.priority, late, due, spec.submitted_at, spec.id
+
+
+def _due_at(spec: "Spec", objectives: "tuple[ServiceLevelObjective, ...]") -> float:
+    """When a job is to be finished: by its own deadline, else by its class's objective."""
+    within = spec.deadline_s
+    if within is None:
+        within = min(
+            (
+                objective.within_s
+                for objective in objectives
+                if objective.kind == "finished"
+                and objective.job_class == spec.job_class
+                and objective.within_s
+            ),
+            default=None,
+        )
+    return float("inf") if within is None else spec.submitted_at + within
+
+
+class _Change(NamedTuple):
+    """One task of `spec` for each of `machines`: reserved, or released before its time."""
+
+    spec: "Spec"
+    machines: list[str]
+    reserved: bool
+
+
+class PlacementRound:
+    """One round of placing, played on the cluster's capacity.
+
+    What it reserves and releases there is taken back when the round ends: what really was bound
+    is counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
+
+    Attributes:
+        capacity: What all bound tasks take, and this round's reservations.
+        usable: Names of the machines that may be given tasks.
+        images: Which images the machines are expected to have.
+    """
+
+    def __init__(self, capacity: ClusterCapacity, usable: set[str], images: ImageCaches) -> None:
+        self.capacity = capacity
+        self.usable = usable
+        self.images = images
+        # Most machines are full most of the time; only the others are looked at for every job.
+        self._with_capacity: dict[str, Resources] = {
+            name: free
+            for name in usable
+            if (free := capacity.free[name]).cpus > ROUNDING_TOLERANCE
+            and free.ram_gb > ROUNDING_TOLERANCE
+        }
+        self._changes: list[_Change] = []
+        # Needs for which no capacity was left; within a round, capacity only shrinks.
+        self._unplaceable: set[tuple[Any, ...]] = set()
+
+    def __enter__(self) -> "PlacementRound":
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self.undo()
+
+    def max_tasks(self, spec: "Spec") -> int:
+        """At most so many tasks of a job can be placed: a cheap look that saves most a `place`."""
+        if not has_zone_rule(spec) and self._needs(spec) in self._unplaceable:
+            return 0
+        return self.capacity.tasks_within_quota(spec)
+
+    def place(self, job: "Job", count: int) -> list[str]:
+        """Reserves capacity for up to `count` more tasks of a job.
+
+        Returns:
+            The machines, one a task.
+        """
+        spec = job.spec
+        count = min(count, self.max_tasks(spec))
+        if count <= 0:
+            return []
+        zone_counts = None
+        if has_zone_rule(spec):
+            zone_counts, complete = self.capacity.zones_of(job)
+            if not complete:
+                return []
+        machines = self._reserve(spec, count, zone_counts)
+        if machines:
+            self._changes.append(_Change(spec, machines, reserved=True))
+        if zone_counts is None and len(machines) < count:
+            self._unplaceable.add(self._needs(spec))
+        return machines
+
+    def take_back(self, machines: list[str]) -> None:
+        """Gives back at once what `place` has just reserved, given what it returned."""
+        if machines:
+            self._undo_change(self._changes.pop())
+
+    def release(self, spec: "Spec", name: str) -> None:
+        """Counts a bound task as gone for the rest of the round, but not where zones matter."""
+        self.capacity.release(spec, name)
+        self._changes.append(_Change(spec, [name], reserved=False))
+        self._unplaceable.clear()
+        if name in self.usable and name not in self._with_capacity:
+            self._with_capacity[name] = self.capacity.free[name]
+
+    def undo(self) -> None:
+        """Takes all reservations and releases of this round back."""
+        for change in self._changes:
+            self._undo_change(change)
+        self._changes = []
+
+    def _undo_change(self, change: _Change) -> None:
+        revert = self.capacity.release if change.reserved else self.capacity.reserve
+        for name in change.machines:
+            revert(change.spec, name)
+
+    @staticmethod
+    def _needs(spec: "Spec") -> tuple[Any, ...]:
+        """All of a job that says which machines can take a task, but for rules on zones."""
+        return spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.allowed_types, spec.zone
+
+    def _machines_that_fit(self, spec: "Spec") -> list[str]:
+        """The machines on which one more task of a job fits now, rules on zones apart.
+
+        `Resources.fits` in place: looking over all machines is most of what a round costs.
+        """
+        cpus = spec.cpus - ROUNDING_TOLERANCE
+        gpus = spec.gpus - ROUNDING_TOLERANCE
+        ram_gb = spec.ram_gb - ROUNDING_TOLERANCE
+        machines = self.capacity.machines
+        return [
+            name
+            for name, free in self._with_capacity.items()
+            if free.cpus >= cpus
+            and free.ram_gb >= ram_gb
+            and free.gpus >= gpus
+            and machines[name].is_allowed_for(spec)
+        ]
+
+    def _preference(self, spec: "Spec", name: str) -> tuple[Any, ...]:
+        """The key by which the machines that fit are ordered, the best first."""
+        capacity = self.capacity
+        missing = spec.image_gb > 0 and not self.images.has(name, spec.image)
+        # Cheap machines first for what may use them, so that ordinary capacity stays free; and the
+        # same machines first at all times, so that the others fall idle and are scaled in.
+        other_kind = capacity.machines[name].spot != spec.spot
+        if spec.service:
+            # Replicas live long: on few machines they keep few from being scaled in.
+            return missing, -capacity.replicas[name], other_kind, name
+        # Where replicas are, their images are: that capacity is for more of them, who can't wait
+        # for an image.
+        return capacity.replicas[name] > 0, missing, other_kind, name
+
+    def _reserve(self, spec: "Spec", count: int, zone_counts: dict[str, int] | None) -> list[str]:
+        """Reserves up to `count` tasks on the machines that fit; returns the machines, one a task.
+
+        `zone_counts` are the job's tasks by zone, counted on here; None where zones don't matter.
+        """
+        candidates = sorted(
+            self._machines_that_fit(spec), key=lambda name: self._preference(spec, name)
+        )
+        # A service's replicas go to a machine each where they can: what a machine's loss costs is
+        # less, and more machines hold the image for those that come later.
+        tasks_at_once = 1 if spec.service else count
+        reserved: list[str] = []
+        while candidates and len(reserved) < count:
+            not_full = []
+            for name in candidates:
+                limit = min(tasks_at_once, count - len(reserved))
+                tasks = self._reserve_on(name, spec, limit, zone_counts)
+                reserved += [name] * tasks
+                if tasks == limit:
+                    not_full.append(name)
+                if len(reserved) >= count:
+                    break
+            candidates = not_full
+        return reserved
+
+    def _reserve_on(
+        self, name: str, spec: "Spec", limit: int, zone_counts: dict[str, int] | None
+    ) -> int:
+        """Reserves up to `limit` tasks on one machine; returns how many."""
+        capacity = self.capacity
+        free = capacity.free[name]
+        zone = capacity.machines[name].zone
+        for tasks in range(limit):
+            if not free.fits(spec):
+                return tasks
+            if zone_counts is not None:
+                if not zone_allows(spec, zone_counts, zone):
+                    return tasks
+                zone_counts[zone] = zone_counts.get(zone, 0) + 1
+            capacity.reserve(spec, name)
+        return limit
--- /dev/null
+++ b/emberglade/placement/preemption_rules.py
@@ -0,0 +1,97 @@
+"""Guarantees, and which tasks may be preempted for which, under PROTOCOL's rules.
+
+Work of a lower priority may be stopped for work of a higher one; work of a team beyond its
+guarantee, of any priority, for a team within its own. Nothing else is ever stopped to make room.
+"""
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from .capacity import ClusterCapacity
+from .resources import ROUNDING_TOLERANCE, TeamUsage
+
+if TYPE_CHECKING:
+    from ..config.platform import Team
+    from ..jobs.record import Job, Spec
+
+
+def guaranteed_jobs(jobs: "Iterable[Job]", teams: dict[str, "Team"]) -> set[str]:
+    """The ids of the jobs that fit into their team's guarantee, with the team's earlier ones."""
+    usages: dict[str, TeamUsage] = {}
+    found = set()
+    for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
+        spec = job.spec
+        team = teams.get(spec.team)
+        if team is None or not team.has_guarantee:
+            continue
+        usage = usages.setdefault(spec.team, TeamUsage())
+        usage.add(spec, spec.tasks - job.done_count())
+        if usage.cpus <= team.guaranteed_cpus + ROUNDING_TOLERANCE and (
+            usage.gpus <= team.guaranteed_gpus + ROUNDING_TOLERANCE or not spec.gpus
+        ):
+            found.add(job.id)
+    return found
+
+
+def may_preempt(
+    spec: "Spec", victim: "Spec", capacity: ClusterCapacity, teams: dict[str, "Team"]
+) -> bool:
+    """Whether PROTOCOL allows stopping a task of `victim` to make room for one of `spec`."""
+    if victim.priority > spec.priority:
+        return True
+    team = teams.get(spec.team)
+    victim_team = teams.get(victim.team)
+    if team is None or victim_team is None or spec.team == victim.team:
+        return False
+    return (
+        team.guaranteed_cpus > 0
+        and _stays_within_guarantee(spec, team, capacity)
+        and _is_beyond_guarantee(victim, victim_team, capacity)
+    )
+
+
+def _stays_within_guarantee(spec: "Spec", team: "Team", capacity: ClusterCapacity) -> bool:
+    """Whether a team's guarantee holds one more task of a job."""
+    usage = capacity.usage_of(spec.team)
+    return (
+        usage.cpus + spec.cpus <= team.guaranteed_cpus + ROUNDING_TOLERANCE
+        and usage.gpus + spec.gpus <= team.guaranteed_gpus + ROUNDING_TOLERANCE
+    )
+
+
+def _is_beyond_guarantee(victim: "Spec", team: "Team", capacity: ClusterCapacity) -> bool:
+    """Whether a team has all that it is guaranteed also without one task of a job."""
+    usage = capacity.usage_of(victim.team)
+    return (
+        usage.cpus - victim.cpus >= team.guaranteed_cpus - ROUNDING_TOLERANCE
+        or usage.gpus - victim.gpus > team.guaranteed_gpus + ROUNDING_TOLERANCE
+    )
+
+
+PreemptionClass = tuple[int, str, float, float]
+
+
+def preemption_class(spec: "Spec") -> PreemptionClass:
+    """All of a job that `may_preempt` looks at: jobs of one class are alike to it."""
+    return spec.priority, spec.team, spec.cpus, spec.gpus
+
+
+class PreemptionRules:
+    """The answers of `may_preempt` within one round, each worked out once for two classes of jobs.
+
+    They hold as long as no task is bound or unbound.
+    """
+
+    def __init__(self, capacity: ClusterCapacity, teams: dict[str, "Team"]) -> None:
+        self.capacity = capacity
+        self.teams = teams
+        self._answers: dict[tuple[PreemptionClass, PreemptionClass], bool] = {}
+
+    def may_preempt(self, spec: "Spec", victim: "Spec") -> bool:
+        """Whether a task of `victim` may be stopped to make room for one of `spec`."""
+        key = preemption_class(spec), preemption_class(victim)
+        answer = self._answers.get(key)
+        if answer is None:
+            answer = may_preempt(spec, victim, self.capacity, self.teams)
+            self._answers[key] = answer
+        return answer
--- /dev/null
+++ b/emberglade/placement/resources.py
@@ -0,0 +1,118 @@
+"""Amounts of processors, GPUs and memory, and how many tasks an amount holds."""
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Protocol, TypeVar
+
+if TYPE_CHECKING:
+    from ..jobs.record import Spec
+
+# Amounts are decimal numbers: sums of them are not exact.
+ROUNDING_TOLERANCE = 1e-9
+
+Count = TypeVar("Count", int, float)
+
+
+class Amounts(Protocol):
+    """Whatever has processors, GPUs and memory: a machine type, or what is free on a machine."""
+
+    @property
+    def cpus(self) -> float:
+        """Processors."""
+
+    @property
+    def gpus(self) -> float:
+        """GPUs."""
+
+    @property
+    def ram_gb(self) -> float:
+        """Memory, in GB."""
+
+
+@dataclass(slots=True)
+class Resources:
+    """What is free on a machine; below 0 where more is bound than the machine has.
+
+    Attributes:
+        cpus: Processors.
+        gpus: GPUs.
+        ram_gb: Memory, in GB.
+    """
+
+    cpus: float
+    gpus: float
+    ram_gb: float
+
+    def copy(self) -> "Resources":
+        """The same amounts, to be changed on their own."""
+        return Resources(self.cpus, self.gpus, self.ram_gb)
+
+    def fits(self, spec: "Spec") -> bool:
+        """Whether one more task of a job fits."""
+        return (
+            self.cpus + ROUNDING_TOLERANCE >= spec.cpus
+            and self.ram_gb + ROUNDING_TOLERANCE >= spec.ram_gb
+            and self.gpus + ROUNDING_TOLERANCE >= spec.gpus
+        )
+
+    def take(self, spec: "Spec") -> None:
+        """Takes what one task of a job needs, whether it fits or not."""
+        self.cpus -= spec.cpus
+        self.gpus -= spec.gpus
+        self.ram_gb -= spec.ram_gb
+
+    def give_back(self, spec: "Spec") -> None:
+        """Gives back what one task of a job took."""
+        self.cpus += spec.cpus
+        self.gpus += spec.gpus
+        self.ram_gb += spec.ram_gb
+
+
+@dataclass(slots=True)
+class TeamUsage:
+    """What a team's tasks take: what its quota and its guarantee are compared with.
+
+    Attributes:
+        cpus: Processors.
+        gpus: GPUs.
+    """
+
+    cpus: float = 0.0
+    gpus: float = 0.0
+
+    def add(self, spec: "Spec", tasks: float = 1) -> None:
+        """Counts further tasks of a job."""
+        self.cpus += tasks * spec.cpus
+        self.gpus += tasks * spec.gpus
+
+    def remove(self, spec: "Spec") -> None:
+        """Counts one task of a job less."""
+        self.cpus -= spec.cpus
+        self.gpus -= spec.gpus
+
+    def tasks_within(self, spec: "Spec", tasks: Count, cpu_limit: float, gpu_limit: float) -> Count:
+        """How many of `tasks` more tasks of a job stay within both limits; a limit of 0 is none."""
+        if cpu_limit > 0 and spec.cpus > 0:
+            tasks = min(tasks, int((cpu_limit - self.cpus) / spec.cpus + ROUNDING_TOLERANCE))
+        if gpu_limit > 0 and spec.gpus > 0:
+            tasks = min(tasks, int((gpu_limit - self.gpus) / spec.gpus + ROUNDING_TOLERANCE))
+        return max(0, tasks)
+
+
+def tasks_that_fit(spec: "Spec", available: Amounts, without_needs: int) -> int:
+    """How many tasks of a job fit into an amount.
+
+    Args:
+        spec: The job.
+        available: The amount.
+        without_needs: The answer for a job whose tasks need nothing.
+    """
+    ratios = [
+        amount / need
+        for amount, need in (
+            (available.cpus, spec.cpus),
+            (available.gpus, spec.gpus),
+            (available.ram_gb, spec.ram_gb),
+        )
+        if need > 0
+    ]
+    return int(min(ratios, default=without_needs) + ROUNDING_TOLERANCE)
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -17,7 +17,7 @@
             if self.mine(job):
                 for task, binding in list(job.bindings()):
                     machine = self.inventory.get(binding.machine)
-                    if machine is not None and not machine.open:
+                    if machine is not None and not machine.schedulable:
                         self.release(job, task, binding.attempt, binding.machine)
         original(self)
 
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -15,18 +15,18 @@
 
 def forgets_bound(patch):
     """What is bound on a machine that is not heard does not count."""
-    original = ClusterCapacity.inventory
+    original = ClusterCapacity.set_machines
 
-    def inventory(self, machines):
+    def set_machines(self, machines):
         gone = [
-            (job, task, binding)
-            for name, rows in self.on.items()
-            if name not in machines or not machines[name].open
-            for (_, task), (job, binding) in rows.items()
+            row
+            for name, rows in self.bound_tasks.items()
+            if name not in machines or not machines[name].schedulable
+            for row in rows.values()
         ]
-        for job, _, _ in gone:
-            use = self.team_use.get(job.spec.team)
-            use[0] = max(0.0, use[0] - job.spec.cpus)
+        for row in gone:
+            usage = self.team_usage[row.job.spec.team]
+            usage.cpus = max(0.0, usage.cpus - row.job.spec.cpus)
         original(self, machines)
 
-    patch.setattr(ClusterCapacity, "inventory", inventory)
+    patch.setattr(ClusterCapacity, "set_machines", set_machines)
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -56,7 +56,7 @@
             raise AssertionError(f"no verb {verb}")
 
     def count_calls(self, path):
-        """Counts the calls of a function named like `placement.preempt.may_stop`."""
+        """Counts the calls of a function named like `placement.preemption_rules.may_preempt`."""
         module_name, _, name = path.rpartition(".")
         module = importlib.import_module("emberglade." + module_name)
         original = getattr(module, name)
