--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -12,7 +12,7 @@
 from ..actors import callback, tell, tell_after
 from ..membership import FORMAT_KEY, is_raised
 from ..placement import read_machine_types, write_machine_types
-from ..sizing import Sizer, family
+from ..sizing import Sizer, expert_family
 from ..state import LIVE_PREFIX, ReplicaSubscriber
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -60,7 +60,7 @@
 
     def on_begin(self):
         super().on_begin()
-        self.experts = family(self.operators.min_lookback_s, self.operators.max_lookback_s)
+        self.experts = expert_family(self.operators.min_lookback_s, self.operators.max_lookback_s)
         tell_after(0.5, self.on_tick)
         tell_after(0.5, self.on_watch)
 
@@ -200,12 +200,13 @@
         young = now - self.since < 300
         for pool, sizer in self.sizers.items():
             machine_type = self.machine_types.get(pool[0])
-            if machine_type is None or not sizer.history:
+            if machine_type is None or not sizer.workload_history:
                 continue
-            number, target = sizer.round(machine_type.boot_s or self.operators.boot_guess_s)
+            expert, target = sizer.run_cost_round(
+                machine_type.boot_s or self.operators.boot_guess_s
+            )
             if young:
                 target = min(target, math.ceil(2 * total.get(pool, 0.0)))
-            expert = self.experts[number]
             log.info(
                 "draw for %s %s: target %d (expert %d%% x %g over %d s), demand %.2f",
                 pool[0],
--- a/tests/scenario_kinds/sizing.py
+++ b/tests/scenario_kinds/sizing.py
@@ -11,11 +11,17 @@
     """`expert`, `record`, `round`; figures worked out by hand in the scenario's comments."""
 
     def __init__(self, patch, tmp_path):
-        self.experts, self.sizer, self.options = (
-            [],
-            None,
-            {"epsilon": 0.1, "round": 5, "premium": 6.0, "boot": 10.0, "spread": 2.0, "share": 0.1},
-        )
+        self.experts = []
+        self.sizer = None
+        self.draw = None
+        self.options = {
+            "epsilon": 0.1,
+            "round": 5,
+            "premium": 6.0,
+            "boot": 10.0,
+            "spread": 2.0,
+            "share": 0.1,
+        }
 
     def step(self, verb, words):
         if verb == "expert":
@@ -28,7 +34,7 @@
                 self.sizer.record(float(demand), float(words[0]))
         elif verb == "round":
             self.make()
-            self.drawn = self.sizer.round(self.options["boot"])
+            self.draw = self.sizer.run_cost_round(self.options["boot"])
         elif verb == "expect":
             getattr(self, "expect_" + words[0])(*words[1:])
 
@@ -45,7 +51,7 @@
             )
 
     def expect_targets(self, *targets):
-        assert self.sizer.targets[-1] == [int(t) for t in targets]
+        assert self.sizer.target_history[-1] == [int(t) for t in targets]
 
     def expect_costs(self, *costs):
         assert self.sizer.costs(self.options["boot"]) == pytest.approx([float(c) for c in costs])
@@ -54,4 +60,4 @@
         assert self.sizer.weights == pytest.approx([float(w) for w in weights])
 
     def expect_drawn(self, *targets):
-        assert self.drawn[1] in [int(t) for t in targets]
+        assert self.draw.target in [int(t) for t in targets]
