--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -6,13 +6,24 @@
 
 import math
 from dataclasses import dataclass, fields
+from typing import Any
 
-from .platform import SettingsError
+from .settings import SettingsError
+
+MAX_EPSILON = 0.5
+MIN_LOOKBACK_S = 1
+MIN_COST_ROUND_S = 1
+DOMAINS_FIELD = "failure_domain"  # the only one that is repeated
 
 
 @dataclass(frozen=True, slots=True)
 class DomainNetwork:
-    """One network, in CIDR notation, whose controllers are likely to fail together."""
+    """A network whose controllers are likely to fail together.
+
+    Attributes:
+        domain: Name of the failure domain.
+        network: The network, in CIDR notation.
+    """
 
     domain: str
     network: str
@@ -20,7 +31,29 @@
 
 @dataclass(frozen=True)
 class Operators:
-    """Defaults are those of DESIGN-emberglade, or tainted there as open."""
+    """The operators' settings; the names are those of the file's fields.
+
+    Defaults are those of DESIGN-emberglade, or tainted there as open.
+
+    Attributes:
+        epsilon: How fast weights of experts learn, above 0 and at most 0.5.
+        cost_round_s: Length of a cost round, in seconds, at least 1.
+        pool_premium: What unmet demand costs, in prices of a machine.
+        hold_idle_s: Idle time before a machine above the target is scaled in, in seconds.
+        min_lookback_s: Shortest lookback of an expert, in seconds, at least 1.
+        max_lookback_s: Longest lookback of an expert, in seconds.
+        boot_guess_s: Boot time where the catalog names none, in seconds.
+        seed: Seed of the draws.
+        cost_spread: Costs above this many times the best count as this.
+        share: Share of all weight that is spread anew each cost round.
+        failure_detection: Whether controllers watch each other by heartbeats.
+        suspect_after: The shortest silence of a peer that is suspected, in intervals of the
+            exchange between controllers.
+        confirm_after: The silence of a peer that counts as its end once its key is gone, in
+            leases of a worker.
+        suspect_phi: The suspicion level (phi accrual) from which a peer is suspected.
+        failure_domain: Networks that are failure domains; none: zones are.
+    """
 
     epsilon: float = 0.5
     cost_round_s: float = 5.0
@@ -32,84 +65,122 @@
     seed: int = 0
     cost_spread: float = 2.0
     share: float = 0.001
-    failure_detection: bool = False  # whether controllers watch each other by heartbeats
-    suspect_after: float = 2.0  # intervals of the exchange between controllers
-    confirm_after: float = 1 / 3  # workers' leases
+    failure_detection: bool = False
+    suspect_after: float = 2.0
+    confirm_after: float = 1 / 3
     suspect_phi: float = 5.0
     failure_domain: tuple[DomainNetwork, ...] = ()
 
 
-def _message_class():
-    from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
-
-    file = descriptor_pb2.FileDescriptorProto(
-        name="emberglade.proto", package="emberglade", syntax="proto2"
-    )
-    message = file.message_type.add(name="Operators")
-    field = descriptor_pb2.FieldDescriptorProto
-    kinds = {int: field.TYPE_INT64, float: field.TYPE_DOUBLE, bool: field.TYPE_BOOL}
-    for number, item in enumerate(fields(Operators), 1):
-        if item.type in kinds:
-            message.field.add(
-                name=item.name, number=number, type=kinds[item.type], label=field.LABEL_OPTIONAL
-            )
-        else:
-            message.field.add(
-                name=item.name,
-                number=number,
-                type=field.TYPE_MESSAGE,
-                type_name=".emberglade.DomainNetwork",
-                label=field.LABEL_REPEATED,
-            )
-    network = file.message_type.add(name="DomainNetwork")
-    for number, name in enumerate(("name", "network"), 1):
-        network.field.add(
-            name=name, number=number, type=field.TYPE_STRING, label=field.LABEL_OPTIONAL
-        )
-    pool = descriptor_pool.DescriptorPool()
-    pool.Add(file)
-    return message_factory.GetMessageClass(pool.FindMessageTypeByName("emberglade.Operators"))
+def load_operators(file: Any) -> Operators:
+    """The operators' settings in a file, or the defaults.
 
+    Args:
+        file: Path of the file, or None.
 
-def load_operators(file):
-    """The operators' settings in a file, or the defaults; SettingsError if it is wrong."""
+    Raises:
+        SettingsError: The file is missing or wrong.
+    """
     if file is None:
         return Operators()
-    from google.protobuf import text_format
+    message = _parse(file, _read_text(file))
+    values = {
+        field.name: getattr(message, field.name)
+        for field in fields(Operators)
+        if field.name != DOMAINS_FIELD and message.HasField(field.name)
+    }
+    for name, value in values.items():
+        if not math.isfinite(value) or value < 0:
+            raise SettingsError(file, "is not a number of at least 0", name, value)
+    domains = tuple(DomainNetwork(row.name, row.network) for row in message.failure_domain)
+    operators = Operators(**values, failure_domain=domains)
+    _check_ranges(file, operators)
+    return operators
+
 
+def _read_text(file: Any) -> str:
     try:
         with open(file, encoding="utf-8") as source:
-            text = source.read()
+            return source.read()
     except OSError as error:
-        raise SettingsError(f"{file}: cannot be read: {error.strerror}") from None
+        raise SettingsError(file, f"cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{file}: is not UTF-8: {error}") from None
+        raise SettingsError(file, f"is not UTF-8: {error}") from None
+
+
+def _parse(file: Any, text: str) -> Any:
+    """The protobuf message in a text."""
+    from google.protobuf import text_format
+
     message = _message_class()()
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as error:
-        raise SettingsError(f"{file}: is not the protobuf text of Operators: {error}") from None
-    found = {
-        item.name: getattr(message, item.name)
-        for item in fields(Operators)
-        if item.name != "failure_domain" and message.HasField(item.name)
-    }
-    found["failure_domain"] = tuple(
-        DomainNetwork(row.name, row.network) for row in message.failure_domain
-    )
-    for name, value in found.items():
-        if name == "failure_domain":
-            continue
-        if not math.isfinite(value) or value < 0:
-            raise SettingsError(f"{file}: {name}: {value!r} is not a number of at least 0")
-    if not 0 < found.get("epsilon", 0.1) <= 0.5:
-        raise SettingsError(f"{file}: epsilon: {found['epsilon']!r} is not above 0 and at most 0.5")
-    made = Operators(**found)
-    if made.min_lookback_s < 1 or made.max_lookback_s < made.min_lookback_s:
+        raise SettingsError(file, f"is not the protobuf text of Operators: {error}") from None
+    return message
+
+
+def _check_ranges(file: Any, operators: Operators) -> None:
+    if not 0 < operators.epsilon <= MAX_EPSILON:
         raise SettingsError(
-            f"{file}: max_lookback_s: {made.max_lookback_s!r} is not at least min_lookback_s, "
-            "itself at least 1"
+            file, f"is not above 0 and at most {MAX_EPSILON:g}", "epsilon", operators.epsilon
+        )
+    if (
+        operators.min_lookback_s < MIN_LOOKBACK_S
+        or operators.max_lookback_s < operators.min_lookback_s
+    ):
+        reason = f"is not at least min_lookback_s, itself at least {MIN_LOOKBACK_S}"
+        raise SettingsError(file, reason, "max_lookback_s", operators.max_lookback_s)
+    if operators.cost_round_s < MIN_COST_ROUND_S:
+        reason = f"is not at least {MIN_COST_ROUND_S}"
+        raise SettingsError(file, reason, "cost_round_s", operators.cost_round_s)
+
+
+def _message_class() -> Any:
+    """The class of the protobuf message `emberglade.Operators`, whose fields are as above."""
+    from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
+
+    file = descriptor_pb2.FileDescriptorProto(
+        name="emberglade.proto", package="emberglade", syntax="proto2"
+    )
+    _describe_operators(file, descriptor_pb2.FieldDescriptorProto)
+    _describe_domain_network(file, descriptor_pb2.FieldDescriptorProto)
+    pool = descriptor_pool.DescriptorPool()
+    pool.Add(file)
+    return message_factory.GetMessageClass(pool.FindMessageTypeByName("emberglade.Operators"))
+
+
+def _describe_operators(file: Any, field_types: Any) -> None:
+    message = file.message_type.add(name="Operators")
+    protobuf_types: dict[Any, Any] = {
+        int: field_types.TYPE_INT64,
+        float: field_types.TYPE_DOUBLE,
+        bool: field_types.TYPE_BOOL,
+    }
+    for number, field in enumerate(fields(Operators), 1):
+        if field.name == DOMAINS_FIELD:
+            message.field.add(
+                name=field.name,
+                number=number,
+                type=field_types.TYPE_MESSAGE,
+                type_name=".emberglade.DomainNetwork",
+                label=field_types.LABEL_REPEATED,
+            )
+        else:
+            message.field.add(
+                name=field.name,
+                number=number,
+                type=protobuf_types[field.type],
+                label=field_types.LABEL_OPTIONAL,
+            )
+
+
+def _describe_domain_network(file: Any, field_types: Any) -> None:
+    message = file.message_type.add(name="DomainNetwork")
+    for number, name in enumerate(("name", "network"), 1):
+        message.field.add(
+            name=name,
+            number=number,
+            type=field_types.TYPE_STRING,
+            label=field_types.LABEL_OPTIONAL,
         )
-    if made.cost_round_s < 1:
-        raise SettingsError(f"{file}: cost_round_s: {made.cost_round_s!r} is not at least 1")
-    return made
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -17,6 +17,7 @@
 
     def __init__(self, field, value, reason):
         super().__init__(f"{field}: {value!r} {reason}")
+        self.field, self.value, self.reason = field, value, reason
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -26,7 +26,7 @@
         detection_bounds(settings, operators)
         failure_domains(settings, operators)
     except DetectionError as error:
-        raise SettingsError(f"{source}: {error}") from None
+        raise SettingsError(source, error.reason, error.field, error.value) from None
 
 
 def main(arguments=None):
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -10,7 +10,7 @@
 from .zones import JobZones
 
 if TYPE_CHECKING:
-    from ..config.platform import Team
+    from ..config import Team
     from ..jobs.record import Binding, Job, Spec
 
 _NO_USAGE = TeamUsage()  # of a team that never had a task; never changed
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -9,7 +9,7 @@
 from .machines import MachineType
 
 if TYPE_CHECKING:
-    from ..config.platform import ServiceLevelObjective
+    from ..config import ServiceLevelObjective
     from ..jobs.record import Job
 
 WINDOW_BOOT_TIMES = 4  # the arrivals of so many boot times say what one boot time will bring
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -13,7 +13,7 @@
 from .resources import TeamUsage, tasks_that_fit
 
 if TYPE_CHECKING:
-    from ..config.platform import Team
+    from ..config import Team
     from ..jobs.record import Job, Spec
 
 
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -8,7 +8,7 @@
 from .zones import has_zone_rule, zone_allows
 
 if TYPE_CHECKING:
-    from ..config.platform import ServiceLevelObjective
+    from ..config import ServiceLevelObjective
     from ..jobs.record import Job, Spec
 
 MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time: estimates are often wrong by half
--- a/emberglade/placement/preemption_rules.py
+++ b/emberglade/placement/preemption_rules.py
@@ -11,7 +11,7 @@
 from .resources import ROUNDING_TOLERANCE, TeamUsage
 
 if TYPE_CHECKING:
-    from ..config.platform import Team
+    from ..config import Team
     from ..jobs.record import Job, Spec
 
 
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -14,7 +14,7 @@
 from .zones import has_zone_rule, zone_allows
 
 if TYPE_CHECKING:
-    from ..config.platform import Team
+    from ..config import Team
     from ..jobs.record import Job, Spec
 
 Victims = dict[str, list[BoundTask]]
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -1,7 +1,6 @@
 """A whole deployment on simulated time: controllers of this service among stand-ins."""
 
-from emberglade.config import Operators
-from emberglade.config.platform import Peer, ServiceLevelObjective, Settings, Team
+from emberglade.config import Operators, Peer, ServiceLevelObjective, Settings, Team
 from emberglade.controller import assemble
 
 from .cloud import Cloud
