--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -3,6 +3,7 @@
 It is kept up to date task by task, never counted anew.
 """
 
+from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
 from .machines import Machine
@@ -48,14 +49,14 @@
 
     def __init__(self, teams: dict[str, "Team"]) -> None:
         self.teams = teams
-        self.machines: dict[str, Machine] = {}
+        self.machines: Mapping[str, Machine] = {}
         self.free: dict[str, Resources] = {}
         self.replicas: dict[str, int] = {}
         self.team_usage: dict[str, TeamUsage] = {}
         self.bound_tasks: dict[str, dict[tuple[str, int], BoundTask]] = {}
         self.zones: dict[str, str] = {}
 
-    def set_machines(self, machines: dict[str, Machine]) -> None:
+    def set_machines(self, machines: Mapping[str, Machine]) -> None:
         """Takes over the machines that are there now; what is bound on others stays bound."""
         for name, machine in machines.items():
             before = self.machines.get(name)
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -1,6 +1,7 @@
 """Broken builds of quotas, zones and what is counted as taken."""
 
 from emberglade.placement.capacity import ClusterCapacity
+from emberglade.placement.zones import JobZones
 
 
 def no_limits(patch):
@@ -10,7 +11,7 @@
 
 def any_zone(patch):
     """The zones of a job's other tasks don't matter."""
-    patch.setattr(ClusterCapacity, "zones_of", lambda self, job: ({}, True))
+    patch.setattr(ClusterCapacity, "zones_of", lambda self, job: JobZones({}, complete=True))
 
 
 def forgets_bound(patch):
