--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -47,28 +47,38 @@
         One row for each class and image of which tasks were submitted lately.
     """
     boot_s = max((machine_type.boot_s for machine_type in machine_types.values()), default=0.0)
-    urgent_classes = {
+    urgent_classes = _urgent_classes(objectives, boot_s)
+    window_s = WINDOW_BOOT_TIMES * boot_s
+    arrivals = _arrivals(jobs, urgent_classes, since=wall - window_s)
+    return [ExpectedTasks(job, tasks * boot_s / window_s) for job, tasks in arrivals if tasks]
+
+
+def _urgent_classes(objectives: "tuple[ServiceLevelObjective, ...]", boot_s: float) -> set[str]:
+    """The classes whose tasks must start sooner than a machine boots."""
+    return {
         objective.job_class
         for objective in objectives
         if objective.kind == "wait"
         and objective.within_s is not None
         and objective.within_s < boot_s
     }
-    window_s = WINDOW_BOOT_TIMES * boot_s
-    # By class and image: the latest job, and the tasks submitted within the window.
+
+
+def _arrivals(
+    jobs: "Iterable[Job]", classes: set[str], since: float
+) -> "Iterable[tuple[Job, int]]":
+    """By class and image, the latest job and how many tasks were submitted after a time of day."""
     arrivals: dict[tuple[str, str], tuple[Job, int]] = {}
     for job in jobs:
         spec = job.spec
-        if spec.job_class not in urgent_classes:
+        if spec.job_class not in classes:
             continue
         key = (spec.job_class, spec.image)
         latest, tasks = arrivals.get(key, (job, 0))
-        if spec.submitted_at > wall - window_s:
+        if spec.submitted_at > since:
             tasks += spec.tasks
         arrivals[key] = (max(latest, job, key=_submission_order), tasks)
-    return [
-        ExpectedTasks(job, tasks * boot_s / window_s) for job, tasks in arrivals.values() if tasks
-    ]
+    return arrivals.values()
 
 
 def _submission_order(job: "Job") -> tuple[float, str]:
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -121,10 +121,8 @@
         if zone is None:
             continue
         missing = _tasks_without_capacity(spec, waiting, zone, capacity, usable)
-        if missing <= 0:
-            continue
         of_zone = [row for row in machine_types.values() if zone in row.zones]
-        chosen = cheapest_type(spec, of_zone)
+        chosen = cheapest_type(spec, of_zone) if missing > 0 else None
         if chosen is not None:
             pool = ZonePool(chosen.name, spec.spot, zone)
             needed = missing / chosen.tasks_that_fit(spec)
