--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -3,6 +3,7 @@
 It is kept up to date task by task, never counted anew.
 """
 
+from collections import defaultdict
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -52,7 +53,7 @@
         self.machines: Mapping[str, Machine] = {}
         self.free: dict[str, Resources] = {}
         self.replicas: dict[str, int] = {}
-        self.team_usage: dict[str, TeamUsage] = {}
+        self.team_usage: defaultdict[str, TeamUsage] = defaultdict(TeamUsage)
         self.bound_tasks: dict[str, dict[tuple[str, int], BoundTask]] = {}
         self.zones: dict[str, str] = {}
 
@@ -98,27 +99,33 @@
         self.release(job.spec, binding.machine)
 
     def reserve(self, spec: "Spec", name: str) -> None:
-        """Takes what one task of a job needs, of its team's share and on a machine."""
-        usage = self.team_usage.get(spec.team)
-        if usage is None:
-            usage = self.team_usage[spec.team] = TeamUsage()
+        """Takes what one task of a job needs, of its team's share and on a machine.
+
+        `Resources.take` in place, as all that is bound or placed comes here.
+        """
+        usage = self.team_usage[spec.team]
         usage.cpus += spec.cpus
         usage.gpus += spec.gpus
         free = self.free.get(name)
         if free is not None:
-            free.take(spec)
+            free.cpus -= spec.cpus
+            free.gpus -= spec.gpus
+            free.ram_gb -= spec.ram_gb
             self.replicas[name] += spec.service
 
     def release(self, spec: "Spec", name: str) -> None:
-        """Gives back what one task of a job takes, of its team's share and on a machine."""
-        usage = self.team_usage.get(spec.team)
-        if usage is None:
-            usage = self.team_usage[spec.team] = TeamUsage()
+        """Gives back what one task of a job takes, of its team's share and on a machine.
+
+        `Resources.give_back` in place, as all that is unbound comes here.
+        """
+        usage = self.team_usage[spec.team]
         usage.cpus -= spec.cpus
         usage.gpus -= spec.gpus
         free = self.free.get(name)
         if free is not None:
-            free.give_back(spec)
+            free.cpus += spec.cpus
+            free.gpus += spec.gpus
+            free.ram_gb += spec.ram_gb
             self.replicas[name] -= spec.service
 
     def usage_of(self, team: str) -> TeamUsage:
--- a/emberglade/placement/resources.py
+++ b/emberglade/placement/resources.py
@@ -79,16 +79,11 @@
     cpus: float = 0.0
     gpus: float = 0.0
 
-    def add(self, spec: "Spec", tasks: float = 1) -> None:
+    def add(self, spec: "Spec", tasks: float) -> None:
         """Counts further tasks of a job."""
         self.cpus += tasks * spec.cpus
         self.gpus += tasks * spec.gpus
 
-    def remove(self, spec: "Spec") -> None:
-        """Counts one task of a job less."""
-        self.cpus -= spec.cpus
-        self.gpus -= spec.gpus
-
     def tasks_within(self, spec: "Spec", tasks: Count, cpu_limit: float, gpu_limit: float) -> Count:
         """How many of `tasks` more tasks of a job stay within both limits; a limit of 0 is none."""
         if cpu_limit > 0 and spec.cpus > 0:
