--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -102,13 +102,15 @@
         """A machine as placing sees it: the same object as long as nothing of it changes."""
         status = last_seen.status
         machine_type = self.committed.machine_types[status.type]
-        is_open = heard_recently and not status.spot_notice and not status.unreachable
+        schedulable = heard_recently and not status.spot_notice and not status.unreachable
         known = self.machines.get(name)
         if (
             known is not None
             and known.agent_epoch == status.agent_epoch
-            and known.open == is_open
+            and known.schedulable == schedulable
             and known.type is machine_type
         ):
             return known
-        return Machine(name, machine_type, status.zone, status.spot, status.agent_epoch, is_open)
+        return Machine(
+            name, machine_type, status.zone, status.spot, status.agent_epoch, schedulable
+        )
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -9,8 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ..actors import callback, tell, tell_after
-from ..config.operators import Operators
-from ..config.platform import Settings
+from ..config import Operators, Settings
 from ..membership import FORMAT_KEY, is_raised
 from ..membership.wire import LEADER_KEY, NODE_PREFIX
 from ..state import ReplicaSubscriber, Store
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ..actors import Actor, ActorPart, callback, tell
-from ..config.operators import Operators
+from ..config import Operators
 from .catalog import MachineCatalog
 from .demand import DemandTargets
 from .leadership import Leadership
--- a/emberglade/fleet/cost_round.py
+++ b/emberglade/fleet/cost_round.py
@@ -6,8 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ..config.operators import Operators
-from ..config.platform import Settings
+from ..config import Operators, Settings
 from ..placement import MachineType
 from ..state import ReplicaSubscriber
 from ..transport import Client
--- a/emberglade/fleet/demand.py
+++ b/emberglade/fleet/demand.py
@@ -3,11 +3,10 @@
 import logging
 import math
 import random
-from typing import NamedTuple
 
-from ..config.operators import Operators
-from ..placement import MachineType
-from ..sizing import Sizer, family
+from ..config import Operators
+from ..placement import MachineType, Pool
+from ..sizing import Sizer, expert_family
 from . import wire
 
 log = logging.getLogger("emberglade.fleet")
@@ -17,16 +16,6 @@
 NEW_LEADER_CAP = 2  # times the demand
 
 
-class Pool(NamedTuple):
-    """A machine type's spot or ordinary machines."""
-
-    machine_type: str
-    spot: bool
-
-    def __str__(self) -> str:
-        return f"{self.machine_type} {'spot' if self.spot else 'ordinary'}"
-
-
 class DemandTargets:
     """Follows the demand of all controllers, each second, and draws targets from it.
 
@@ -38,7 +27,7 @@
 
     def __init__(self, operators: Operators) -> None:
         self.operators = operators
-        self.experts = family(operators.min_lookback_s, operators.max_lookback_s)
+        self.experts = expert_family(operators.min_lookback_s, operators.max_lookback_s)
         self.tables: dict[str, dict] = {}
         self.sizers: dict[Pool, Sizer] = {}
         self.targets: dict[Pool, int] = {}
@@ -113,13 +102,14 @@
         """
         for pool, sizer in self.sizers.items():
             machine_type = machine_types.get(pool.machine_type)
-            if machine_type is None or not sizer.history:
+            if machine_type is None or not sizer.workload_history:
                 continue
             demand = total.get(pool, 0.0)
-            number, target = sizer.round(machine_type.boot_s or self.operators.boot_guess_s)
+            expert, target = sizer.run_cost_round(
+                machine_type.boot_s or self.operators.boot_guess_s
+            )
             if led_for_s < NEW_LEADER_CAP_S:
                 target = min(target, math.ceil(NEW_LEADER_CAP * demand))
-            expert = self.experts[number]
             log.info(
                 "drew target %d for %s: expert %d%% x %g over %d s, demand %.2f",
                 target,
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ..actors import Actor, ActorPart, callback
-from ..config.platform import Settings
+from ..config import Settings
 from ..transport import Client
 from . import wire
 from .leadership import Leadership
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from ..actors import Actor, ActorPart, callback, tell, tell_after
-from ..config.platform import Settings
+from ..config import Settings
 from .leadership import Leadership
 from .machines import FleetMachines, shorten_names
 from .states import MachineState, Taint
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -6,8 +6,7 @@
 from typing import Any
 
 from ..actors import Actor, ActorPart, callback
-from ..config.operators import Operators
-from ..config.platform import Settings
+from ..config import Operators, Settings
 from ..transport import Client
 from . import wire
 from .balance import TypeBalance
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -10,8 +10,7 @@
 from typing import Any, NamedTuple
 
 from ..actors import ActorPart, callback, tell_after
-from ..config.operators import Operators
-from ..config.platform import Settings
+from ..config import Operators, Settings
 from ..placement import MachineType
 from ..state import ReplicaSubscriber
 from ..transport import Client
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ..actors import Actor, ActorPart, callback, tell, tell_after
-from ..config.platform import Settings
+from ..config import Settings
 from ..membership import Holder
 from ..state import Store
 from .leadership import Leadership
--- a/emberglade/jobs/cluster_view.py
+++ b/emberglade/jobs/cluster_view.py
@@ -17,7 +17,7 @@
 
     Attributes:
         machines: machine -> placement.Machine, as the agent manager told them last.
-        open_machines: The names of those that may be given tasks, taints apart.
+        schedulable_machines: The names of those that may be given tasks, taints apart.
         machine_types: name -> MachineType, as committed.
         capacity: What bound tasks take, per machine and team.
         images: Which images machines are expected to have cached.
@@ -25,7 +25,7 @@
 
     def __init__(self, settings: "Settings") -> None:
         self.machines: Mapping[str, placement.Machine] = {}
-        self.open_machines: set[str] = set()
+        self.schedulable_machines: set[str] = set()
         self.taints = Taints()
         self.machine_types: dict[str, placement.MachineType] = {}
         self.capacity = placement.ClusterCapacity(settings.teams)
@@ -34,8 +34,10 @@
     def update_machines(self, machines: Mapping[str, placement.Machine]) -> None:
         """Takes in the machines that are there now."""
         self.machines = machines
-        self.open_machines = {name for name, machine in machines.items() if machine.open}
-        self.capacity.inventory(machines)
+        self.schedulable_machines = {
+            name for name, machine in machines.items() if machine.schedulable
+        }
+        self.capacity.set_machines(machines)
         self.images.keep_only(machines)
 
     def update_machine_types(self, record: dict[str, Any]) -> None:
@@ -44,22 +46,22 @@
 
     def untainted_machines(self) -> set[str]:
         """The names of the machines that may be given tasks."""
-        return self.open_machines.difference(self.taints.by_machine)
+        return self.schedulable_machines.difference(self.taints.by_machine)
 
-    def tasks_on(self, machine: str) -> dict[tuple[str, int], tuple[Job, Binding]]:
-        """{(job id, task): (Job, Binding)} of all that is bound to a machine."""
-        return self.capacity.on.get(machine, {})
+    def tasks_on(self, machine: str) -> dict[tuple[str, int], placement.BoundTask]:
+        """{(job id, task): BoundTask} of all that is bound to a machine."""
+        return self.capacity.bound_tasks.get(machine, {})
 
     def bound_machines(self) -> Collection[str]:
         """The machines that any task is bound to."""
-        return self.capacity.on
+        return self.capacity.bound_tasks
 
     def bind(self, job: Job, task: int, binding: Binding) -> None:
         """Counts a task as bound."""
         self.capacity.add(job, task, binding)
         machine = self.machines.get(binding.machine)
         if machine is not None:
-            self.images.note(
+            self.images.add(
                 binding.machine, job.spec.image, job.spec.image_gb, machine.type.cache_gb
             )
 
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -167,11 +167,11 @@
 
     def on_demand(
         self,
-        reply: Callable[[dict[tuple[str, bool], float], dict[tuple[str, bool, str], float]], None],
+        reply: Callable[[dict[placement.Pool, float], dict[placement.ZonePool, float]], None],
     ) -> None:
         """Handles `demand(reply)` from the agent manager: what own jobs request, in machines.
 
-        `reply({(type, spot): machines}, {(type, spot, zone): machines})`: the demand per pool, and
+        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, and
         what of it finds no capacity in the only zone where it can run.
         """
         settings, cluster = self.settings, self.view.cluster
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -71,15 +71,15 @@
 
     def _fill_buffer_before(self, job: Job) -> None:
         """Takes the capacity that is kept free for expected work of a higher priority."""
-        ahead = [row for row in self._buffer if row[0].spec.priority < job.spec.priority]
+        ahead = [row for row in self._buffer if row.job.spec.priority < job.spec.priority]
         for row in ahead:
             self._buffer.remove(row)
             expected, tasks = row
-            self._round.fill(expected, math.ceil(tasks))
+            self._round.place(expected, math.ceil(tasks))
 
     def _task_limit(self, job: Job, within_guarantee: bool) -> int:
         """How many tasks of a job may be placed in this turn, at most."""
-        limit = min(job.pending_count(), self._round.most(job.spec), MAX_TASKS_A_TURN)
+        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_A_TURN)
         if within_guarantee and job.spec.priority:
             limit = min(limit, self._cluster.capacity.tasks_within_guarantee(job.spec))
         if job.id in self._starving:
@@ -101,13 +101,13 @@
             for task in job.pending_tasks(self._now, limit + reserved)
             if hopeful or job.chunk_of(task).last_attempts.get(task, 0) <= MAX_HOPEFUL_ATTEMPTS
         ]
-        filled = self._round.fill(job, len(tasks) - reserved)
+        filled = self._round.place(job, len(tasks) - reserved)
         self._reserved[job.id] = reserved + len(filled)
 
     def _place(self, job: Job, tasks: list[int]) -> int:
         """Binds as many of the tasks as find capacity; returns how many."""
-        machines = self._round.fill(job, len(tasks))
-        self._round.forget(len(machines))
+        machines = self._round.place(job, len(tasks))
+        self._round.take_back(machines)
         incomplete_gang = (
             job.spec.gang and not job.binding_count() and len(machines) < job.pending_count()
         )
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -27,8 +27,6 @@
 
 STOP_REASON = "room for "  # for the log; sent to other holders, so it stays as it is
 
-RunningTask = tuple[Job, int, Binding]
-
 
 class Preemption(ActorPart):
     """Stops tasks for others, within a round of placing.
@@ -105,20 +103,20 @@
         ]
         if not pressing:
             return []
-        rules = self._stop_rules()
+        rules = self._preemption_rules()
         running = {
-            placement.preempt.stop_class(job.spec): job.spec
+            placement.preemption_class(job.spec): job.spec
             for job in self._jobs.jobs.values()
             if job.binding_count()
         }
         return [
             job
             for job in pressing
-            if any(rules.may_stop(job.spec, victim) for victim in running.values())
+            if any(rules.may_preempt(job.spec, victim) for victim in running.values())
         ]
 
-    def _stop_rules(self) -> placement.preempt.StopRules:
-        return placement.preempt.StopRules(self._cluster.capacity, self._settings.teams)
+    def _preemption_rules(self) -> placement.PreemptionRules:
+        return placement.PreemptionRules(self._cluster.capacity, self._settings.teams)
 
     def _count_stopping_as_free(self, placement_round: placement.PlacementRound) -> None:
         """What is being stopped already will be free; it is not stopped for twice."""
@@ -126,7 +124,7 @@
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
             ]:
-                placement_round.give(job.spec, binding.machine)
+                placement_round.release(job.spec, binding.machine)
         for job_id, task, attempt in self._requested:
             requested = self._jobs.get(job_id)
             if requested is None:
@@ -134,19 +132,21 @@
             bound = requested.chunk_of(task).bindings.get(task)
             if bound is None or bound.attempt != attempt or bound.stop or requested.cancelled:
                 continue
-            placement_round.give(requested.spec, bound.machine)
+            placement_round.release(requested.spec, bound.machine)
 
-    def _stoppable_tasks(self, now: float, pressing: list[Job]) -> dict[str, list[RunningTask]]:
-        """{machine: [(job, task, binding)]} of what may be stopped there, the cheapest first."""
-        rules = self._stop_rules()
+    def _stoppable_tasks(
+        self, now: float, pressing: list[Job]
+    ) -> dict[str, list[placement.BoundTask]]:
+        """{machine: [BoundTask]} of what may be stopped there, the cheapest first."""
+        rules = self._preemption_rules()
         classes = {(job.spec.priority, job.spec.team): job.spec for job in pressing}
         specs = list(classes.values())
-        stoppable: dict[str, list[RunningTask]] = {}
+        stoppable: dict[str, list[placement.BoundTask]] = {}
         for job in self._jobs.jobs.values():
             if (
                 job.cancelled
                 or self._chunk_limits.needs_rechunking(job)
-                or not any(rules.may_stop(spec, job.spec) for spec in specs)
+                or not any(rules.may_preempt(spec, job.spec) for spec in specs)
             ):
                 continue
             for task, binding in job.bindings():
@@ -155,9 +155,11 @@
                     and (job.id, task, binding.attempt) not in self._requested
                     and not self._is_late_start(job, binding, now)
                 ):
-                    stoppable.setdefault(binding.machine, []).append((job, task, binding))
+                    stoppable.setdefault(binding.machine, []).append(
+                        placement.BoundTask(job, task, binding)
+                    )
         for tasks in stoppable.values():
-            tasks.sort(key=lambda row: placement.preempt.turn_to_go(row, self._is_fresh(row, now)))
+            tasks.sort(key=lambda row: placement.victim_order(row, self._is_fresh(row, now)))
         return stoppable
 
     def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
@@ -173,15 +175,15 @@
         )
 
     @staticmethod
-    def _is_fresh(running: RunningTask, now: float) -> bool:
+    def _is_fresh(running: placement.BoundTask, now: float) -> bool:
         """Whether a task has been bound too lately to count as a start once it is stopped."""
-        return now - running[2].since < FRESH_START_S
+        return now - running.binding.since < FRESH_START_S
 
     def _preempt_for(
         self,
         now: float,
         pressing: list[Job],
-        stoppable: dict[str, list[RunningTask]],
+        stoppable: dict[str, list[placement.BoundTask]],
         placement_round: placement.PlacementRound,
     ) -> None:
         """Picks victims for one task after the other, and asks for their stop."""
@@ -196,9 +198,9 @@
                 for victim in victims:
                     victim_job, _, binding = victim
                     stoppable[binding.machine].remove(victim)
-                    placement_round.give(victim_job.spec, binding.machine)
+                    placement_round.release(victim_job.spec, binding.machine)
                     self._stop(now, victim, STOP_REASON + job.id)
-                placement_round.fill(job, 1)
+                placement_round.place(job, 1)
                 stops_left -= 1
                 if stops_left <= 0:
                     return
@@ -207,26 +209,24 @@
         self,
         now: float,
         job: Job,
-        stoppable: dict[str, list[RunningTask]],
+        stoppable: dict[str, list[placement.BoundTask]],
         placement_round: placement.PlacementRound,
-    ) -> list[RunningTask] | None:
+    ) -> list[placement.BoundTask] | None:
         """What to stop for one more task: nothing if there is capacity; None if nothing helps."""
         capacity, teams = self._cluster.capacity, self._settings.teams
 
-        def fresh(running: RunningTask) -> bool:
+        def fresh(running: placement.BoundTask) -> bool:
             return self._is_fresh(running, now)
 
         if not capacity.tasks_within_quota(job.spec):
-            victims = placement.preempt.victims_for_quota(
-                job.spec, stoppable, capacity, teams, fresh
-            )
-            helps = victims and placement.preempt.has_fit(job, victims, placement_round)
+            victims = placement.victims_for_quota(job.spec, stoppable, capacity, teams, fresh)
+            helps = victims and placement.has_fit(job, victims, placement_round)
             return victims if helps else None
-        if placement_round.fill(job, 1):
+        if placement_round.place(job, 1):
             return []
-        return placement.preempt.victims_for_capacity(job, stoppable, placement_round, teams, fresh)
+        return placement.victims_for_capacity(job, stoppable, placement_round, teams, fresh)
 
-    def _stop(self, now: float, running: RunningTask, reason: str) -> None:
+    def _stop(self, now: float, running: placement.BoundTask, reason: str) -> None:
         job, task, binding = running
         if self._holders.holds(job):
             self._tasks.stop(job, task, StopMode.SAVE, reason)
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -72,11 +72,8 @@
         usable = self._cluster.untainted_machines()
         usable.difference_update(self._backoff.machines(now))
         cluster = self._cluster
-        placement_round = placement.PlacementRound(cluster.capacity, usable, cluster.images)
-        try:
+        with placement.PlacementRound(cluster.capacity, usable, cluster.images) as placement_round:
             self._play(now, pending, placement_round)
-        finally:
-            placement_round.undo()
 
     def _jobs_with_pending_tasks(self) -> list[Job]:
         return [
@@ -123,7 +120,7 @@
         """Works out a few times a heartbeat which jobs are within their team's guarantee."""
         if now - self._guaranteed_at > self._settings.agent_heartbeat_s / GUARANTEE_UPDATES:
             self._guaranteed_at = now
-            self._guaranteed = placement.preempt.guaranteed(
+            self._guaranteed = placement.guaranteed_jobs(
                 (job for job in self._jobs.jobs.values() if not job.cancelled),
                 self._settings.teams,
             )
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -114,7 +114,7 @@
         moved: dict[str, list[str]] = {}
         for machine in machines:
             taint = self._cluster.taints.get(machine)
-            for (_, task), (job, binding) in list(self._cluster.tasks_on(machine).items()):
+            for job, task, binding in list(self._cluster.tasks_on(machine).values()):
                 if not self.may_change(job):
                     continue
                 if taint in LEASE_OVER:
--- a/emberglade/jobs/underused_machine.py
+++ b/emberglade/jobs/underused_machine.py
@@ -25,7 +25,9 @@
     usable = {
         name
         for name, machine in cluster.machines.items()
-        if machine.open and name not in cluster.taints and cluster.capacity.replicas.get(name)
+        if machine.schedulable
+        and name not in cluster.taints
+        and cluster.capacity.replicas.get(name)
     }
     for count, name in sorted(_candidates(cluster, type_name, limit))[:MAX_MACHINES_TRIED]:
         if _could_move(cluster, name, usable - {name}):
@@ -41,12 +43,12 @@
         if (
             machine.type.name == type_name
             and not machine.spot
-            and machine.open
+            and machine.schedulable
             and name not in cluster.taints
             and 0 < len(tasks) <= limit
             and all(
                 job.spec.service and not binding.stop and not job.cancelled
-                for job, binding in tasks.values()
+                for job, _, binding in tasks.values()
             )
         ):
             rows.append((len(tasks), name))
@@ -55,12 +57,9 @@
 
 def _could_move(cluster: ClusterView, machine: str, usable: set[str]) -> bool:
     """Whether all tasks on a machine find capacity, with their image, on the usable ones."""
-    placement_round = placement.PlacementRound(cluster.capacity, usable, cluster.images)
-    try:
-        for job, _ in cluster.tasks_on(machine).values():
-            found = placement_round.fill(job, 1)
+    with placement.PlacementRound(cluster.capacity, usable, cluster.images) as placement_round:
+        for job, _, _ in cluster.tasks_on(machine).values():
+            found = placement_round.place(job, 1)
             if not found or not cluster.images.has(found[0], job.spec.image):
                 return False
-        return True
-    finally:
-        placement_round.undo()
+    return True
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -44,7 +44,7 @@
         detection_bounds(settings, operators)
         failure_domains(settings, operators)
     except DetectionError as error:
-        raise SettingsError(f"{source}: {error}") from None
+        raise SettingsError(source, error.reason, error.field, error.value) from None
 
 
 def make_parser() -> argparse.ArgumentParser:
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -20,7 +20,7 @@
             if self.view.holders.holds(job):
                 for task, binding in list(job.bindings()):
                     machine = self.view.cluster.machines.get(binding.machine)
-                    if machine is not None and not machine.open:
+                    if machine is not None and not machine.schedulable:
                         self.tasks.release(job, task, binding.attempt, binding.machine)
         original(self)
 
