--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Iterable
-from typing import NamedTuple
 
 from .bounds import DetectionBounds
 from .confirmation import death_evidence
@@ -21,36 +20,12 @@
 )
 from .peer import NEVER, Peer
 from .relays import choose_relays
-from .view import LivenessView
+from .view import IndirectProbe, LivenessView, Transition, TurnResult
 
 FAILBACK_GRACE_INTERVALS = 2  # after its start, for peers to say how long it should wait
 RECENT_CONTACT_INTERVALS = 2  # so old may this controller's contact with the state service be
 
 
-class Transition(NamedTuple):
-    """A peer is taken for something else than before."""
-
-    peer: str
-    before: PeerState
-    after: PeerState
-    reason: str
-
-
-class IndirectProbe(NamedTuple):
-    """The relays are to be asked whether they reach the target."""
-
-    target: str
-    relays: tuple[str, ...]
-
-
-class TurnResult(NamedTuple):
-    """What a turn of the loop led to."""
-
-    transitions: tuple[Transition, ...]
-    probes: tuple[IndirectProbe, ...]
-    view: LivenessView
-
-
 class PeerDetector:
     """Takes in what is heard of the other controllers, and says what to take them for.
 
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -11,12 +11,12 @@
 from ..state import Change, ReplicaSubscriber, Store
 from . import wire
 from .bounds import DetectionBounds
-from .detector import PeerDetector, Transition
+from .detector import PeerDetector
 from .domains import FailureDomains
 from .heartbeats import HeartbeatReceiver, HeartbeatSource
 from .messages import PeerState
 from .probes import PeerProbing
-from .view import LivenessListener, LivenessView
+from .view import LivenessListener, LivenessView, Transition
 
 if TYPE_CHECKING:
     from ..config import Settings
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -10,10 +10,11 @@
 from ..actors import Actor, ActorPart, callback, tell_after
 from ..transport import NO_ANSWER, REFUSED
 from . import wire
-from .detector import IndirectProbe, PeerDetector
+from .detector import PeerDetector
 from .heartbeats import HeartbeatReceiver, HeartbeatSource
 from .messages import MalformedPeerMessageError, PingOutcome, ProbeRequest, ProbeResult
 from .peer import Peer
+from .view import IndirectProbe
 
 if TYPE_CHECKING:
     from ..transport import Client, Reply
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -1,4 +1,4 @@
-"""What the rest of a controller is told of its peers."""
+"""What comes of a turn of the detector, and what the rest of a controller is told of its peers."""
 
 from typing import NamedTuple, Protocol
 
@@ -35,6 +35,30 @@
         )
 
 
+class Transition(NamedTuple):
+    """A peer is taken for something else than before."""
+
+    peer: str
+    before: PeerState
+    after: PeerState
+    reason: str
+
+
+class IndirectProbe(NamedTuple):
+    """The relays are to be asked whether they reach the target."""
+
+    target: str
+    relays: tuple[str, ...]
+
+
+class TurnResult(NamedTuple):
+    """What a turn of the loop led to."""
+
+    transitions: tuple[Transition, ...]
+    probes: tuple[IndirectProbe, ...]
+    view: LivenessView
+
+
 class LivenessListener(Protocol):
     """An actor that the monitor tells of who is alive; it owns both handlers."""
 
