--- a/emberglade/jobs/job_table.py
+++ b/emberglade/jobs/job_table.py
@@ -6,6 +6,7 @@
 from .binding import Binding
 from .cluster_view import ClusterView
 from .job import Job
+from .wire import binding_row  # called for every bound task of a chunk that changes
 
 
 class JobTable:
@@ -49,8 +50,9 @@
             self.unbind(job, task)
         for task, row in rows.items():
             binding = chunk.bindings.get(task)
-            if binding is None or wire.binding_row(binding) != row:
-                if binding is not None:
-                    self.unbind(job, task)
-                self.bind(job, task, wire.read_binding(row))
+            if binding is not None:
+                if binding_row(binding) == row:
+                    continue
+                self.unbind(job, task)
+            self.bind(job, task, wire.read_binding(row))
         wire.update_chunk(chunk, record, mod_revision)
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -28,7 +28,7 @@
     checkpointed: bool  # whether its progress was saved
 
     @property
-    def key(self):
+    def key(self) -> UpdateKey:
         """The UpdateKey."""
         return UpdateKey("exited", self.job_id, self.task)
 
@@ -43,7 +43,7 @@
     machine: str
 
     @property
-    def key(self):
+    def key(self) -> UpdateKey:
         """The UpdateKey."""
         return UpdateKey("gone", self.job_id, self.task)
 
@@ -59,7 +59,7 @@
     reason: str  # for the log
 
     @property
-    def key(self):
+    def key(self) -> UpdateKey:
         """The UpdateKey."""
         return UpdateKey("stop", self.job_id, self.task)
 
