--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -133,7 +133,7 @@
 
         Once broken: a process that was back at once had its lease before the last actor had its
         mailbox, and went on for ever with actors that had not been told who they are
-        (actors/all_before_any.txt).
+        (actors/message_before_begin.txt).
         """
         for thread in [self._prepare(actor, name) for actor, name in actors]:
             thread.start()
--- a/emberglade/agents/commands.py
+++ b/emberglade/agents/commands.py
@@ -97,7 +97,7 @@
         for job_id, task, attempt, machine, agent_epoch in fresh:
             entry = self.jobs.get(job_id)
             # Once broken: the binding and its stop came in one change, and the start went out all
-            # the same, with a token above the stop's (rules/stopped_in_one_change.txt).
+            # the same, with a token above the stop's (protocol_rules/bound_and_stopped.txt).
             want = self.bindings.get(machine, {}).get((job_id, task))
             if (
                 want is None
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -178,7 +178,8 @@
             gone = self.absent.get(peer.name)
             if gone is not None:
                 # Once broken: this node was left out of the account, though a worker that it had
-                # kept alive could go to a node whose statement was older (rules/fence.txt).
+                # kept alive could go to a node whose statement was older
+                # (protocol_rules/isolated_controller.txt).
                 said.append(
                     (
                         max(gone, taint_seen) + self.settings.max_staleness_s * CLOCK_DRIFT,
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -85,7 +85,7 @@
         now = self.now()
         better = self.better_node(now)
         # Peers that lose contact themselves answer questions late by up to what a sync may take
-        # (meetings/gap_silent.txt, 2).
+        # (combined_faults/cancel_before_outage_timeouts.txt, 2).
         level_for = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         if better is not None and now - self.evidence.level_since() > level_for:
             reply(421, wire.elsewhere(better))
@@ -154,7 +154,7 @@
         if more == START and better is not None and not commands:
             # This node knows what the others know, but a start needs one that can sync. Nobody is
             # sent away for less: a worker that can't reach the other loses its lease on the way
-            # (meetings/gap_silent.txt).
+            # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, wire.elsewhere(better))
         elif more:
             self.waited += 1
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -131,7 +131,7 @@
         """A peer asks what is known here; answered from a copy synced after the question.
 
         Without contact a sync may take longer than the peer waits; what the copy's revision says it
-        needs at once (meetings/gap_silent.txt).
+        needs at once (combined_faults/cancel_before_outage_timeouts.txt).
         """
         self.asked_by[question.asker] = self.now()
         if self.now() - self.last_contact > self.settings.lease_s / 4:
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -48,8 +48,8 @@
 
         When a zone is cut off, its workers need their lease renewed by a node inside. Once broken:
         most reported to nodes outside, and with five of them the search for the one inside took
-        longer than a lease (agents/zone_with_five.txt). A worker is sent once in four leases, so
-        that one which can't reach that node stays where it is heard.
+        longer than a lease (agents/zone_partitioned_of_five.txt). A worker is sent once in four
+        leases, so that one which can't reach that node stays where it is heard.
         """
         settings, name = self.settings, heartbeat.machine
         if (
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -217,7 +217,7 @@
         if key_shown_gone and peer.refuses(now):
             # Two sources of evidence: the state service, and the machine where nobody listens any
             # more. Once slower than keys alone, when most controllers ended at once
-            # (failure_detection/most_gone.txt).
+            # (failure_detection/majority_lost.txt).
             self._move(peer, PeerState.DEAD, "refuses, and the state service has ended its key")
             return True
         relays = () if isolated else self._relays(peer)
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -12,7 +12,7 @@
 
     Whoever has just written a claim was alive a moment ago, whatever the last view says. Once
     broken: a controller that was back took its shards, and a peer whose view was a quarter of a
-    second older took them again (failure_detection/beside_production.txt).
+    second older took them again (failure_detection/beside_previous_version.txt).
     """
 
     def __init__(self, heartbeat_s):
--- a/emberglade/fleet/scaling.py
+++ b/emberglade/fleet/scaling.py
@@ -72,8 +72,8 @@
         """Rents for tasks that can run in one zone only, where that zone has no room for them.
 
         Once broken: enough machines by their count, all of them elsewhere, and such tasks waited
-        for ever (meetings/zone_bound.txt). Tables are some seconds old, so a shortage counts once
-        it is seen twice.
+        for ever (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a
+        shortage counts once it is seen twice.
         """
         short = {}
         for table in self.tables.values():
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -119,7 +119,7 @@
         more = (size((machine, taint)) if taint is not None else 0) - before
         # Once broken: 4,000 machines fell silent together, their taints made a transaction above
         # the limit, and then, each a byte longer, values above theirs; these were refused again
-        # and again (fleet/thousands_silent.txt).
+        # and again (fleet/nearly_all_machines_fail.txt).
         if more > 0 and sum(self.sizes.values()) + more > MAX_CHANGE_BYTES:
             return False
         target = key
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -220,8 +220,8 @@
         """Makes sure that a commit of unknown outcome is either applied by now or never will be.
 
         Once broken: it was applied late, when the room and the limit that it counted on had been
-        given to others (rules/late_commit.txt). All that it hangs on are the epochs of its shards,
-        so these are written anew.
+        given to others (protocol_rules/late_commit.txt). All that it hangs on are the epochs of its
+        shards, so these are written anew.
         """
         epochs = {
             (shard, holder[2])
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -187,7 +187,7 @@
             self.settle(job)
         # Once broken: the stops for a drained machine went with a commit that was not carried out,
         # and nobody asked for them again; its tasks neither ran nor moved
-        # (rules/random_meetings_small_values.txt, 39).
+        # (protocol_rules/random_combined_faults_small_values.txt, 39).
         self.obey_taints(
             [
                 machine
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -25,7 +25,7 @@
         while.
 
         Once broken: what had its turn was stopped for a higher rank before it began, had its turn
-        again, and so on; neither ran (meetings/turn_and_stop.txt).
+        again, and so on; neither ran (combined_faults/aging_and_preemption.txt).
         """
         age = self.system.wall() - job.spec.submitted_at - (now - binding.since)
         return now - binding.since < 4 * self.settings.lease_s < age / 2 and not job.done_count()
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -107,7 +107,7 @@
                     # What was often tried, of a job that gets nothing done, its holder may well be
                     # holding back. Others are tried as often on a rough day; their room was given
                     # away, and made for them again and again
-                    # (rules/random_meetings_small_values.txt, 39).
+                    # (protocol_rules/random_combined_faults_small_values.txt, 39).
                     past = played.get(job.id, 0)
                     hopeful = job.binding_count() or job.done_count()
                     tasks = [
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -155,7 +155,7 @@
         ):
             # Once broken: a controller that was in contact again after long took all shards in the
             # moment in which its replica showed their holders and its view did not
-            # (failure_detection/contact_at_last.txt).
+            # (failure_detection/late_first_contact.txt).
             return
         if not self.taking_shards:
             take = self.shards_to_take()[: self.settings.txn_ops]
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -343,7 +343,7 @@
         By rank, but for a submission that waited long.
 
         Once broken: while a third of all machines was lost, decisions took all writes for seconds,
-        and every submission of that time was answered too late (fleet/third_dies.txt).
+        and every submission of that time was answered too late (fleet/third_of_machines_fail.txt).
         """
         submissions = self.queue[SUBMISSIONS]
         if (
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -217,7 +217,7 @@
             reply(200, answer)
         elif known is None:
             # Once broken: a malformed repeat of a job that was over got 400 while the state service
-            # did not answer (pipelines/random.txt, 730).
+            # did not answer (dependencies/random_faults.txt, 730).
             self.later(reply, "the state service does not answer")
         else:
             reply(400, wire.error(reason))
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -4,12 +4,12 @@
 from emberglade.agents.manager import AgentManager
 
 
-def deaf_to_cancellations(patch):
+def ignores_cancellations(patch):
     """No agent manager sees a cancellation."""
     patch.setattr(AgentManager, "see_cancellation", lambda self, job_id, entry, revision: None)
 
 
-def copies_are_signs_of_life(patch):
+def accepts_duplicate_heartbeats(patch):
     """A machine whose copies still come is never proven lost."""
     original = AgentManager.on_heartbeat
 
@@ -22,17 +22,17 @@
     patch.setattr(AgentManager, "on_heartbeat", on_heartbeat)
 
 
-def blind_to_the_deaf(patch):
+def trusts_unreachable_machines(patch):
     """A machine that does not hear us counts as a good one."""
     patch.setattr(AgentManager, "listen", lambda self, known, heartbeat, last_seen, now: None)
 
 
-def halts_wait_for_reports(patch):
+def stops_wait_for_heartbeats(patch):
     """A cancelled task is halted only by the answer to its machine's report."""
     patch.setattr(AgentManager, "press_halts", lambda self, job_id: None)
 
 
-def empty_copies_are_level(patch):
+def trusts_empty_replicas(patch):
     """A peer that has no copy, just restarted, counts as one that told nobody anything."""
 
     def compare_replicas(self, revision):
@@ -43,22 +43,22 @@
     patch.setattr(LeaseEvidence, "compare_replicas", compare_replicas)
 
 
-def never_silent(patch):
+def always_answers_agents(patch):
     """A controller answers workers however long it has heard of nothing new."""
     patch.setattr(AgentManager, "entitled", lambda self, now: self.revision >= 0)
 
 
-def starts_unsynced(patch):
+def starts_without_sync(patch):
     """Answers start whatever the copy shows, however old it is."""
     original = AgentManager.commands
     patch.setattr(AgentManager, "commands", lambda self, known, synced: original(self, known, True))
 
 
-def proves_by_silence(patch):
+def proves_lease_expiry_by_silence(patch):
     """A machine that the leader has not heard of is taken for one whose lease is over."""
     patch.setattr(LeaseEvidence, "proven_over", lambda self, *_: True)
 
 
-def forgets_withdrawals_of_the_dead(patch):
+def forgets_cancellations_of_dead_peers(patch):
     """Nobody repeats the halts of a controller that has ended before their time."""
     patch.setattr(AgentManager, "on_peer_dead", lambda self, name: None)
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -9,7 +9,7 @@
 from emberglade.membership import NOBODY
 
 
-def accuses_alone(patch):
+def suspicion_is_death(patch):
     """Whoever is suspected counts as dead."""
 
     def confirm(self, peer, isolated, now):
@@ -19,14 +19,14 @@
     patch.setattr(PeerDetector, "_confirm", confirm)
 
 
-def deaf_to_vouchers(patch):
+def ignores_what_others_hear(patch):
     """That another controller hears a peer counts for nothing."""
     patch.setattr(
         PeerDetector, "_note_heard_by_other", lambda self, peer, mark, sent_at, now: False
     )
 
 
-def copies_count(patch):
+def accepts_duplicate_peer_heartbeats(patch):
     """Any heartbeat is a sign of life, whatever came before it and however old it is."""
     original = PeerDetector.hear
 
@@ -38,7 +38,7 @@
     patch.setattr(PeerDetector, "hear", hear)
 
 
-def no_self_doubt(patch):
+def ignores_own_pauses(patch):
     """A controller never takes itself for the one that is slow."""
     patch.setattr(LocalHealth, "turn", lambda self, now, late_s: False)
 
@@ -48,18 +48,18 @@
     patch.setattr(PeerDetector, "_isolated", lambda self: False)
 
 
-def domains_count_twice(patch):
+def counts_domains_twice(patch):
     """Each controller is a witness of its own."""
     patch.setattr(FailureDomains, "of", lambda self, controller: controller)
 
 
-def unknown_is_gone(patch):
+def no_startup_grace(patch):
     """Who has not been heard yet serves only by its key, from the first moment on."""
     original = Peer.serves
     patch.setattr(Peer, "serves", lambda self, now, startup_over: original(self, now, True))
 
 
-def keys_alone_serve(patch):
+def serves_by_key_alone(patch):
     """A controller whose key is missing does not serve, however well it is heard."""
     original = Peer.serves
     patch.setattr(
@@ -71,12 +71,12 @@
     )
 
 
-def no_excuse(patch):
+def no_pause_allowance(patch):
     """A controller that stood still states how old its contact is, pause included."""
     patch.setattr(LocalHealth, "excuse_s", lambda self, now, overdue_s: 0.0)
 
 
-def returns_at_once(patch):
+def no_return_wait(patch):
     """A controller takes its shards back whenever it can."""
     patch.setattr(Peer, "return_wait_s", lambda self, now: 0.0)
     original = ShardPlanner._is_due_back
@@ -87,14 +87,14 @@
     patch.setattr(ShardPlanner, "_is_due_back", is_due_back)
 
 
-def takes_nothing_over(patch):
+def never_fails_over(patch):
     """A shard that loses its holder waits for its home."""
     patch.setattr(
         ShardPlanner, "_is_due", lambda self, shard, holder, line, view, now: holder == NOBODY
     )
 
 
-def takes_over_blindly(patch):
+def fails_over_on_stale_view(patch):
     """Claims follow the view of the last turn, also one that is older than the copy."""
     on_changed = PeerMonitor.on_changed
 
@@ -112,7 +112,7 @@
     patch.setattr(PeerDetector, "begin", lambda self, now: None)
 
 
-def ignores_slowness(patch):
+def ignores_slow_peers(patch):
     """Slow controllers are offered others' work like any other."""
     original = ShardPlanner.shards_to_take
 
@@ -122,7 +122,7 @@
     patch.setattr(ShardPlanner, "shards_to_take", shards_to_take)
 
 
-def gives_all_to_one(patch):
+def one_survivor_takes_all(patch):
     """The first survivor takes all that is free."""
     original = ShardPlanner._line
     patch.setattr(
@@ -130,13 +130,13 @@
     )
 
 
-def leases_order_processes(patch):
+def orders_incarnations_by_lease(patch):
     """The process with the larger number of a lease counts as the newer one."""
     patch.setattr(Incarnation, "__lt__", lambda self, other: self.lease < other.lease)
     patch.setattr(Incarnation, "__gt__", lambda self, other: self.lease > other.lease)
 
 
-def believes_any_clock(patch):
+def accepts_future_heartbeats(patch):
     """A heartbeat may come from the future."""
     original = PeerDetector.hear
     patch.setattr(
--- a/tests/broken_builds/fleet.py
+++ b/tests/broken_builds/fleet.py
@@ -3,6 +3,6 @@
 from emberglade.fleet.taints import TaintChange
 
 
-def taints_stay(patch):
+def taint_keys_never_shrink(patch):
     """A key that holds too many taints passes none on."""
     patch.setattr(TaintChange, "shrink", lambda self: None)
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -8,7 +8,7 @@
 from emberglade.jobs.record import Job
 
 
-def moves_without_proof(patch):
+def reassigns_without_proof(patch):
     """A lost machine's tasks move at once, without waiting for any lease."""
     original = JobManager.on_tick
 
@@ -37,17 +37,17 @@
     )
 
 
-def starts_nothing(patch):
+def places_nothing(patch):
     """Nothing is ever placed."""
     patch.setattr(JobManager, "on_place", lambda self: None)
 
 
-def never_starving(patch):
+def no_aging(patch):
     """What has waited for long gets no turn of its own."""
     patch.setattr(JobManager, "starves", lambda self, job, wall: False)
 
 
-def any_attempt(patch):
+def accepts_any_attempt(patch):
     """An exit counts for whichever attempt is bound now."""
     original = JobManager.task_exited
 
@@ -59,7 +59,7 @@
     patch.setattr(JobManager, "task_exited", task_exited)
 
 
-def unfenced_flights(patch):
+def unfenced_commits(patch):
     """A commit without an answer is taken for one that was not carried out."""
     patch.setattr(
         JobManager,
@@ -68,13 +68,13 @@
     )
 
 
-def passes_over(patch):
+def never_places_one_job(patch):
     """One job's tasks are never placed."""
     original = Job.waiting_count
     patch.setattr(Job, "waiting_count", lambda self: 0 if self.id == "job-1" else original(self))
 
 
-def releases_at_once(patch):
+def ignores_dependencies(patch):
     """Jobs are released whatever became of those that they need."""
     original = DependencyGraph.apply
 
@@ -85,11 +85,11 @@
     patch.setattr(DependencyGraph, "apply", apply)
 
 
-def keeps_orphans(patch):
+def keeps_dependents_of_cancelled(patch):
     """A cancellation does not reach the jobs after it."""
     patch.setattr(DependencyGraph, "_cancel", lambda self, stack: None)
 
 
-def trusts_its_copy(patch):
+def trusts_own_replica(patch):
     """A need that the replica does not show counts as one that still goes on."""
     patch.setattr(DependencyGraph, "unresolved_before", lambda self, job_id: set())
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -3,17 +3,17 @@
 from emberglade.placement.capacity import ClusterCapacity
 
 
-def no_limits(patch):
+def no_quota(patch):
     """Teams have no limits."""
     patch.setattr(ClusterCapacity, "tasks_within_quota", lambda self, spec: spec.tasks)
 
 
-def any_zone(patch):
+def ignores_used_zones(patch):
     """The zones of a job's other tasks don't matter."""
     patch.setattr(ClusterCapacity, "zones_of", lambda self, job: ({}, True))
 
 
-def forgets_bound(patch):
+def forgets_unheard_bindings(patch):
     """What is bound on a machine that is not heard does not count."""
     original = ClusterCapacity.inventory
 
--- a/tests/broken_builds/state.py
+++ b/tests/broken_builds/state.py
@@ -3,7 +3,7 @@
 from emberglade.state.store import LIVE_PREFIX, Store
 
 
-def writes_without_conditions(patch):
+def commits_unconditionally(patch):
     """Commits of jobs hang on nothing: not on the shard's epoch, nor on what the record was."""
     original = Store.on_commit
 
@@ -24,7 +24,7 @@
     patch.setattr(Store, "on_commit", on_commit)
 
 
-def tells_unsynced(patch):
+def answers_without_sync(patch):
     """Users are told what the copy shows, however old it is."""
     patch.setattr(
         Store, "on_sync", lambda self, reply: reply(self.revision if self.revision >= 0 else None)
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -6,7 +6,7 @@
 from emberglade.user_api.api import UserApi
 
 
-def forgets_the_final_state(patch):
+def forgets_final_states(patch):
     """A final key is never found."""
     patch.setattr(
         UserApi,
@@ -24,7 +24,7 @@
     )
 
 
-def withdrawn_becomes_done(patch):
+def swaps_final_states(patch):
     """Final states are mixed up."""
     patch.setattr(
         UserApi,
@@ -35,7 +35,7 @@
     )
 
 
-def deaf_to_polls(patch):
+def ignores_polls(patch):
     """Questions about one job are never answered."""
     original = UserApi.look_up
 
@@ -46,7 +46,7 @@
     patch.setattr(UserApi, "look_up", look_up)
 
 
-def tells_before_commit(patch):
+def confirms_before_commit(patch):
     """A cancellation is told before it is durable."""
     original = UserApi.on_abort_synced
 
@@ -66,7 +66,7 @@
     )
 
 
-def accepts_odd(patch):
+def accepts_invalid_jobs(patch):
     """What a submission lacks gets a default, and what fits no machine is accepted."""
     original = UserApi.on_submit
 
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -78,7 +78,7 @@
         self.starts += 1
         for need in job.get("awaits") or ():
             if not self.is_done(need):
-                self.breach("too_early", f"{name} starts before {need} is done")
+                self.breach("started_before_dependency", f"{name} starts before {need} is done")
         self.begun.setdefault(job_id, self.world.now)
         here = self.on.setdefault(name, {})
         if here:
@@ -194,7 +194,7 @@
                 > 90
             ):
                 self.breach(
-                    "left_waiting",
+                    "left_pending",
                     f"{job_id} waits since {self.waiting[job_id]:.0f}, and there is room",
                 )
 
@@ -202,7 +202,7 @@
         """The answer to a submission that lacks a field or can never run."""
         self.odd_answered += status in (400, 422)
         if status in (200, 201):
-            self.breach("accepted_odd", f"{job_id} is accepted")
+            self.breach("accepted_invalid", f"{job_id} is accepted")
 
     def served(self):
         """What of each class, team and of each class's largest jobs began (the largest: in four
@@ -253,7 +253,7 @@
                 and asked > since + self.cancel_s
             ):
                 self.breach(
-                    "orphaned",
+                    "dependent_not_cancelled",
                     f"{job_id} is called {glow}; a job before it was cancelled at {since:.1f}",
                 )
             if glow == "withdrawn" and not self.is_called_off(job_id):
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -90,7 +90,7 @@
             what: node for what, node in holders.items() if node != source and what not in claimed
         }
         if former:
-            self.breach("former_holder", f"{source} commits on the epoch of {former}")
+            self.breach("stale_holder_write", f"{source} commits on the epoch of {former}")
         # Parts that no record names any more are removed without.
         changed = [
             write
@@ -100,7 +100,7 @@
         ]
         calls_off = all("put" in write and write["data"].get("w") for write in changed)
         if changed and not holders and not calls_off:
-            self.breach("former_holder", f"{source} changes {existed} on no shard's epoch")
+            self.breach("stale_holder_write", f"{source} changes {existed} on no shard's epoch")
 
     def note(self, what, before, node):
         change = Change(self.world.now, what, node, before)
@@ -110,14 +110,14 @@
         if what != "lead" and node == self.home(what):
             return
         if self.able(before):
-            self.breach("false_takeover", f"{node} takes {what} from {before}, which could work")
+            self.breach("false_failover", f"{node} takes {what} from {before}, which could work")
         lately = [
             row
             for row in self.moves(0.0)
             if row.what == what and row.at > self.world.now - BOUNCE_WINDOW_S
         ]
         if len(lately) > MOST_IN_WINDOW:
-            self.breach("bounced", f"{what} changed hands {len(lately)} times in a minute")
+            self.breach("shard_flapping", f"{what} changed hands {len(lately)} times in a minute")
 
     def breach(self, rule, text):
         self.cluster.observer.breach(rule, text)
@@ -152,7 +152,9 @@
                 continue
             since = self.left_since.setdefault(what, now)
             if now - since > LEFT_SHARE * self.cluster.limits["lease_s"]:
-                self.breach("left_free", f"{what} is {holder}'s, which is no more, since {since}")
+                self.breach(
+                    "left_unowned", f"{what} is {holder}'s, which is no more, since {since}"
+                )
 
     # --- what scenarios ask
 
