--- /dev/null
+++ b/tests/benchmarks/failover.py
@@ -0,0 +1,370 @@
+"""Failover times and false alarms, failure detection off and on, on the same seeds.
+
+    python tests/benchmarks/failover.py [--faults 2000] [--workers 4] [--real 3] [--output FILE]
+
+Simulated controllers meet drawn faults, one every half minute; with `--real`, real processes on
+loopback are killed, one after the other. Off is how the version before decided: by leased keys
+alone. Not part of CI.
+"""
+
+import argparse
+import json
+import sys
+import tempfile
+import time
+from collections import Counter
+from collections.abc import Callable, Iterable
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+from enum import StrEnum
+from pathlib import Path
+from typing import Any, NamedTuple
+
+sys.path[:0] = [str(Path(__file__).parents[2]), str(Path(__file__).parents[1])]
+
+from hdrh.histogram import HdrHistogram  # noqa: E402
+from stand_ins import state_wire  # noqa: E402
+from stand_ins.cluster import Cluster  # noqa: E402
+from stand_ins.deployment import Deployment  # noqa: E402
+from stand_ins.loopback import LoopbackCluster  # noqa: E402
+from stand_ins.ownership import Ownership  # noqa: E402
+from stand_ins.simulated_process import SimulatedProcess  # noqa: E402
+from stand_ins.world import PartitionMode  # noqa: E402
+
+from emberglade.config import Operators  # noqa: E402
+from emberglade.failure_detection import PeerMonitor  # noqa: E402
+from emberglade.failure_detection.detector import PeerDetector  # noqa: E402
+from emberglade.failure_detection.messages import PeerState  # noqa: E402
+
+INTERVAL_S = 30.0  # between two faults
+FAULTS_PER_HISTORY = 40
+FIRST_FAULT_S = 20.0
+FIRST_KILL_S = 10.0  # of real processes
+REAL_DOWN_S = 10.0
+LONGEST_MS = 60_000
+HISTOGRAM_DIGITS = 3
+FAILOVER_WINDOW_S = 8  # how long after its end a fault may cost a controller its work
+CLUSTER_SIZES = (3, 5)
+STARVED_PAUSE_S = 0.7
+PERCENTILES = (("median", 50), ("p90", 90), ("p99", 99), ("maximum", 100))
+SWITCHES = ("--enable", "failure-detection")
+PEER_PATHS = "/peer/"
+
+
+class FaultKind(StrEnum):
+    """What happens to a controller."""
+
+    KILLED = "killed"
+    POWER_LOST = "power lost"
+    PAUSED = "paused"
+    RENEWALS_LATE = "renewals late"
+    PEERS_CUT = "peers cut"
+    HEARD_ON_ONE_SIDE = "heard on one side"
+    STARVED = "starved"
+
+
+# How long each kind lasts, in seconds: (least, most).
+LENGTHS = {
+    FaultKind.KILLED: (12.0, 14.0),
+    FaultKind.POWER_LOST: (12.0, 14.0),
+    FaultKind.PAUSED: (0.5, 6.0),
+    FaultKind.RENEWALS_LATE: (0.0, 0.0),
+    FaultKind.PEERS_CUT: (2.0, 12.0),
+    FaultKind.HEARD_ON_ONE_SIDE: (2.0, 12.0),
+    FaultKind.STARVED: (10.0, 12.0),
+}
+# The controller has ended, so others have to take what it held.
+ENDED = (FaultKind.KILLED, FaultKind.POWER_LOST)
+
+
+class Fault(NamedTuple):
+    """One fault of a history, and how long it lasts."""
+
+    at: float
+    kind: FaultKind
+    controller: str
+    seconds: float
+
+
+class Variant(NamedTuple):
+    """How many controllers there are, and whether failure detection is on."""
+
+    controllers: int
+    switch: bool
+
+    def __str__(self) -> str:
+        return f"{self.controllers} controllers, {'on' if self.switch else 'off'}"
+
+
+class Task(NamedTuple):
+    """One history to play."""
+
+    seed: int
+    variant: Variant
+    faults: int
+
+
+@dataclass
+class History:
+    """What came of one history.
+
+    Attributes:
+        failover_s: The failover times of controllers that ended, by kind of fault.
+        lost: How many faults took work from a controller that lives, by kind.
+        played: How many faults hit a controller that held something, by kind.
+        violations: How often each rule was broken.
+        controller_s: Seconds of all controllers together.
+    """
+
+    variant: Variant
+    failover_s: dict[str, list[float]]
+    lost: Counter[str]
+    played: Counter[str]
+    violations: Counter[str]
+    false_suspicions: int
+    messages: int
+    processor_s: float
+    controller_s: float
+
+
+def draw_faults(cluster: Cluster, count: int) -> list[Fault]:
+    """A history's faults, by the cluster's seed."""
+    rng = cluster.world.random
+    faults = []
+    for number in range(count):
+        moment = FIRST_FAULT_S + number * INTERVAL_S + rng.uniform(0, 3)
+        kind = rng.choice(sorted(LENGTHS))
+        faults.append(Fault(moment, kind, rng.choice(cluster.names), rng.uniform(*LENGTHS[kind])))
+    return faults
+
+
+def inject(cluster: Cluster, fault: Fault) -> None:
+    """Brings a fault about."""
+    world, controller, seconds = cluster.world, fault.controller, fault.seconds
+    others = cluster.others(controller)
+    match fault.kind:
+        case FaultKind.KILLED | FaultKind.POWER_LOST:
+            cluster.crash(controller, seconds, power=fault.kind is FaultKind.KILLED)
+        case FaultKind.PAUSED:
+            cluster.pause(controller, seconds)
+        case FaultKind.RENEWALS_LATE:
+            cluster.state.expire_lease_of(state_wire.MEMBER_PREFIX + controller)
+        case FaultKind.PEERS_CUT:
+            world.partition([controller], others, seconds, PartitionMode.DELAY)
+        case FaultKind.HEARD_ON_ONE_SIDE:
+            world.drop_messages(others, [controller], seconds)
+        case FaultKind.STARVED:
+            for number in range(int(seconds)):
+                world.at(number, cluster.pause, controller, STARVED_PAUSE_S)
+
+
+class Meter:
+    """Counts what the detection of one history's controllers says and costs."""
+
+    def __init__(self, cluster: Cluster, ownership: Ownership) -> None:
+        self.cluster = cluster
+        self.ownership = ownership
+        self.false_suspicions = 0
+        self.messages = 0
+        self.processor_s = 0.0
+        self.patches = [
+            (PeerDetector, "_move", self.wrap_move(PeerDetector._move)),
+            (SimulatedProcess, "deliver", self.wrap_deliver(SimulatedProcess.deliver)),
+            (cluster.world, "request", self.wrap_request(cluster.world.request)),
+        ]
+        self.originals = [(owner, name, getattr(owner, name)) for owner, name, _ in self.patches]
+        for owner, name, wrapped in self.patches:
+            setattr(owner, name, wrapped)
+
+    def remove(self) -> None:
+        """Puts back what was wrapped."""
+        for owner, name, original in self.originals:
+            setattr(owner, name, original)
+
+    def wrap_move(self, move: Callable[..., None]) -> Callable[..., None]:
+        """Counts suspicions of controllers that could work."""
+
+        def counted(detector: PeerDetector, peer: Any, state: PeerState, reason: str) -> None:
+            is_able = peer.name in self.cluster.processes and self.ownership.is_able(peer.name)
+            if state is PeerState.SUSPECTED and is_able:
+                self.false_suspicions += 1
+            move(detector, peer, state, reason)
+
+        return counted
+
+    def wrap_request(self, request: Callable[..., None]) -> Callable[..., None]:
+        """Counts the messages between controllers."""
+
+        def counted(source: str, target: str, method: str, path: str, *rest: Any) -> None:
+            self.messages += path.startswith(PEER_PATHS)
+            request(source, target, method, path, *rest)
+
+        return counted
+
+    def wrap_deliver(self, deliver: Callable[..., None]) -> Callable[..., None]:
+        """Measures the processor time of the monitors."""
+
+        def timed(process: SimulatedProcess, handler: Any, args: tuple) -> None:
+            begun = time.process_time()
+            deliver(process, handler, args)
+            if isinstance(handler.__self__, PeerMonitor):
+                self.processor_s += time.process_time() - begun
+
+        return timed
+
+
+def play_history(task: Task) -> History:
+    """Plays one history."""
+    variant = task.variant
+    cluster = Cluster(
+        task.seed,
+        Deployment(controllers=variant.controllers),
+        operators=Operators(failure_detection=variant.switch),
+    )
+    ownership = Ownership(cluster)
+    ownership.watch()
+    meter = Meter(cluster, ownership)
+    cluster.cloud.add("a", False, 0.0)
+    faults = draw_faults(cluster, task.faults)
+    for fault in faults:
+        cluster.world.at(fault.at, inject, cluster, fault)
+    until = FIRST_FAULT_S + task.faults * INTERVAL_S
+    cluster.world.run(until)
+    meter.remove()
+    history = History(
+        variant,
+        failover_s={kind: [] for kind in ENDED},
+        lost=Counter(),
+        played=Counter(),
+        violations=Counter(violation.rule for violation in cluster.observer.violations),
+        false_suspicions=meter.false_suspicions,
+        messages=meter.messages,
+        processor_s=meter.processor_s,
+        controller_s=until * variant.controllers,
+    )
+    for fault in faults:
+        note_outcome(history, ownership, fault)
+    return history
+
+
+def note_outcome(history: History, ownership: Ownership, fault: Fault) -> None:
+    """Adds what came of one fault to a history."""
+    if not ownership.held_at(fault.controller, fault.at):
+        return
+    history.played[fault.kind] += 1
+    if fault.kind in ENDED:
+        took_s = ownership.failover_s(fault.controller, fault.at)
+        history.failover_s[fault.kind].append(took_s)
+    else:
+        end = fault.at + fault.seconds + FAILOVER_WINDOW_S
+        losses = ownership.losses(fault.controller, fault.at)
+        history.lost[fault.kind] += any(fault.at <= loss.at <= end for loss in losses)
+
+
+def summarize_times(seconds: Iterable[float]) -> dict[str, float]:
+    """Percentiles of failover times; those that never came are counted apart."""
+    histogram = HdrHistogram(1, LONGEST_MS, HISTOGRAM_DIGITS)
+    count = never = 0
+    for value in seconds:
+        count += 1
+        if value < LONGEST_MS / 1000:
+            histogram.record_value(max(1, int(value * 1000)))
+        else:
+            never += 1
+    row = {name: histogram.get_value_at_percentile(share) / 1000 for name, share in PERCENTILES}
+    return {"count": count, **row, "never": never}
+
+
+def merge(histories: list[History]) -> dict[str, Any]:
+    """All histories of one variant as one table."""
+    lost = sum_counters(history.lost for history in histories)
+    played = sum_counters(history.played for history in histories)
+    seconds = sum(history.controller_s for history in histories)
+    hours = seconds / 3600
+    return {
+        "failover_s": {
+            kind: summarize_times(
+                value for history in histories for value in history.failover_s[kind]
+            )
+            for kind in ENDED
+        },
+        "taken_from_the_living": {
+            kind: f"{lost[kind]} of {played[kind]}" for kind in played if kind not in ENDED
+        },
+        "violations": dict(sum_counters(history.violations for history in histories)),
+        "false_suspicions_a_controller_hour": sum(history.false_suspicions for history in histories)
+        / hours,
+        "taken_a_controller_hour": sum(lost.values()) / hours,
+        "messages_a_controller_second": sum(history.messages for history in histories) / seconds,
+        "processor_ms_a_controller_second": 1000
+        * sum(history.processor_s for history in histories)
+        / seconds,
+    }
+
+
+def sum_counters(counters: Iterable[Counter[str]]) -> Counter[str]:
+    """All counters as one."""
+    total: Counter[str] = Counter()
+    for counter in counters:
+        total.update(counter)
+    return total
+
+
+def measure_simulated(faults: int, workers: int) -> dict[str, Any]:
+    """{"3 controllers, off": table, ...}."""
+    histories = max(1, faults // FAULTS_PER_HISTORY // len(CLUSTER_SIZES))
+    variants = [Variant(size, switch) for size in CLUSTER_SIZES for switch in (False, True)]
+    tasks = [
+        Task(seed, variant, FAULTS_PER_HISTORY)
+        for seed in range(1, histories + 1)
+        for variant in variants
+    ]
+    with ProcessPoolExecutor(workers) as pool:
+        done = list(pool.map(play_history, tasks))
+    return {
+        str(variant): merge([history for history in done if history.variant == variant])
+        for variant in variants
+    }
+
+
+def measure_real(kills: int, switch: bool) -> dict[str, float]:
+    """Failover times of real processes that are killed one after the other."""
+    with tempfile.TemporaryDirectory() as directory:
+        cluster = LoopbackCluster(Path(directory), 1, SWITCHES if switch else ())
+        try:
+            ownership = Ownership(cluster)
+            moments = [FIRST_KILL_S + number * INTERVAL_S for number in range(kills)]
+            victims = [cluster.names[number % len(cluster.names)] for number in range(kills)]
+            for moment, victim in zip(moments, victims, strict=True):
+                cluster.world.at(moment, cluster.crash, victim, REAL_DOWN_S)
+            cluster.world.run(moments[-1] + INTERVAL_S / 2)
+            return summarize_times(
+                ownership.failover_s(victim, moment)
+                for victim, moment in zip(victims, moments, strict=True)
+            )
+        finally:
+            cluster.stop()
+
+
+def main() -> None:
+    """Runs the command."""
+    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
+    parser.add_argument("--faults", type=int, default=2000, help="of each version")
+    parser.add_argument("--workers", type=int, default=4)
+    parser.add_argument("--real", type=int, default=0, metavar="KILLS")
+    parser.add_argument("--output", help="also write the figures to this file, as JSON")
+    options = parser.parse_args()
+    figures: dict[str, Any] = {"simulated": measure_simulated(options.faults, options.workers)}
+    if options.real:
+        figures["real processes, killed"] = {
+            "off": measure_real(options.real, False),
+            "on": measure_real(options.real, True),
+        }
+    text = json.dumps(figures, indent=1)
+    print(text)
+    if options.output:
+        Path(options.output).write_text(text + "\n")
+
+
+if __name__ == "__main__":
+    main()
--- a/tests/scenario_kinds/__init__.py
+++ b/tests/scenario_kinds/__init__.py
@@ -9,8 +9,9 @@
 from .server import ServerScenario
 from .settings import SettingsScenario
 from .sizing import SizingScenario
-from .start import StartScenario
+from .startup import StartupScenario
 
+# By the word after `kind` in a scenario.
 KINDS = {
     "actors": ActorsScenario,
     "calls": CallsScenario,
@@ -21,7 +22,7 @@
     "cluster": ClusterScenario,
     "sizing": SizingScenario,
     "settings": SettingsScenario,
-    "start": StartScenario,
+    "startup": StartupScenario,
 }
 
 __all__ = ["KINDS"]
--- a/tests/scenario_kinds/calls.py
+++ b/tests/scenario_kinds/calls.py
@@ -2,43 +2,58 @@
 
 import queue
 import socket
+from pathlib import Path
+
+import pytest
 
 from emberglade.transport import ClientPool, Server, ServerLimits
 
+from .scenario import Scenario
+
+LOOPBACK = "127.0.0.1"
 TIMEOUT_S = 10.0
+KEPT_CONNECTIONS = 8
 
 
-class CallsScenario:
-    """`pool THREADS`; `hang COUNT TIMEOUT` calls silent workers, `call` one that answers."""
+class CallsScenario(Scenario):
+    """Calls to workers that answer and to workers that are silent."""
 
-    def __init__(self, patch, tmp_path):
-        self.pool, self.silent, self.answers = None, [], queue.SimpleQueue()
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.pool: ClientPool | None = None
+        self.silent: list[socket.socket] = []
+        self.answers: queue.SimpleQueue = queue.SimpleQueue()
         self.server = Server(
-            ("127.0.0.1", 0),
+            (LOOPBACK, 0),
             lambda method, path, body, reply: reply(200, {}),
-            ServerLimits(8, 4, TIMEOUT_S, TIMEOUT_S),
+            ServerLimits(
+                max_connections=8,
+                max_user_connections=4,
+                answer_timeout_s=TIMEOUT_S,
+                idle_timeout_s=TIMEOUT_S,
+            ),
         )
         self.server.begin("worker")
 
-    def step(self, verb, words):
-        if verb == "pool":
-            self.pool = ClientPool(int(words[0]), 8, "calls")
-        elif verb == "hang":
-            for _ in range(int(words[0])):
-                # It takes connections, in its queue, and never answers.
-                self.silent.append(socket.create_server(("127.0.0.1", 0)))
-                self.call(self.silent[-1].getsockname()[1], float(words[1]))
-        elif verb == "call":
-            self.call(self.server.server_port, TIMEOUT_S)
-        elif verb == "expect" and words[0] == "answers":
-            statuses = [self.answers.get(timeout=TIMEOUT_S) for _ in words[1:]]
-            assert sorted(statuses) == sorted(int(word) for word in words[1:]), statuses
-        else:
-            raise AssertionError(verb)
-
-    def call(self, port, timeout):
+    def do_pool(self, threads: str) -> None:
+        """The pool that makes the calls has so many threads."""
+        self.pool = ClientPool(int(threads), KEPT_CONNECTIONS, "calls")
+
+    def do_call_silent(self, count: str, timeout: str) -> None:
+        """Calls so many workers that take the connection and never answer."""
+        for _ in range(int(count)):
+            self.silent.append(socket.create_server((LOOPBACK, 0)))
+            self.call(self.silent[-1].getsockname()[1], float(timeout))
+
+    def do_call(self) -> None:
+        """Calls a worker that answers."""
+        self.call(self.server.server_port, TIMEOUT_S)
+
+    def call(self, port: int, timeout: float) -> None:
+        """Calls whatever is at a port."""
+        assert self.pool is not None
         self.pool.call(
-            f"127.0.0.1:{port}",
+            f"{LOOPBACK}:{port}",
             "POST",
             "/commands",
             {},
@@ -46,7 +61,13 @@
             lambda status, body: self.answers.put(status),
         )
 
-    def end(self):
+    def expect_answers(self, *expected: str) -> None:
+        """These statuses come, in any order; 0: no answer."""
+        statuses = [self.answers.get(timeout=TIMEOUT_S) for _ in expected]
+        assert sorted(statuses) == sorted(map(int, expected)), statuses
+
+    def end(self) -> None:
+        """Closes all sockets."""
         for sock in self.silent:
             sock.close()
         self.server.shutdown()
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -1,120 +1,191 @@
 """Whole deployments on simulated time."""
 
 import importlib
+from collections.abc import Callable
 from dataclasses import replace
+from pathlib import Path
+from typing import Any
 
 import broken_builds
-from stand_ins import faults
+import pytest
+from stand_ins import random_faults
 from stand_ins.cluster import Cluster
+from stand_ins.deployment import Deployment, StateLimits
+from stand_ins.observer import Team
 from stand_ins.ownership import Ownership
+from stand_ins.random_work import draw_work
 
 from emberglade.config import Operators
-from scenario_kinds.cluster_actions import UserActions
-from scenario_kinds.cluster_expectations import Expectations
-from scenario_kinds.cluster_faults import FaultActions
-from scenario_kinds.words import split, value
 
+from .cluster_faults import FaultVerbs
+from .cluster_users import UserVerbs
+from .expect_jobs import JobExpectations
+from .expect_machines import MachineExpectations
+from .expect_ownership import OwnershipExpectations
+from .expect_state_service import StateServiceExpectations
+from .played import Played
+from .scenario import ACTION_PREFIX, EXPECT, Scenario
+from .words import split
 
-class ClusterScenario(UserActions, FaultActions, Expectations):
-    """Verbs of whole-cluster scenarios; `at T verb ...` happens at that simulated second."""
+ANNOUNCED = "next_"
+AFTER_COMBINED_FAULTS_S = 130  # how long a scenario goes on once all faults are over
 
-    def __init__(self, patch, tmp_path):
-        self.patch = patch
-        self.seed, self.teams, self.plan, self.until, self.limits = 1, {}, [], 100.0, {}
-        self.production = ()
-        self.watch_takeovers = False
+
+class ClusterScenario(Scenario):
+    """What a deployment is like, what happens when, and what is expected in the end.
+
+    `at T verb ...` happens at that simulated second; the first `expect` plays it all.
+    """
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.seed = 1
+        self.until = 100.0
+        self.deployment = Deployment()
+        self.teams: dict[str, Team] = {}
         self.operators = Operators(failure_detection=True)
-        self.cluster, self.answers, self.named = None, [], {}
-        self.calls = {}  # functions that are counted -> calls
-
-    def step(self, verb, words):
-        if verb in ("seed", "until"):
-            setattr(self, verb, value(words[0]))
-        elif verb == "capacity":
-            self.limits[verb] = value(words[0])
-        elif verb == "limits":
-            self.limits.update(split(words)[1])
-        elif verb == "team":
-            plain, named = split(words)
-            self.teams[plain[0]] = {"cpus": 0.0, "cpus_max": 0.0, **named}
-        elif verb == "operators":
-            self.operators = replace(self.operators, **split(words)[1])
-        elif verb == "watch":
-            self.watch_takeovers = True
-        elif verb == "production":
-            self.production = words
-        elif verb == "break":
-            broken_builds.apply(words[0], self.patch)
-        elif verb == "count":
-            self.count_calls(words[0])
-        elif verb in ("at", "random"):
-            self.plan.append((verb, words))
-        elif verb == "expect":
+        self.previous: tuple[str, ...] = ()
+        self.watches_failovers = False
+        self.plan: list[Callable[[], None]] = []  # in the order of the lines
+        self.call_counts: dict[str, int] = {}
+        self._played: Played | None = None
+
+    @property
+    def played(self) -> Played:
+        """The deployment, once it is played."""
+        assert self._played is not None, "nothing is played yet"
+        return self._played
+
+    def step(self, verb: str, words: list[str]) -> None:
+        """Plays one line."""
+        if verb == EXPECT:
             self.play()
-            getattr(self, "expect_" + words[0])(*words[1:])
-        else:
-            raise AssertionError(f"no verb {verb}")
+        super().step(verb, words)
+
+    # --- what the deployment is like
+
+    def do_seed(self, seed: str) -> None:
+        """The seed of all random draws."""
+        self.seed = int(seed)
+
+    def do_until(self, seconds: str) -> None:
+        """When the scenario ends."""
+        self.until = float(seconds)
+
+    def do_deployment(self, *words: str) -> None:
+        """Fields of a Deployment; those like `next_...` are announced for later."""
+        fields: dict[str, Any] = split(words)[1]
+        announced = {
+            name[len(ANNOUNCED) :]: fields.pop(name)
+            for name in list(fields)
+            if name.startswith(ANNOUNCED)
+        }
+        if announced:
+            fields["next_limits"] = StateLimits(**announced)
+        self.deployment = replace(self.deployment, **fields)
+
+    def do_team(self, name: str, *words: str) -> None:
+        """A team with its guarantee and quota; with one, only those named exist."""
+        fields: dict[str, Any] = split(words)[1]
+        self.teams[name] = Team(**fields)
+        self.deployment = replace(self.deployment, teams=self.teams)
+
+    def do_operators(self, *words: str) -> None:
+        """Fields of the operators' settings."""
+        fields: dict[str, Any] = split(words)[1]
+        self.operators = replace(self.operators, **fields)
+
+    def do_previous_version(self, *controllers: str) -> None:
+        """These controllers begin with the version before; `all` of them."""
+        self.previous = controllers
+
+    def do_watch(self, what: str) -> None:
+        """Also checks the rules on failovers."""
+        assert what == "failovers", what
+        self.watches_failovers = True
+
+    def do_broken_build(self, name: str) -> None:
+        """Plays with a broken build."""
+        broken_builds.apply(name, self.patch)
 
-    def count_calls(self, path):
+    def do_count_calls(self, path: str) -> None:
         """Counts the calls of a function named like `placement.preempt.may_stop`."""
         module_name, _, name = path.rpartition(".")
         module = importlib.import_module("emberglade." + module_name)
         original = getattr(module, name)
-        self.calls[name] = 0
+        self.call_counts[name] = 0
 
-        def counted(*args):
-            self.calls[name] += 1
+        def counted(*args: Any) -> Any:
+            self.call_counts[name] += 1
             return original(*args)
 
         self.patch.setattr(module, name, counted)
 
-    def play(self):
-        if self.cluster is not None:
-            return
-        self.cluster = self.make_cluster()
-        self.ownership = Ownership(self.cluster)
-        if self.watch_takeovers:
-            self.ownership.watch()
-        for verb, words in self.plan:
-            if verb == "random" and "meetings" in split(words)[1]:
-                named = split(words)[1]
-                self.until = (
-                    faults.draw_meetings(
-                        self.cluster,
-                        named["jobs"],
-                        named["meetings"],
-                        self.until,
-                        named.get("pipelines", 0.0),
-                    )
-                    + 130
-                )
-            elif verb == "random":
-                _, named = split(words)
-                faults.draw(
-                    self.cluster,
-                    named["jobs"],
-                    named["faults"],
-                    self.until,
-                    named.get("mass", 0),
-                    named.get("pipelines", 0.0),
-                )
-            else:
-                self.cluster.world.at(float(words[0]), getattr(self, "do_" + words[1]), *words[2:])
-        self.cluster.world.run(self.until)
-
-    def rules(self):
-        """The rules that were broken."""
-        return self.cluster.observer.rules()
-
-    def make_cluster(self):
-        return Cluster(
-            self.seed,
-            teams=self.teams or None,
-            production=self.production,
-            operators=self.operators,
-            **self.limits,
+    # --- what happens
+
+    def do_at(self, seconds: str, verb: str, *words: str) -> None:
+        """Plans a verb of users or faults."""
+        self.plan.append(
+            lambda: self.played.cluster.world.at(
+                float(seconds), self.find(ACTION_PREFIX, verb), *words
+            )
+        )
+
+    def do_random(self, *words: str) -> None:
+        """Draws jobs and faults: `jobs=`, `faults=`, `mass_faults=`, `needs_share=`.
+
+        With `combined_faults=` it draws so many combinations of faults instead, and the scenario
+        ends some time after the last of them.
+        """
+        fields: dict[str, Any] = split(words)[1]
+        if "combined_faults" in fields:
+            self.plan.append(lambda: self.draw_combined_faults(**fields))
+        else:
+            self.plan.append(lambda: self.draw_faults(**fields))
+
+    def draw_faults(
+        self, jobs: int, faults: int, mass_faults: int = 0, needs_share: float = 0.0
+    ) -> None:
+        """Draws jobs, and faults one at a time."""
+        cluster = self.played.cluster
+        draw_work(cluster, jobs, self.until, needs_share)
+        random_faults.draw_faults(cluster, faults, mass_faults, self.until)
+
+    def draw_combined_faults(
+        self, jobs: int, combined_faults: int, needs_share: float = 0.0
+    ) -> None:
+        """Draws jobs, and combinations of faults."""
+        over = random_faults.draw_combined_faults(
+            self.played.cluster, jobs, combined_faults, self.until, needs_share
         )
+        self.until = over + AFTER_COMBINED_FAULTS_S
+
+    # --- playing
+
+    def make_cluster(self) -> Cluster:
+        """The deployment, whose controllers start at once."""
+        return Cluster(self.seed, self.deployment, self.previous, self.operators)
 
-    def node(self, word):
-        """A controller by name, or one that `at T name WORD leader+N` has named."""
-        return self.named.get(word, word)
+    def play(self) -> None:
+        """Plays all that is planned, once."""
+        if self._played is not None:
+            return
+        cluster = self.make_cluster()
+        self._played = Played(cluster, Ownership(cluster), self.call_counts)
+        if self.watches_failovers:
+            self.played.ownership.watch()
+        self.verbs += [
+            UserVerbs(self.played),
+            FaultVerbs(self.played),
+            JobExpectations(self.played),
+            MachineExpectations(self.played),
+            OwnershipExpectations(self.played),
+            StateServiceExpectations(self.played),
+        ]
+        for begin in self.plan:
+            begin()
+        cluster.world.run(self.until)
+
+    def broken_rules(self) -> set[str]:
+        """The rules that were broken."""
+        return self.played.cluster.observer.broken_rules()
--- a/tests/scenario_kinds/cluster_faults.py
+++ b/tests/scenario_kinds/cluster_faults.py
@@ -1,154 +1,189 @@
 """What goes wrong in a whole-cluster scenario."""
 
+from stand_ins import state_wire
+from stand_ins.world import PartitionMode
 
-class FaultActions:
-    """The verbs of faults; `cluster` is the deployment, `node` resolves a controller's name."""
+from .played import Played
 
-    def do_crash(self, node, seconds):
-        for name in self.cluster.names if node == "all" else [self.node(node)]:
+ALL = "all"
+WORKERS, CONTROLLERS = "workers", "controllers"
+STARVED_FOR_S = 60
+LOW = "low"
+
+
+class FaultVerbs:
+    """The verbs of faults. Modes of partitions are `delay` and `drop`."""
+
+    def __init__(self, played: Played) -> None:
+        self.played = played
+        self.cluster = played.cluster
+        self.world = played.cluster.world
+        self.state = played.cluster.state
+        self.cloud = played.cluster.cloud
+
+    def hosts(self, word: str) -> list[str]:
+        """The hosts that a word stands for: `workers`, `controllers`, or one host."""
+        if word == WORKERS:
+            return list(self.cloud.machines)
+        if word == CONTROLLERS:
+            return self.cluster.names
+        return [self.played.controller(word)]
+
+    def do_end_faults(self) -> None:
+        """All faults are over from now on: what is left waiting then breaks a rule."""
+        self.cluster.end_faults()
+
+    # --- controllers
+
+    def do_crash(self, word: str, seconds: str) -> None:
+        """A controller, or `all`, ends and comes back."""
+        for name in self.cluster.names if word == ALL else self.hosts(word):
             self.cluster.crash(name, float(seconds))
 
-    def do_cut(self, first, second, seconds, mode):
-        groups = {"workers": list(self.cluster.cloud.machines), "nodes": self.cluster.names}
-        first, second = (groups.get(word, [self.node(word)]) for word in (first, second))
-        self.cluster.world.cut(
-            first, [name for name in second if name not in first], float(seconds), mode
-        )
+    def do_crash_leader(self, seconds: str) -> None:
+        """The controller that leads ends and comes back."""
+        self.cluster.crash_leader(float(seconds))
+
+    def do_crash_leaders(self, count: str, every: str, seconds: str) -> None:
+        """Whoever leads ends, so many times."""
+        for number in range(int(count)):
+            self.world.at(number * float(every), self.cluster.crash_leader, float(seconds))
+
+    def do_power_off(self, word: str, seconds: str) -> None:
+        """A controller's machine loses power: nothing refuses connections."""
+        self.cluster.crash(self.played.controller(word), float(seconds), power=False)
+
+    def do_pause(self, word: str, seconds: str) -> None:
+        """A controller stands still while its clocks go on."""
+        self.cluster.pause(self.played.controller(word), float(seconds))
+
+    def do_starve_cpu(self, word: str, every: str, seconds: str) -> None:
+        """A controller stands still again and again, for a minute."""
+        for number in range(int(STARVED_FOR_S / float(every))):
+            self.world.at(number * float(every), self.do_pause, word, seconds)
+
+    def do_upgrade(self, word: str, seconds: str) -> None:
+        """A controller ends and comes back with the new version."""
+        self.cluster.upgrade(self.played.controller(word), float(seconds))
+
+    def do_downgrade(self, word: str, seconds: str) -> None:
+        """A controller ends and comes back with the version before."""
+        self.cluster.downgrade(self.played.controller(word), float(seconds))
 
-    def do_cut_zone(self, zone, seconds, mode):
-        """Everything in the zone, controllers included, is cut off from everything else."""
-        self.cluster.cut_zone(zone, float(seconds), mode)
+    def do_memory(self, word: str, state: str) -> None:
+        """A controller's memory is `low`, or `normal` again."""
+        self.cluster.controllers[self.played.controller(word)].tell_memory(state == LOW)
 
-    def do_power_off(self, node, seconds):
-        """Its machine loses power: nothing refuses connections."""
-        self.cluster.crash(self.node(node), float(seconds), power=False)
+    # --- the network
 
-    def do_one_way(self, source, target, seconds):
+    def do_partition(self, first: str, second: str, seconds: str, mode: str) -> None:
+        """Hosts don't reach each other."""
+        near = self.hosts(first)
+        far = [name for name in self.hosts(second) if name not in near]
+        self.world.partition(near, far, float(seconds), PartitionMode(mode))
+
+    def do_partition_zone(self, zone: str, seconds: str, mode: str) -> None:
+        """Everything in a zone, controllers included, is cut off from everything else."""
+        self.cluster.partition_zone(zone, float(seconds), PartitionMode(mode))
+
+    def do_partition_controllers(self, seconds: str) -> None:
+        """Controllers don't reach each other."""
+        self.cluster.partition_controllers(float(seconds))
+
+    def do_isolate(self, word: str, seconds: str, mode: str) -> None:
+        """A controller is cut off from everything."""
+        controller = self.played.controller(word)
+        self.cluster.isolate(controller, float(seconds), PartitionMode(mode))
+
+    def do_isolate_from_control_plane(self, word: str, seconds: str, mode: str) -> None:
+        """A controller is cut off from state service and peers, but not from its workers."""
+        controller = self.played.controller(word)
+        self.cluster.isolate_from_control_plane(controller, float(seconds), PartitionMode(mode))
+
+    def do_drop_one_way(self, source: str, target: str, seconds: str) -> None:
         """What the first controller sends does not reach the second one."""
-        self.cluster.world.mute([self.node(source)], [self.node(target)], float(seconds))
+        self.world.drop_messages(self.hosts(source), self.hosts(target), float(seconds))
 
-    def do_flap(self, first, second, period, count):
-        """The link is cut for half of each period."""
+    def do_flap_link(self, first: str, second: str, period: str, count: str) -> None:
+        """A link is cut for half of each period."""
+        half = str(float(period) / 2)
         for number in range(int(count)):
-            self.cluster.world.at(
-                number * float(period), self.do_cut, first, second, float(period) / 2, "lose"
-            )
+            delay = number * float(period)
+            self.world.at(delay, self.do_partition, first, second, half, PartitionMode.DROP)
 
-    def do_flap_state(self, node, period, count):
-        """The state service refuses this controller for half of each period."""
-        for number in range(int(count)):
-            self.cluster.world.at(number * float(period), self.do_refuse, node, float(period) / 2)
-
-    def do_lapse(self, node):
-        """The controller's renewals are lost until its lease has ended; all else is served."""
-        self.cluster.state.end_lease_of("eg/l/n/" + node)
-
-    def do_starve(self, node, every, seconds):
-        """The controller stands still again and again."""
-        for number in range(int(60 / float(every))):
-            self.cluster.world.at(number * float(every), self.do_freeze, node, seconds)
-
-    def do_statement(self, node, *body):
-        """A ping with that body reaches the controller."""
-        self.cluster.ask(self.node(node), "POST", "/peer/ping", " ".join(body), self.answers)
-
-    def do_probe(self, node, *body):
-        self.cluster.ask(self.node(node), "POST", "/peer/probe", " ".join(body), self.answers)
-
-    def do_freeze(self, node, seconds):
-        self.cluster.freeze(node, float(seconds))
-
-    def do_die(self, count):
-        self.cluster.cloud.die(int(count))
-
-    def do_hang(self, count, seconds):
-        self.cluster.cloud.hang(int(count), float(seconds))
-
-    def do_isolate(self, node, seconds, mode):
-        everyone = [*self.cluster.names, "state", "cloud", "user", *self.cluster.cloud.machines]
-        self.cluster.world.cut([node], [n for n in everyone if n != node], float(seconds), mode)
-
-    def do_deaf(self, machine, seconds):
-        """The machine's reports arrive; answers and commands don't reach it."""
-        self.cluster.world.mute(self.cluster.names, [machine], float(seconds))
-
-    def do_mute(self, machine, seconds):
-        """The machine reaches no controller; direct commands and their answers still pass."""
-        machines = list(self.cluster.cloud.machines) if machine == "all" else [machine]
-        self.cluster.world.close(machines, self.cluster.names, float(seconds))
-
-    def do_lone(self, node, seconds, mode):
-        """A controller loses the state service and the other controllers, but not its workers."""
-        node = self.node(node)
-        self.cluster.world.cut(
-            [node], ["state", *(n for n in self.cluster.names if n != node)], float(seconds), mode
-        )
-
-    def do_peers_refuse(self, seconds):
-        for name in self.cluster.names:
-            self.cluster.world.cut(
-                [name], [n for n in self.cluster.names if n != name], float(seconds), "lose"
-            )
-
-    def do_copies(self, chance, least, most):
-        """Copies of reports come late, to any node."""
-        self.cluster.world.copies = (
-            "/agent/beat",
-            float(chance),
-            float(least),
-            float(most),
-            self.cluster.names,
-        )
-
-    def do_late_writes(self, share, seconds):
-        """That share of transactions gets no answer and is carried out 2 to 12 s later."""
-        self.cluster.state.late = (float(share), self.cluster.world.now + float(seconds))
+    def do_slow_links(self, seconds: str) -> None:
+        """Every message may take so much longer."""
+        self.world.max_extra_delay_s = float(seconds)
 
-    def do_crash_leader(self, seconds):
-        self.cluster.crash_leader(float(seconds))
+    def do_duplicate_heartbeats(self, chance: str, min_delay: str, max_delay: str) -> None:
+        """Duplicates of agents' heartbeats come late, at any controller."""
+        self.cluster.duplicate_heartbeats(float(chance), float(min_delay), float(max_delay))
 
-    def do_crash_leaders(self, count, every, seconds):
-        for number in range(int(count)):
-            self.cluster.world.at(number * float(every), self.cluster.crash_leader, float(seconds))
+    # --- machines
+
+    def do_kill_machines(self, count: str) -> None:
+        """Machines stop with all that is on them."""
+        self.cloud.kill_machines(int(count))
 
-    def do_cancel_at_end(self, share, seconds):
-        self.cluster.cancels_at_end = (float(share), self.cluster.world.now + float(seconds))
+    def do_hang_machines(self, count: str, seconds: str) -> None:
+        """Machines execute nothing and answer nobody for a while."""
+        self.cloud.hang_machines(int(count), float(seconds))
 
-    def do_odd(self, seconds):
-        self.cluster.odd_requests(float(seconds))
+    def do_make_unreachable(self, machine: str, seconds: str) -> None:
+        """A machine's heartbeats arrive; answers and commands don't reach it."""
+        self.world.drop_messages(self.cluster.names, [machine], float(seconds))
 
-    def do_slow_links(self, seconds):
-        self.cluster.world.slow = float(seconds)
+    def do_block_heartbeats(self, machine: str, seconds: str) -> None:
+        """A machine, or `all`, reaches no controller; direct commands and answers still pass."""
+        machines = list(self.cloud.machines) if machine == ALL else [machine]
+        self.world.block_connections(machines, self.cluster.names, float(seconds))
 
-    def do_quiet(self):
-        self.cluster.all_is_quiet()
+    def do_make_faulty(self, machine: str) -> None:
+        """All tasks end in error on a machine."""
+        self.cloud.machines[machine].faulty = True
 
-    def do_refuse(self, node, seconds):
-        self.cluster.state.refused[self.node(node)] = self.cluster.world.now + float(seconds)
+    # --- the cloud
 
-    def do_state_outage(self, seconds):
-        self.cluster.state.outage(float(seconds))
+    def do_cloud_outage(self, seconds: str) -> None:
+        """The cloud answers nobody for a while."""
+        self.cloud.begin_outage(float(seconds))
 
-    def do_memory(self, node, word):
-        """This controller's memory is `short`, or `enough` again."""
-        self.cluster.nodes[self.node(node)].tell_memory(word == "short")
+    def do_reclaim_spot(self, share: str, notice: str) -> None:
+        """The cloud takes a share of the spot machines back."""
+        self.cloud.reclaim_spot(float(share), float(notice))
 
-    def do_cloud_outage(self, seconds):
-        self.cluster.cloud.down_until = self.cluster.world.now + float(seconds)
+    def do_boot_failures(self, share: str) -> None:
+        """This share of new machines never boots."""
+        self.cloud.boot_failure_share = float(share)
 
-    def do_odd_state(self, chance):
-        self.cluster.state.odd = float(chance)
+    # --- the state service
 
-    def do_take_back(self, share, notice):
-        self.cluster.cloud.take_back(float(share), float(notice))
+    def do_state_outage(self, seconds: str) -> None:
+        """The state service answers nobody for a while."""
+        self.state.begin_outage(float(seconds))
 
-    def do_faulty(self, machine):
-        self.cluster.cloud.machines[machine].faulty = True
+    def do_refuse(self, word: str, seconds: str) -> None:
+        """The state service refuses one controller alone."""
+        self.state.refuse(self.played.controller(word), float(seconds))
+
+    def do_flap_state_service(self, word: str, period: str, count: str) -> None:
+        """The state service refuses one controller for half of each period."""
+        half = str(float(period) / 2)
+        for number in range(int(count)):
+            self.world.at(number * float(period), self.do_refuse, word, half)
+
+    def do_expire_lease(self, word: str) -> None:
+        """A controller's renewals are lost until its lease has ended; all else is served."""
+        self.state.expire_lease_of(state_wire.MEMBER_PREFIX + self.played.controller(word))
+
+    def do_late_transactions(self, share: str, seconds: str) -> None:
+        """That share of transactions gets no answer and is carried out 2 to 12 s later."""
+        self.state.delay_transactions(float(share), float(seconds))
 
-    def do_never_boot(self, share):
-        self.cluster.cloud.never = float(share)
+    def do_malformed_answers(self, chance: str) -> None:
+        """The state service gives malformed answers with this chance."""
+        self.state.malformed_chance = float(chance)
 
-    def do_no_capacity(self, zone):
-        for pool in list(self.cluster.cloud.capacity):
-            if pool[0] == zone:
-                self.cluster.cloud.capacity[pool] = 0
+    def do_lower_state_limits(self) -> None:
+        """The limits that were announced come into force, without notice."""
+        self.cluster.lower_state_limits()
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -1,6 +1,10 @@
 """The state machine of failure detection alone, on a clock that the scenario moves."""
 
+from pathlib import Path
+from typing import Any
+
 import orjson
+import pytest
 
 from emberglade.config import Operators
 from emberglade.failure_detection import DetectionBounds, FailureDomains
@@ -17,9 +21,14 @@
     read_ping,
     write_ping,
 )
-from scenario_kinds.words import split, value
+
+from .scenario import Scenario
+from .words import split, value
 
 TURN_S = 0.25
+HEARTBEAT_GAP_S = 0.99
+CLOCK_SLACK_S = 1e-9
+START_S = 100.0
 BOUNDS = DetectionBounds(
     heartbeat_s=1.0,
     suspect_s=2.0,
@@ -29,190 +38,229 @@
     skew_s=0.01,
 )
 ME = "me"
+HOME_DOMAIN = "home"
+UNKNOWN_PROCESS = Incarnation(1, 99)
+NOT_SERVING = "not_serving"
 
 
-class DetectorScenario:
-    """`peers a b`, `beating a b` (their heartbeats come each second), `silent a`, `wait 3`;
-    `never a dead` is watched at each turn and breaks the rule `dead`.
-    """
+class DetectorScenario(Scenario):
+    """Peers that send heartbeats each second or fall silent, and what is concluded of them.
 
-    def __init__(self, patch, tmp_path):
-        self.now, self.seed = 100.0, 1
-        self.domains, self.names = {ME: "home"}, []
-        self.detector, self.view = None, None
-        self.beating, self.sequences, self.processes = set(), {}, {}
-        self.forbidden, self.broken = [], []
-        self.probes, self.refused, self.copies = [], 0, 0
-        self.contact, self.pause = True, 0.0
-        self.last_beat = {}
-
-    def step(self, verb, words):
-        getattr(self, "do_" + verb)(*words)
+    What `never` names is watched at each turn; the state is the rule that is broken.
+    """
 
-    def rules(self):
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.now = START_S
+        self.seed: Any = 1
+        self.domains = {ME: HOME_DOMAIN}
+        self.names: list[str] = []
+        self.detector: Any = None  # a PeerDetector, once there are peers
+        self.view: Any = None
+        self.heard: set[str] = set()  # peers whose heartbeats come each second
+        self.last_heartbeat: dict[str, float] = {}
+        self.sequences: dict[str, int] = {}
+        self.processes: dict[str, Incarnation] = {}
+        self.forbidden: list[tuple[str, str]] = []
+        self.broken: list[str] = []
+        self.probes: list = []
+        self.malformed = 0
+        self.duplicates = 0
+        self.in_contact = True
+
+    def broken_rules(self) -> set[str]:
         """The states that were watched for and came."""
         return set(self.broken)
 
-    def end(self):
+    def end(self) -> None:
+        """None of them may have come."""
         assert not self.broken, self.broken
 
-    def play(self):
-        """All has been played step by step."""
+    # --- peers and time
 
-    # --- what happens
-
-    def do_seed(self, seed):
+    def do_seed(self, seed: str) -> None:
+        """Only a scenario with seeds is played with them; nothing is random here."""
         self.seed = value(seed)
 
-    def do_peers(self, *words):
+    def do_peers(self, *words: str) -> None:
         """Names, or name=domain."""
         plain, named = split(words)
-        self.domains.update({name: name for name in plain} | named)
+        domains = {name: name for name in plain} | {
+            name: str(domain) for name, domain in named.items()
+        }
+        self.domains.update(domains)
         self.names = sorted(set(self.domains) - {ME})
         self.detector = PeerDetector(ME, self.names, BOUNDS, FailureDomains(self.domains), self.now)
-        for number, name in enumerate(self.names):
-            self.processes[name] = Incarnation(1, number + 1)
-            self.detector.register(name, number + 1, self.now)
+        for lease, name in enumerate(self.names, 1):
+            self.processes[name] = Incarnation(1, lease)
+            self.detector.register(name, lease, self.now)
 
-    def do_domain(self, name):
-        """Our own domain."""
+    def do_domain(self, name: str) -> None:
+        """Our own domain, for peers that are named later."""
         self.domains[ME] = name
 
-    def do_beating(self, *names):
-        self.beating.update(names)
+    def do_heartbeats_from(self, *names: str) -> None:
+        """From now on their heartbeats come each second."""
+        self.heard.update(names)
 
-    def do_silent(self, *names):
-        self.beating.difference_update(names)
+    def do_silent(self, *names: str) -> None:
+        """From now on no heartbeats of theirs come."""
+        self.heard.difference_update(names)
 
-    def do_contact(self, word):
-        """Whether this controller is in contact with the state service."""
-        self.contact = word == "on"
+    def do_state_contact(self, word: str) -> None:
+        """Whether this controller is in contact with the state service: `on` or `off`."""
+        self.in_contact = word == "on"
 
-    def do_wait(self, seconds):
+    def do_wait(self, seconds: str) -> None:
+        """Time passes."""
         until = self.now + float(seconds)
-        while self.now < until - 1e-9:
+        while self.now < until - CLOCK_SLACK_S:
             self.turn(0.0)
 
-    def do_pause(self, seconds):
+    def do_pause(self, seconds: str) -> None:
         """This controller stands still; nothing is heard meanwhile."""
         self.now += float(seconds)
         self.turn(float(seconds))
 
-    def turn(self, late_s):
+    def turn(self, late_s: float) -> None:
+        """One turn of the detector, late by so much."""
         self.now += TURN_S
-        if self.contact:
+        if self.in_contact:
             self.detector.touched_state_service(self.now)
-        for name in sorted(self.beating):
-            if self.now - self.last_beat.get(name, -1e9) >= 0.99 and not late_s:
-                self.last_beat[name] = self.now
+        for name in sorted(self.heard):
+            gap_s = self.now - self.last_heartbeat.get(name, -1e9)
+            if gap_s >= HEARTBEAT_GAP_S and not late_s:
+                self.last_heartbeat[name] = self.now
                 self.hear(self.heartbeat(name))
         result = self.detector.turn(self.now, late_s)
         self.view = result.view
         self.probes += result.probes
-        for name, state in self.forbidden:
-            serving = name in self.view.serving
-            if self.detector.peers[name].state.value == state or (
-                state == "unserved" and not serving
-            ):
-                self.broken.append(state)
+        self.broken += [state for name, state in self.forbidden if self.is_in(name, state)]
+
+    def is_in(self, name: str, state: str) -> bool:
+        """Whether a peer is in a state, or is not serving."""
+        if state == NOT_SERVING:
+            return name not in self.view.serving
+        return self.detector.peers[name].state.value == state
+
+    # --- heartbeats and other signs
 
     def heartbeat(
-        self, name, sequence=None, process=None, age_s=0.0, contact_age_s=0.0, opinions=()
-    ):
-        sequence = sequence if sequence is not None else self.sequences.get(name, 0) + 1
+        self,
+        name: str,
+        sequence: int | None = None,
+        process: Incarnation | None = None,
+        age_s: float = 0.0,
+        contact_age_s: float = 0.0,
+        opinions: tuple[Opinion, ...] = (),
+    ) -> Heartbeat:
+        """A heartbeat of a peer, the next one if no sequence is given."""
+        if sequence is None:
+            sequence = self.sequences.get(name, 0) + 1
         self.sequences[name] = max(sequence, self.sequences.get(name, 0))
-        mark = Mark(process or self.processes.get(name, Incarnation(1, 99)), sequence)
+        mark = Mark(process or self.processes.get(name, UNKNOWN_PROCESS), sequence)
         return Heartbeat(name, mark, self.now - age_s, contact_age_s, False, opinions)
 
-    def hear(self, heartbeat):
+    def hear(self, heartbeat: Heartbeat) -> None:
+        """A heartbeat arrives."""
         try:
             if not self.detector.hear(heartbeat, self.now, self.now):
-                self.copies += 1
+                self.duplicates += 1
         except MalformedPeerMessageError:
-            self.refused += 1
+            self.malformed += 1
 
-    def do_hear(self, name, *words):
+    def do_hear(self, name: str, *words: str) -> None:
         """One heartbeat; `sequence=`, `age=`, `contact=`, its process by `revision=`, `lease=`."""
-        named = split(words)[1]
+        fields: dict[str, Any] = split(words)[1]
         process = None
-        if "revision" in named:
-            process = Incarnation(named["revision"], named["lease"])
+        if "revision" in fields:
+            process = Incarnation(fields["revision"], fields["lease"])
         self.hear(
             self.heartbeat(
                 name,
-                named.get("sequence"),
+                fields.get("sequence"),
                 process,
-                named.get("age", 0.0),
-                named.get("contact", 0.0),
+                fields.get("age", 0.0),
+                fields.get("contact", 0.0),
             )
         )
 
-    def do_restart(self, name, revision, lease):
+    def do_restart(self, name: str, revision: str, lease: str) -> None:
         """From now on another process sends its heartbeats."""
         self.processes[name] = Incarnation(int(revision), int(lease))
         self.sequences[name] = 0
 
-    def do_vouch(self, witness, name, age_s):
+    def do_heard_by(self, witness: str, name: str, age_s: str) -> None:
         """The witness's next heartbeat says that it heard the peer so long ago."""
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         mark = Mark(self.processes[name], sequence)
         opinion = Opinion(name, PeerState.ALIVE, mark, float(age_s), 0.0, 0.0)
         self.hear(self.heartbeat(witness, opinions=(opinion,)))
 
-    def do_told_to_wait(self, witness, seconds):
+    def do_told_to_wait(self, witness: str, seconds: str) -> None:
         """The witness says that this controller should wait for its shards."""
         opinion = Opinion(ME, PeerState.ALIVE, None, 0.0, 0.0, float(seconds))
         self.hear(self.heartbeat(witness, opinions=(opinion,)))
 
-    def do_key(self, name, lease):
+    def do_key(self, name: str, lease: str) -> None:
+        """The key of a peer hangs on this lease now, or is `gone`."""
         self.detector.register(name, None if lease == "gone" else int(lease), self.now)
 
-    def do_refuses(self, name):
+    def do_refuses_connection(self, name: str) -> None:
+        """A peer's machine refuses a connection."""
         self.detector.exchange_ended(name, PingOutcome.REFUSED, self.now)
 
-    def do_probed(self, relay, name, outcome):
+    def do_probe_answer(self, relay: str, name: str, outcome: str) -> None:
+        """A relay says what came of its probe of a peer."""
         result = ProbeResult(name, PingOutcome(outcome), None, 0.0)
         self.detector.probed(relay, result, self.now)
 
-    def do_malformed(self, text):
+    def do_malformed(self, text: str) -> None:
         """A heartbeat as text, of which one field is replaced."""
         body = write_ping(self.heartbeat(self.names[0]))
         body["heartbeat"].update(orjson.loads(text))
         try:
             read_ping(body)
         except MalformedPeerMessageError:
-            self.refused += 1
+            self.malformed += 1
 
     # --- what is watched and expected
 
-    def do_never(self, name, state):
+    def do_never(self, name: str, state: str) -> None:
+        """This peer must not be in this state at any turn, or must not be `not_serving`."""
         self.forbidden.append((name, state))
 
-    def do_expect(self, what, *words):
-        getattr(self, "expect_" + what)(*words)
-
-    def expect_state(self, name, state):
+    def expect_state(self, name: str, state: str) -> None:
+        """The state of a peer now."""
         assert self.detector.peers[name].state.value == state, self.detector.peers[name].state
 
-    def expect_serving(self, *names):
+    def expect_serving(self, *names: str) -> None:
+        """These peers serve, and no others."""
         assert self.view.serving == {ME, *names}, self.view.serving
 
-    def expect_refused(self, count):
-        assert self.refused == int(count), self.refused
+    def expect_malformed_refused(self, count: str) -> None:
+        """So many messages were refused so far."""
+        assert self.malformed == int(count), self.malformed
 
-    def expect_copies(self, count):
-        assert self.copies == int(count), self.copies
+    def expect_duplicates(self, count: str) -> None:
+        """So many heartbeats were taken for duplicates so far."""
+        assert self.duplicates == int(count), self.duplicates
 
-    def expect_asked(self, name, *relays):
-        asked = [order.relays for order in self.probes if order.target == name]
-        assert asked and set(asked[-1]) == set(relays), asked
+    def expect_relays(self, name: str, *relays: str) -> None:
+        """These controllers were asked to probe a peer, the last time that any was."""
+        orders = [order.relays for order in self.probes if order.target == name]
+        assert orders, f"nobody was asked to probe {name}"
+        assert set(orders[-1]) == set(relays), orders
 
-    def expect_nobody_asked(self):
+    def expect_no_probes(self) -> None:
+        """Nobody was asked to probe anybody."""
         assert not self.probes, self.probes
 
-    def expect_may_return(self, word):
+    def expect_may_return(self, word: str) -> None:
+        """Whether this controller may take its shards back: `yes` or `no`."""
         assert self.view.may_return == (word == "yes"), self.view
 
-    def expect_return_wait(self, name, least, most):
+    def expect_return_wait(self, name: str, minimum: str, maximum: str) -> None:
+        """How long a peer should wait before it takes its shards back, in seconds."""
         wait_s = self.detector.peers[name].return_wait_s(self.now)
-        assert float(least) <= wait_s <= float(most), wait_s
+        assert float(minimum) <= wait_s <= float(maximum), wait_s
--- a/tests/scenario_kinds/loopback.py
+++ b/tests/scenario_kinds/loopback.py
@@ -1,31 +1,38 @@
 """Whole deployments in real time: controllers as processes, stand-ins over HTTP on loopback."""
 
+from stand_ins.cluster import Cluster
 from stand_ins.loopback import LoopbackCluster
 
-from scenario_kinds.cluster import ClusterScenario
+from .cluster import ClusterScenario
 
-SWITCHES = ("--enable", "failure-detection")
+ARGUMENTS = ("--enable", "failure-detection")
 
 
 class LoopbackScenario(ClusterScenario):
-    """The verbs of cluster scenarios; times of takeovers are printed, bounds are generous."""
+    """The verbs of cluster scenarios; times of failovers are printed, bounds are generous."""
 
-    def __init__(self, patch, tmp_path):
-        super().__init__(patch, tmp_path)
-        self.directory, self.switches = tmp_path, SWITCHES
+    def make_cluster(self) -> Cluster:
+        """The deployment, whose controllers start at once."""
+        return LoopbackCluster(self.directory, self.seed, ARGUMENTS, self.deployment)
 
-    def make_cluster(self):
-        return LoopbackCluster(self.directory, self.seed, self.switches, **self.limits)
+    def stop(self) -> None:
+        """Ends the processes."""
+        cluster = self.played.cluster
+        assert isinstance(cluster, LoopbackCluster)
+        cluster.stop()
 
-    def play(self):
-        if self.cluster is not None:
+    def play(self) -> None:
+        """Plays all that is planned, and ends the processes."""
+        if self._played is not None:
             return
         try:
             super().play()
         finally:
-            if self.cluster is not None:
-                self.cluster.stop()
-
-    def expect_taken_over(self, node, since, seconds):
-        print(f"{node}: taken over in {self.ownership.taken_over(self.node(node), float(since))} s")
-        super().expect_taken_over(node, since, seconds)
+            if self._played is not None:
+                self.stop()
+
+    def expect_failed_over(self, controller: str, since: str, seconds: str) -> None:
+        """All that the controller held then was others' that many seconds later."""
+        took_s = self.played.failover_s(controller, float(since))
+        print(f"{controller}: failed over in {took_s} s")
+        assert took_s <= float(seconds), took_s
--- a/tests/scenario_kinds/memory.py
+++ b/tests/scenario_kinds/memory.py
@@ -1,23 +1,41 @@
 """The guard of a process's memory, with figures of the scenario's own."""
 
+from pathlib import Path
+
+import pytest
+
 from emberglade.memory_guard import MemoryGuard
 
+from .scenario import Scenario
+
+MEGABYTE = 1024 * 1024
+LOW = "low"
+
+
+class MemoryScenario(Scenario):
+    """A memory guard that looks whenever the process holds something else."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.resident_mb = 0.0
+        self.notified: list[bool] = []  # whether memory was called short
+        self.guard: MemoryGuard | None = None
+
+    def do_limit(self, megabytes: str) -> None:
+        """The process may hold so much."""
+        self.guard = MemoryGuard(
+            float(megabytes),
+            self.notified.append,
+            lambda: "",
+            lambda: self.resident_mb * MEGABYTE,
+        )
+
+    def do_resident(self, megabytes: str) -> None:
+        """The process holds so much now."""
+        assert self.guard is not None
+        self.resident_mb = float(megabytes)
+        self.guard.check()
 
-class MemoryScenario:
-    """`holds MB` sets what the process holds; the guard looks each time."""
-
-    def __init__(self, patch, tmp_path):
-        self.held_mb, self.told, self.guard = 0.0, [], None
-
-    def step(self, verb, words):
-        if verb == "limit":
-            self.guard = MemoryGuard(
-                float(words[0]), self.told.append, lambda: "", lambda: self.held_mb * 1024 * 1024
-            )
-        elif verb == "holds":
-            self.held_mb = float(words[0])
-            self.guard.check()
-        elif verb == "expect" and words[0] == "told":
-            assert self.told == [word == "short" for word in words[1:]], self.told
-        else:
-            raise AssertionError(verb)
+    def expect_notified(self, *states: str) -> None:
+        """So far memory was called `low`, then `normal`, and so on."""
+        assert self.notified == [state == LOW for state in states], self.notified
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -1,42 +1,56 @@
-"""A real server on loopback."""
+"""A real server on loopback, with clients that behave and clients that don't."""
 
 import select
 import socket
 import threading
 import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
 
 import pytest
 
 from emberglade.controller import is_user_path
 from emberglade.transport import Connection, Server, ServerLimits
 from emberglade.transport.messages import encode_response
-from scenario_kinds.words import split
 
+from .scenario import Scenario
+from .words import split
+
+LOOPBACK = "127.0.0.1"
 TIMEOUT_S = 10.0
+POLL_S = 0.01
 LARGE_BYTES = 8 * 1024 * 1024  # more than sockets hold
+READ_BYTES = 65536
+READ_LARGE_BYTES = 1 << 20
+
+
+class ServerScenario(Scenario):
+    """A real server on loopback; every `request` opens a connection of its own and keeps it."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.server: Server  # begun by `limits`
+        self.threads_before = 0
+        self.open: list[Connection] = []  # kept connections on which nothing is asked
+        self.raw: dict[str, socket.socket] = {}  # of clients that behave oddly, by their names
+        self.pending: list[Callable[..., None]] = []  # replies that are not given yet
+        self.pending_changed = threading.Condition()
+
+    def do_limits(self, *words: str) -> None:
+        """Fields of ServerLimits; the server begins with them."""
+        fields: dict[str, Any] = split(words)[1]
+        limits = ServerLimits(**{"answer_timeout_s": 30.0, "idle_timeout_s": 60.0, **fields})
+        self.server = Server((LOOPBACK, 0), self.route, limits, is_user_path)
+        self.threads_before = threading.active_count()
+        self.server.begin("test")
 
-
-class ServerScenario:
-    """A real server on loopback; every `ask` opens a connection of its own and keeps it."""
-
-    def __init__(self, patch, tmp_path):
-        self.server, self.threads_before = None, 0
-        self.open = []  # kept connections on which nothing is asked
-        self.raw = {}  # name -> socket of a client that behaves oddly
-        self.held, self.holding = [], threading.Condition()  # replies that are not given yet
-
-    def step(self, verb, words):
-        if verb == "expect":
-            getattr(self, "expect_" + words[0])(*words[1:])
-        else:
-            getattr(self, "do_" + verb)(*words)
-
-    def route(self, method, path, body, reply):
+    def route(self, method: str, path: str, body: bytes, reply: Callable[..., None]) -> None:
         """What the server is to do stands in the path."""
         if path.endswith("/hold"):
-            with self.holding:
-                self.held.append(reply)
-                self.holding.notify_all()
+            with self.pending_changed:
+                self.pending.append(reply)
+                self.pending_changed.notify_all()
         elif path.endswith("/large"):
             reply(200, {"text": "x" * LARGE_BYTES})
         elif path.endswith("/fail"):
@@ -44,28 +58,27 @@
         else:
             reply(200, {"bytes": len(body)})
 
-    def do_limits(self, *words):
-        limits = split(words)[1]
-        self.server = Server(
-            ("127.0.0.1", 0),
-            self.route,
-            ServerLimits(
-                limits["most"],
-                limits["users"],
-                limits.get("answer", 30.0),
-                limits.get("idle", 60.0),
-            ),
-            is_user_path,
-        )
-        self.threads_before = threading.active_count()
-        self.server.begin("test")
+    def address(self) -> tuple[str, int]:
+        """Where the server is."""
+        return LOOPBACK, self.server.server_port
+
+    def end(self) -> None:
+        """Ends the server; none of its threads is left."""
+        for connection in self.open:
+            connection.close()
+        for sock in self.raw.values():
+            sock.close()
+        self.server.shutdown()
+        self.wait_until(lambda: threading.active_count() <= self.threads_before)
+        self.server.server_close()
 
     # --- clients that behave
 
-    def connect(self):
-        return Connection(("127.0.0.1", self.server.server_port))
+    def connect(self) -> Connection:
+        """A new connection."""
+        return Connection(self.address())
 
-    def do_ask(self, path, status):
+    def do_request(self, path: str, status: str) -> None:
         """One request on a connection of its own, which stays open if the server lets it."""
         connection = self.connect()
         found, _ = connection.request("POST", path, {}, TIMEOUT_S)
@@ -73,19 +86,16 @@
         if connection.sock is not None:
             self.open.append(connection)
 
-    def do_ask_again(self, number, path, status):
+    def do_request_again(self, number: str, path: str, status: str) -> None:
         """One more request on a kept connection."""
         found, _ = self.open[int(number)].request("POST", path, {}, TIMEOUT_S)
         assert found == int(status), found
 
-    def do_close(self, number):
-        self.open.pop(int(number)).close()
-
-    def do_storm(self, count, path):
+    def do_burst(self, count: str, path: str) -> None:
         """So many clients connect at once, each with one request; all are answered."""
-        found = []
+        found: list[int] = []
 
-        def ask():
+        def ask() -> None:
             found.append(self.connect().request("POST", path, {}, TIMEOUT_S)[0])
 
         threads = [threading.Thread(target=ask) for _ in range(int(count))]
@@ -97,86 +107,84 @@
 
     # --- clients that don't
 
-    def do_hold(self, name, path="/agent/hold"):
+    def do_hold(self, name: str, path: str = "/agent/hold") -> None:
         """A request that waits for its answer."""
-        before = len(self.held)
+        before = len(self.pending)
         self.do_send(name, f"POST {path} HTTP/1.1\\r\\nContent-Length: 0\\r\\n\\r\\n")
-        with self.holding:
-            assert self.holding.wait_for(lambda: len(self.held) > before, TIMEOUT_S)
+        with self.pending_changed:
+            assert self.pending_changed.wait_for(lambda: len(self.pending) > before, TIMEOUT_S)
+
+    def do_answer(self, number: str) -> None:
+        """Gives the answer that the n-th held request waits for, once more if it had it."""
+        self.pending[int(number)](200, {})
 
-    def do_send(self, name, text):
+    def do_send(self, name: str, text: str) -> None:
         """Raw bytes on the connection of this name."""
         if name not in self.raw:
-            self.raw[name] = socket.create_connection(
-                ("127.0.0.1", self.server.server_port), TIMEOUT_S
-            )
+            self.raw[name] = socket.create_connection(self.address(), TIMEOUT_S)
         self.raw[name].sendall(text.encode().decode("unicode_escape").encode())
 
-    def do_hang_up(self, name):
+    def do_disconnect(self, name: str) -> None:
+        """The client closes the connection of this name, and the server sees it."""
         self.raw.pop(name).close()
         self.wait_until(lambda: self.server.connection_count == len(self.raw) + len(self.open))
 
-    def do_answer(self, number):
-        self.held[int(number)](200, {})
-
     @staticmethod
-    def wait_until(reached):
+    def wait_until(reached: Callable[[], bool]) -> None:
+        """Waits for something to come about."""
         end = time.monotonic() + TIMEOUT_S
         while not reached():
             assert time.monotonic() < end, "this did not come about"
-            time.sleep(0.01)
+            time.sleep(POLL_S)
 
     # --- expectations
 
-    def expect_refused(self):
+    def expect_refused(self) -> None:
         """A new connection is closed without an answer."""
         with pytest.raises(OSError):
             self.connect().request("POST", "/agent/beat", {}, TIMEOUT_S)
 
-    def expect_gave_way(self, number):
+    def expect_evicted(self, number: str) -> None:
         """The server has closed this kept connection, and none of those after it."""
-        number = int(number)
-        self.wait_until(lambda: self.is_closed(self.open[number]))
-        del self.open[number]
+        place = int(number)
+        self.wait_until(lambda: self.is_closed(self.open[place]))
+        del self.open[place]
         assert not any(self.is_closed(connection) for connection in self.open)
 
     @staticmethod
-    def is_closed(connection):
-        readable, _, _ = select.select([connection.sock], [], [], 0)
-        return bool(readable) and connection.sock.recv(1, socket.MSG_PEEK) == b""
-
-    def expect_said(self, name, text):
+    def is_closed(connection: Connection) -> bool:
+        """Whether the server has closed a connection."""
+        sock = connection.sock
+        assert sock is not None
+        readable, _, _ = select.select([sock], [], [], 0)
+        return bool(readable) and sock.recv(1, socket.MSG_PEEK) == b""
+
+    def expect_received(self, name: str, text: str) -> None:
         """What comes next on the connection of this name holds this text."""
-        found = self.raw[name].recv(65536).decode()
+        found = self.raw[name].recv(READ_BYTES).decode()
         assert text in found, found
 
-    def expect_closed(self, name):
+    def expect_closed(self, name: str) -> None:
         """The server closes the connection of this name."""
-        assert self.raw.pop(name).recv(65536) == b""
+        assert self.raw.pop(name).recv(READ_BYTES) == b""
 
-    def expect_bytes(self, name, least):
+    def expect_bytes(self, name: str, minimum: str) -> None:
         """So many bytes of an answer come when they are read at last."""
         count = 0
-        while count < int(least):
-            data = self.raw[name].recv(1 << 20)
+        while count < int(minimum):
+            data = self.raw[name].recv(READ_LARGE_BYTES)
             assert data, f"closed after {count} bytes"
             count += len(data)
 
-    def expect_connections(self, count):
+    def expect_connections(self, count: str) -> None:
+        """So many connections are open."""
         self.wait_until(lambda: self.server.connection_count == int(count))
 
-    def expect_threads(self, count):
+    def expect_threads(self, count: str) -> None:
         """So many threads serve, however many connections there are."""
         assert threading.active_count() - self.threads_before == int(count)
 
-    def expect_response(self, status, *words):
+    def expect_response(self, status: str, *words: str) -> None:
         """The encoded answer of this status holds these words."""
         encoded = encode_response(int(status), {}, 1, True).decode()
         assert all(word in encoded for word in words), encoded
-
-    def end(self):
-        for connection in [*self.open, *self.raw.values()]:
-            connection.close()
-        self.server.shutdown()
-        self.wait_until(lambda: threading.active_count() <= self.threads_before)
-        self.server.server_close()
--- a/tests/scenario_kinds/settings.py
+++ b/tests/scenario_kinds/settings.py
@@ -1,5 +1,7 @@
 """Settings files, right and wrong."""
 
+from pathlib import Path
+
 import pytest
 
 from emberglade.config import (
@@ -10,6 +12,10 @@
 )
 from emberglade.main import check_detection
 
+from .scenario import Scenario
+
+PLATFORM_FILE = "settings.toml"
+OPERATORS_FILE = "operators.txtpb"
 GOOD = """node_name = "hearth-0"
 location = "a"
 front = "10.0.0.1:8080"
@@ -47,51 +53,72 @@
 """
 
 
-class SettingsScenario:
-    """`replace "old" "new"` in a good file, then `expect ok`, `expect error "some text"` or
-    `expect warning "some text"`."""
-
-    def __init__(self, patch, tmp_path):
-        self.tmp, self.text = tmp_path, GOOD
-
-    def step(self, verb, words):
-        if verb == "replace":
-            assert words[0] in self.text
-            self.text = self.text.replace(words[0], words[1].replace("\\n", "\n"))
-        elif verb == "expect" and words[0] == "ok":
-            assert load_platform(self.write()).node == "hearth-0"
-            self.text = GOOD
-        elif verb == "expect" and words[0] == "error":
-            with pytest.raises(SettingsError, match=words[1]) as caught:
-                load_platform(self.write())
-            assert "\n" not in str(caught.value) and "settings.toml" in str(caught.value)
-            self.text = GOOD
-        elif verb == "expect" and words[0] == "warning":
-            warnings = small_quota_warnings(load_platform(self.write()))
-            assert len(warnings) == 1 and words[1] in warnings[0], warnings
-            self.text = GOOD
-        elif verb == "expect" and words[0] == "no_warning":
-            assert not small_quota_warnings(load_platform(self.write()))
-            self.text = GOOD
-        elif verb == "operators":
-            file = self.tmp / "operators.txtpb"
-            file.write_text(words[0])
-            if words[1] == "ok":
-                self.check_detection(file)
-            elif words[1] == "detection":
-                with pytest.raises(SettingsError, match=words[2]) as caught:
-                    self.check_detection(file)
-                assert "\n" not in str(caught.value) and "operators.txtpb" in str(caught.value)
-            else:
-                with pytest.raises(SettingsError, match=words[2]):
-                    load_operators(file)
-        else:
-            raise AssertionError(verb)
-
-    def check_detection(self, file):
-        check_detection(load_platform(self.write()), load_operators(file), str(file))
-
-    def write(self):
-        file = self.tmp / "settings.toml"
+class SettingsScenario(Scenario):
+    """Replacements in a good file, and what is said of it then; after that it is good again."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.text = GOOD
+
+    def do_replace(self, old: str, new: str) -> None:
+        r"""Replaces one text in the platform's file; `\n` stands for the end of a line."""
+        assert old in self.text
+        self.text = self.text.replace(old, new.replace("\\n", "\n"))
+
+    # --- the platform's settings
+
+    def expect_ok(self) -> None:
+        """The file is read."""
+        assert load_platform(self.write_platform()).node == "hearth-0"
+
+    def expect_error(self, text: str) -> None:
+        """The file is refused in one line that names it and holds this text."""
+        with pytest.raises(SettingsError, match=text) as caught:
+            load_platform(self.write_platform())
+        assert "\n" not in str(caught.value)
+        assert PLATFORM_FILE in str(caught.value)
+
+    def expect_warning(self, text: str) -> None:
+        """The file is read, with one warning that holds this text."""
+        warnings = small_quota_warnings(load_platform(self.write_platform()))
+        assert len(warnings) == 1, warnings
+        assert text in warnings[0], warnings
+
+    def expect_no_warning(self) -> None:
+        """The file is read without a warning."""
+        assert not small_quota_warnings(load_platform(self.write_platform()))
+
+    def write_platform(self) -> Path:
+        """The platform's file as it is now; the next one begins with a good one."""
+        file = self.directory / PLATFORM_FILE
         file.write_text(self.text)
+        self.text = GOOD
+        return file
+
+    # --- the operators' settings, besides a good file of the platform
+
+    def expect_operators_ok(self, text: str) -> None:
+        """Operators' settings of this text are read and fit the platform's."""
+        self.check_detection(self.write_operators(text))
+
+    def expect_operators_error(self, text: str, message: str) -> None:
+        """Operators' settings of this text are refused with this message."""
+        with pytest.raises(SettingsError, match=message):
+            load_operators(self.write_operators(text))
+
+    def expect_detection_error(self, text: str, message: str) -> None:
+        """Operators' settings of this text don't fit; one line names the file and says so."""
+        with pytest.raises(SettingsError, match=message) as caught:
+            self.check_detection(self.write_operators(text))
+        assert "\n" not in str(caught.value)
+        assert OPERATORS_FILE in str(caught.value)
+
+    def write_operators(self, text: str) -> Path:
+        """The operators' file."""
+        file = self.directory / OPERATORS_FILE
+        file.write_text(text)
         return file
+
+    def check_detection(self, file: Path) -> None:
+        """Checks the settings of failure detection."""
+        check_detection(load_platform(self.write_platform()), load_operators(file), str(file))
--- a/tests/scenario_kinds/sizing.py
+++ b/tests/scenario_kinds/sizing.py
@@ -1,57 +1,76 @@
-"""The arithmetic of sizing."""
+"""The arithmetic of sizing; figures are worked out by hand in the scenario's comments."""
 
 import random
+from functools import cached_property
+from pathlib import Path
 
 import pytest
 
 from emberglade.sizing import Expert, Sizer
 
+from .scenario import Scenario
 
-class SizingScenario:
-    """`expert`, `record`, `round`; figures worked out by hand in the scenario's comments."""
+SEED = 1
 
-    def __init__(self, patch, tmp_path):
-        self.experts, self.sizer, self.options = (
-            [],
-            None,
-            {"epsilon": 0.1, "round": 5, "premium": 6.0, "boot": 10.0, "spread": 2.0, "share": 0.1},
+
+class SizingScenario(Scenario):
+    """Experts, recorded demand, and rounds that draw one of their targets."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.experts: list[Expert] = []
+        self.options = {
+            "epsilon": 0.1,
+            "round": 5,
+            "premium": 6.0,
+            "boot": 10.0,
+            "spread": 2.0,
+            "share": 0.1,
+        }
+
+    @cached_property
+    def sizer(self) -> Sizer:
+        """The sizer with the experts and options given so far."""
+        return Sizer(
+            tuple(self.experts),
+            self.options["epsilon"],
+            self.options["round"],
+            self.options["premium"],
+            self.options["spread"],
+            self.options["share"],
+            random.Random(SEED),
         )
 
-    def step(self, verb, words):
-        if verb == "expert":
-            self.experts.append(Expert(int(words[0]), int(words[1]), float(words[2])))
-        elif verb == "set":
-            self.options[words[0]] = float(words[1])
-        elif verb == "record":
-            self.make()
-            for demand in words[1:]:
-                self.sizer.record(float(demand), float(words[0]))
-        elif verb == "round":
-            self.make()
-            self.drawn = self.sizer.round(self.options["boot"])
-        elif verb == "expect":
-            getattr(self, "expect_" + words[0])(*words[1:])
-
-    def make(self):
-        if self.sizer is None:
-            self.sizer = Sizer(
-                tuple(self.experts),
-                self.options["epsilon"],
-                self.options["round"],
-                self.options["premium"],
-                self.options["spread"],
-                self.options["share"],
-                random.Random(1),
-            )
-
-    def expect_targets(self, *targets):
-        assert self.sizer.targets[-1] == [int(t) for t in targets]
-
-    def expect_costs(self, *costs):
-        assert self.sizer.costs(self.options["boot"]) == pytest.approx([float(c) for c in costs])
-
-    def expect_weights(self, *weights):
-        assert self.sizer.weights == pytest.approx([float(w) for w in weights])
-
-    def expect_drawn(self, *targets):
-        assert self.drawn[1] in [int(t) for t in targets]
+    def do_expert(self, window_s: str, percentile: str, factor: str) -> None:
+        """An expert: a percentile of the demand of a window, times a factor."""
+        self.experts.append(Expert(int(window_s), int(percentile), float(factor)))
+
+    def do_set(self, option: str, value: str) -> None:
+        """Sets an option."""
+        self.options[option] = float(value)
+
+    def do_record(self, price: str, *demands: str) -> None:
+        """Records the demand of each second, at a price."""
+        for demand in demands:
+            self.sizer.record(float(demand), float(price))
+
+    def do_round(self) -> None:
+        """Plays a round."""
+        self.drawn = self.sizer.round(self.options["boot"])
+
+    def expect_targets(self, *targets: str) -> None:
+        """The experts' newest targets."""
+        assert self.sizer.targets[-1] == [int(target) for target in targets]
+
+    def expect_costs(self, *costs: str) -> None:
+        """What each expert's targets would have cost."""
+        expected = [float(cost) for cost in costs]
+        assert self.sizer.costs(self.options["boot"]) == pytest.approx(expected)
+
+    def expect_weights(self, *weights: str) -> None:
+        """The experts' weights."""
+        assert self.sizer.weights == pytest.approx([float(weight) for weight in weights])
+
+    def expect_drawn(self, *targets: str) -> None:
+        """The round drew one of these targets."""
+        assert self.drawn[1] in [int(target) for target in targets]
--- /dev/null
+++ b/tests/scenario_kinds/startup.py
@@ -0,0 +1,76 @@
+"""What a controller imports when it starts, counted in a process of its own."""
+
+import subprocess
+import sys
+from pathlib import Path
+
+import orjson
+import pytest
+
+from .scenario import Scenario
+from .settings import GOOD, OPERATORS_FILE, PLATFORM_FILE
+
+ROOT = Path(__file__).resolve().parents[2]
+OWN_PACKAGE = "emberglade"
+
+# Without the site module, as deploy/service.toml starts it.
+PROGRAM = """
+import sys
+sys.path[:0] = {paths!r}
+import emberglade.main
+import emberglade.controller
+assert emberglade.main.main({arguments!r}) == 0
+print("modules:", *sys.modules, sep="\\n")
+"""
+
+
+class StartupScenario(Scenario):
+    """Starts of a controller in a fresh interpreter, and the modules that it imported."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
+        super().__init__(patch, directory)
+        self.modules: set[str] = set()
+
+    def do_start(self, *options: str) -> None:
+        """Starts with options as they are, or with the text of an operators' file."""
+        if options and not options[0].startswith("--"):
+            file = self.directory / OPERATORS_FILE
+            file.write_text(options[0])
+            options = ("--operators", str(file))
+        settings = self.directory / PLATFORM_FILE
+        settings.write_text(GOOD)
+        self.modules = self.run(["check", "--config", str(settings), *options])
+
+    @staticmethod
+    def run(arguments: list[str]) -> set[str]:
+        """The modules that a program with these arguments imports."""
+        packages = Path(orjson.__file__).resolve().parents[1]
+        program = PROGRAM.format(paths=[str(ROOT), str(packages)], arguments=arguments)
+        done = subprocess.run(
+            [sys.executable, "-I", "-S", "-c", program], capture_output=True, text=True, check=False
+        )
+        assert done.returncode == 0, done.stderr
+        return set(done.stdout.partition("modules:\n")[2].split())
+
+    def own_modules(self) -> set[str]:
+        """The modules of this project."""
+        return {name for name in self.modules if name.partition(".")[0] == OWN_PACKAGE}
+
+    def expect_imported(self, *names: str) -> None:
+        """All of these were imported."""
+        assert self.modules.issuperset(names), sorted(self.modules)
+
+    def expect_not_imported(self, *names: str) -> None:
+        """None of these was."""
+        found = self.modules.intersection(names)
+        assert not found, found
+
+    def expect_foreign_modules_at_most(self, count: str) -> None:
+        """No more than so many modules of others were imported."""
+        foreign = self.modules - self.own_modules()
+        assert len(foreign) <= int(count), len(foreign)
+
+    def expect_own_modules_at_most(self, count: str) -> None:
+        """No more than so many modules of this project were imported."""
+        own = self.own_modules()
+        assert len(own) <= int(count), len(own)
--- a/tests/scenario_kinds/words.py
+++ b/tests/scenario_kinds/words.py
@@ -1,20 +1,30 @@
 """The words of a scenario's lines."""
 
+from collections.abc import Iterable
 
-def value(text):
+LITERALS = {"null": None, "true": True, "false": False}
+Value = None | bool | int | float | str
+
+
+def value(text: str) -> Value:
     """A word of a scenario as the value that it stands for."""
-    if text in ("null", "true", "false"):
-        return {"null": None, "true": True, "false": False}[text]
-    try:
-        return int(text)
-    except ValueError:
+    if text in LITERALS:
+        return LITERALS[text]
+    for number in (int, float):
         try:
-            return float(text)
+            return number(text)
         except ValueError:
-            return text
+            continue
+    return text
 
 
-def split(words):
-    """(plain words, {name: value}) of a line's words."""
-    plain = [w for w in words if "=" not in w]
-    return plain, {k: value(v) for k, _, v in (w.partition("=") for w in words if "=" in w)}
+def split(words: Iterable[str]) -> tuple[list[str], dict[str, Value]]:
+    """The plain words of a line, and the values of those like `name=value`."""
+    plain, named = [], {}
+    for word in words:
+        name, separator, text = word.partition("=")
+        if separator:
+            named[name] = value(text)
+        else:
+            plain.append(word)
+    return plain, named
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -1,430 +1,228 @@
 """A whole deployment on simulated time: controllers of this service among stand-ins."""
 
+from collections.abc import Iterable
+from typing import Any
+
 from emberglade.config import Operators
-from emberglade.config.platform import Peer, ServiceLevelObjective, Settings, Team
-from emberglade.controller import assemble
+from emberglade.controller import Controller, assemble
 
-from .cloud import Cloud
+from . import cloud, state_service, state_wire, users
+from .cloud import Cloud, MachineType
+from .deployment import LIST_LAG_S, Deployment
+from .invalid_requests import InvalidRequests
 from .observer import Observer
-from .production import as_production
-from .state import StateService
-from .world import SimClient, SimClientPool, SimSystem, World
-
-LIMITS = {
-    "nodes": 3,
-    "rps": 100.0,
-    "write_rps": 40.0,
-    "value_bytes": 8192,
-    "txn_ops": 16,
-    "lease_s": 10.0,
-    "report_s": 1.5,
-    "cancel_s": 40.0,
-    "cloud_rps": 5.0,
-    "capacity": 10,
-}
-
-JOB = {
-    "breed": "test",
-    "crew": "core",
-    "shape": "sweep",
-    "rank": "normal",
-    "embers": 1,
-    "cpus": 1.0,
-    "cards": 0.0,
-    "ram_gb": 1.0,
-    "kindling": "img",
-    "image_gb": 0.2,
-    "hearth_kinds": None,
-    "glade": None,
-    "one_zone": False,
-    "scatter": False,
-    "driftwood": False,
-    "burn_s": 10.0,
-    "bank_s": 0.0,
-    "banking_s": 0.0,
-    "due_s": None,
-}
-
-
-# The fields of a submission that PROTOCOL does not let be null.
-NOT_NULL = [name for name in JOB if name not in ("hearth_kinds", "glade", "due_s")] + ["id"]
+from .previous_version import as_previous_version
+from .simulated_process import SimulatedClient, SimulatedClientPool, SimulatedProcess
+from .state_service import StateService
+from .users import Users
+from .wire import AGENT_HEARTBEAT_PATH
+from .worker import WorkerSettings
+from .world import LateDuplicates, PartitionMode, Reply, World
+
+PEER_PATHS = "/peer/"
+ALL_CONTROLLERS = "all"
 
 
 class Cluster:
-    """Controllers, state service, cloud, workers and users of one scenario."""
+    """Controllers, state service, cloud, workers and users of one scenario.
+
+    Attributes:
+        names: The controllers' names.
+        previous: The controllers that run the version before.
+        processes: The newest process of each controller.
+        controllers: The actors of that process.
+    """
 
     def __init__(
         self,
-        seed,
-        zones=("a", "b", "c"),
-        teams=None,
-        production=(),
-        operators=None,
-        world=None,
-        **limits,
-    ):
+        seed: int,
+        deployment: Deployment | None = None,
+        previous: Iterable[str] = (),
+        operators: Operators | None = None,
+        world: World | None = None,
+    ) -> None:
+        self.seed = seed
+        self.deployment = deployment or Deployment()
         self.operators = operators or Operators()
         self.world = world or World(seed)
-        self.zones = zones
-        self.teams = teams or {"core": {"cpus": 0.0, "cpus_max": 0.0}}
-        self.limits = limits = {**LIMITS, **limits}
-        self.names = [f"hearth-{n}" for n in range(limits["nodes"])]
-        self.observer = Observer(self.world, limits["cancel_s"], self.teams)
-        self.observer.job_ended = self.job_ended
-        self.cancels_at_end = (0.0, -1.0)  # (share, until)
-        self.asked_at_end = 0
-        self.state = StateService(
-            self.world,
-            **{key: limits[key] for key in ("rps", "write_rps", "value_bytes", "txn_ops")},
-        )
-        plan = {
-            "type": {
-                "label": "box",
-                "cpus": 8.0,
-                "ram_gb": 32.0,
-                "local_gb": 30.0,
-                "fetch_gb_per_s": 0.2,
-                "price": 0.6,
-                "spot_price": 0.2,
-                "boot_s": 15.0,
-                "glades": list(zones),
-            },
-            "capacity": {
-                (zone, spot): limits["capacity"] for zone in zones for spot in (False, True)
-            },
-            "lag_s": 3.0,
-        }
-        self.cloud = Cloud(
-            self.world,
-            plan,
-            {key: limits[key] for key in ("report_s", "lease_s")},
-            self.observer,
-            self.names,
-        )
-        self.processes, self.nodes = {}, {}
-        self.production = set(
-            self.names if "all" in production else production
-        )  # controllers of the older version
-        self.seed = seed
+        self.names = self.deployment.names
+        self.observer = Observer(self.world, self.deployment.cancel_s, self.deployment.teams)
+        self.users = Users(self.world, self.observer, self.names)
+        self.invalid_requests = InvalidRequests(self.users, min(self.deployment.teams))
+        self.state = self.make_state_service()
+        self.cloud = self.make_cloud()
+        self.processes: dict[str, Any] = {}
+        self.controllers: dict[str, Controller] = {}
+        self.previous = set(self.names if ALL_CONTROLLERS in previous else previous)
         for name in self.names:
             self.begin(name)
 
-    def settings(self, name):
-        place, limits = self.names.index(name), dict(self.limits)
-        if name not in self.production:
-            for key, value in self.next_limits().items():
-                limits[key] = min(limits[key], value)
-        teams = {n: Team(n, t["cpus"], t["cpus_max"]) for n, t in self.teams.items()}
-        return Settings(
-            node=name,
-            zone=self.zones[place % len(self.zones)],
-            front=(name, 1),
-            internal=(name, 2),
-            peers=tuple(
-                Peer(n, self.zones[self.names.index(n) % len(self.zones)], (n, 2))
-                for n in self.names
-                if n != name
-            ),
-            cloud=("cloud", 1),
-            state=("state", 1),
-            size=len(self.names),
-            zones=tuple(sorted(self.zones)),
-            skew_s=0.01,
-            teams=teams,
-            objectives=(ServiceLevelObjective("finished", "test", 100.0, 0.9),),
-            agent_heartbeat_s=limits["report_s"],
-            lease_s=limits["lease_s"],
-            cancel_s=limits["cancel_s"],
-            state_rps=limits["rps"],
-            state_write_rps=limits["write_rps"],
-            value_bytes=limits["value_bytes"],
-            txn_ops=limits["txn_ops"],
-            cloud_rps=limits["cloud_rps"],
-            list_lag_s=3.0,
-            cpu=0.3,
-            mem_mb=186.0,
-            fd_limit=1200,
-            names=tuple(self.names),
+    def make_state_service(self) -> StateService:
+        """The state service with the deployment's limits."""
+        limits = self.deployment
+        return StateService(
+            self.world, limits.rps, limits.write_rps, limits.value_bytes, limits.txn_ops
         )
 
-    def next_limits(self):
-        """The limits announced for later, by the name of those that they will replace."""
-        return {key[5:]: value for key, value in self.limits.items() if key.startswith("next_")}
-
-    def limits_fall(self):
-        limits = {key: self.limits[key] for key in ("value_bytes", "txn_ops", "write_rps")}
-        self.state.fall(**{**limits, **self.next_limits()})
-
-    def upgrade(self, name, seconds):
-        """The controller ends and comes back with the new version."""
-        self.production.discard(name)
-        self.crash(name, seconds)
+    def make_cloud(self) -> Cloud:
+        """The cloud with the deployment's capacity."""
+        deployment = self.deployment
+        return Cloud(
+            self.world,
+            MachineType(zones=list(deployment.zones)),
+            {
+                (zone, spot): deployment.capacity
+                for zone in deployment.zones
+                for spot in (False, True)
+            },
+            LIST_LAG_S,
+            WorkerSettings(deployment.heartbeat_s, deployment.lease_s, self.names),
+            self.observer,
+        )
 
-    def begin(self, name):
-        process = SimSystem(self.world, name, self.seed)
-        older = name in self.production
-        node = assemble(
-            self.settings(name),
-            Operators() if older else self.operators,
-            SimClient(process, "state"),
-            SimClient(process, "cloud"),
-            {n: SimClient(process, n) for n in self.names if n != name},
-            SimClientPool(process),
+    # --- controllers
+
+    def begin(self, name: str) -> None:
+        """Starts a controller's process."""
+        process = SimulatedProcess(self.world, name, self.seed)
+        is_previous = name in self.previous
+        controller = assemble(
+            self.deployment.settings(name, reads_announced=not is_previous),
+            Operators() if is_previous else self.operators,
+            SimulatedClient(process, state_service.HOST),
+            SimulatedClient(process, cloud.HOST),
+            {peer: SimulatedClient(process, peer) for peer in self.names if peer != name},
+            SimulatedClientPool(process),
         )
-        for actor, actor_name in as_production(node) if older else node.actors():
+        actors = as_previous_version(controller) if is_previous else controller.actors()
+        for actor, actor_name in actors:
             process.spawn(actor, actor_name)
 
-        def handle(method, path, body, source, reply):
-            def answer(*result):
+        def handle(method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
+            def answer(*result: Any) -> None:
                 if process.alive:
                     reply(*result)
 
-            (node.peer_route if path.startswith("/peer/") else node.api.route)(
-                method, path, body, answer
-            )
+            to_peers = path.startswith(PEER_PATHS)
+            route = controller.peer_route if to_peers else controller.api.route
+            route(method, path, body, answer)
 
         self.world.hosts[name] = handle
-        self.processes[name], self.nodes[name] = process, node
-
-    def crash(self, name, seconds, power=True):
-        """The process ends; without power its machine does not even refuse connections."""
-        if self.processes[name].alive:
-            self.processes[name].alive = False
-            self.world.hosts[name] = None
-            (self.world.without_power.discard if power else self.world.without_power.add)(name)
-            self.world.at(seconds, self.begin, name)
-
-    def crash_leader(self, seconds):
-        lead = self.state.keys.get("eg/l/lead")
-        if lead is not None:
-            self.crash(lead[0]["node"], seconds)
-
-    def all_is_quiet(self):
-        """All troubles are over."""
-        self.observer.quiet_since = self.world.now
-        self.world.copies, self.world.loss, self.world.repeat = None, 0.0, 0.0
-
-    def freeze(self, name, seconds):
-        """The process stands still while its clocks run on; then it goes on with all that came."""
-        self.processes[name].freeze(self.world.now + seconds)
-
-    def cut_zone(self, zone, seconds, mode):
-        inside = [
-            n for n in self.names if self.zones[self.names.index(n) % len(self.zones)] == zone
-        ]
-        inside += [m.name for m in self.cloud.machines.values() if m.zone == zone]
-        everyone = [*self.names, "state", "cloud", "user", *self.cloud.machines]
-        self.world.cut(inside, set(everyone) - set(inside), seconds, mode)
-
-    # --- users
-
-    def submit(self, job_id, real_s=None, **fields):
-        job = {**JOB, **fields, "id": job_id}
-        job["real_s"] = real_s if real_s is not None else job["burn_s"]
-        if isinstance(job.get("awaits"), str):
-            job["awaits"] = job["awaits"].split(",")
-        if not all(need in self.observer.accepted for need in job.get("awaits") or ()):
-            # Users name what they know to be accepted.
-            self.world.at(0.3, lambda: self.submit(job_id, real_s, **fields))
+        self.processes[name] = process
+        self.controllers[name] = controller
+
+    def crash(self, name: str, seconds: float, power: bool = True) -> None:
+        """Ends a controller's process, and starts it again after some seconds.
+
+        Args:
+            name: The controller.
+            seconds: How long it is down.
+            power: Whether its machine is up; else nothing refuses connections.
+        """
+        if not self.processes[name].alive:
             return
-        self.observer.jobs[job_id] = job
-        self.observer.submitted_at[job_id] = self.world.now
-        self.attempt(job, self.world.now)
-
-    def attempt(self, job, since):
-        asked = self.world.now
-
-        def answered(status, body):
-            self.observer.told(job["id"], asked, status, body)
-            if status in (200, 201):
-                self.world.at(5.0, self.poll, job["id"])
-            elif status not in (400, 422) and self.world.now - since < 60:
-                self.world.at(1.0 + self.world.random.random(), self.attempt, job, since)
-
-        self.world.request(
-            "user", self.world.random.choice(self.names), "POST", "/submissions", job, 5.0, answered
-        )
+        self.processes[name].alive = False
+        self.world.hosts[name] = None
+        if power:
+            self.world.powered_off.discard(name)
+        else:
+            self.world.powered_off.add(name)
+        self.world.at(seconds, self.begin, name)
+
+    def upgrade(self, name: str, seconds: float) -> None:
+        """Ends a controller, which comes back with the new version."""
+        self.previous.discard(name)
+        self.crash(name, seconds)
 
-    def poll(self, job_id):
-        asked = self.world.now
-
-        def answered(status, body):
-            self.observer.told(job_id, asked, status, body)
-            # Users may ask again at any later time: final states are asked for more rarely.
-            self.world.at(
-                40.0 if status == 200 and job_id in self.observer.final else 5.0, self.poll, job_id
-            )
-
-        self.world.request(
-            "user",
-            self.world.random.choice(self.names),
-            "GET",
-            f"/submissions/{job_id}",
-            None,
-            2.0,
-            answered,
-        )
+    def downgrade(self, name: str, seconds: float) -> None:
+        """Ends a controller, which comes back with the version before."""
+        self.previous.add(name)
+        self.crash(name, seconds)
 
-    def leader(self):
-        """Who leads, as the state service has it."""
-        return self.state.keys["eg/l/lead"][0]["node"]
+    def pause(self, name: str, seconds: float) -> None:
+        """Lets a process stand still while its clocks go on; then it handles all that came."""
+        self.processes[name].pause(self.world.now + seconds)
 
-    def abort(self, job_id, since=None, node=None):
-        """`node`: the controller that the user's connection leads to; else any."""
-        if job_id not in self.observer.accepted:
-            # Users cancel what they know to be accepted.
-            self.world.at(1.0, self.abort, job_id, None, node)
-            return
-        since = self.world.now if since is None else since
-        self.observer.asked_abort.add(job_id)
-
-        asked = self.world.now
-
-        def answered(status, body):
-            self.observer.told(job_id, asked, status, body)
-            if status != 200 and self.world.now - since < 60:
-                self.world.at(1.0 + self.world.random.random(), self.abort, job_id, since, node)
-
-        self.world.request(
-            "user",
-            node or self.world.random.choice(self.names),
-            "POST",
-            f"/submissions/{job_id}/abort",
-            {},
-            5.0,
-            answered,
+    def leader(self) -> str | None:
+        """Who leads, as the state service has it."""
+        row = self.state.keys.get(state_wire.LEADER_KEY)
+        return None if row is None else state_wire.read_holder(row.data)
+
+    def crash_leader(self, seconds: float) -> None:
+        """Ends the controller that leads, if one does."""
+        leader = self.leader()
+        if leader is not None:
+            self.crash(leader, seconds)
+
+    # --- the network
+
+    def others(self, name: str) -> list[str]:
+        """All controllers but one."""
+        return [other for other in self.names if other != name]
+
+    def everyone(self) -> list[str]:
+        """All hosts."""
+        hosts = [state_service.HOST, cloud.HOST, users.HOST]
+        return [*self.names, *hosts, *self.cloud.machines]
+
+    def isolate(self, name: str, seconds: float, mode: PartitionMode) -> None:
+        """Cuts a controller off from everything."""
+        rest = [host for host in self.everyone() if host != name]
+        self.world.partition([name], rest, seconds, mode)
+
+    def isolate_from_control_plane(self, name: str, seconds: float, mode: PartitionMode) -> None:
+        """Cuts a controller off from state service and other controllers, not from workers."""
+        rest = [state_service.HOST, *self.others(name)]
+        self.world.partition([name], rest, seconds, mode)
+
+    def partition_controllers(self, seconds: float) -> None:
+        """Cuts the controllers off from each other."""
+        for name in self.names:
+            self.world.partition([name], self.others(name), seconds, PartitionMode.DROP)
+
+    def partition_zone(self, zone: str, seconds: float, mode: PartitionMode) -> None:
+        """Cuts everything in a zone, controllers included, off from everything else."""
+        inside = [name for name in self.names if self.deployment.zone_of(name) == zone]
+        inside += [name for name, row in self.cloud.machines.items() if row.zone == zone]
+        outside = set(self.everyone()) - set(inside)
+        self.world.partition(inside, outside, seconds, mode)
+
+    def duplicate_heartbeats(self, chance: float, min_delay_s: float, max_delay_s: float) -> None:
+        """Lets duplicates of agents' heartbeats arrive late, at any controller."""
+        self.world.late_duplicates = LateDuplicates(
+            AGENT_HEARTBEAT_PATH, chance, min_delay_s, max_delay_s, self.names
         )
 
-    def cancel_now(self, count, hang_s):
-        """Users call off that many running jobs within a fifth of a second; some of their machines
-        hang.
-        """
-        observer, rng = self.observer, self.world.random
-        running = sorted(
-            {name.rpartition("/")[0] for name, places in observer.on.items() if places}
-            - observer.asked_abort
-        )
-        chosen = rng.sample(running, min(count, len(running)))
-        for job_id in chosen:
-            self.world.at(rng.uniform(0, 0.2), self.abort, job_id)
-        if hang_s:
-            machines = sorted(
-                {
-                    m
-                    for name, places in observer.on.items()
-                    if name.rpartition("/")[0] in chosen
-                    for m in places
-                }
-            )
-            for machine in rng.sample(machines, min(8, len(machines))):
-                if not self.cloud.machines[machine].hung:
-                    self.cloud.machines[machine].hang(hang_s)
-
-    def job_ended(self, job_id):
-        """The last task of an array has just completed: its user may call it off, ask, and submit
-        it again.
-        """
-        rng = self.world.random
-        if self.world.now < self.cancels_at_end[1] and rng.random() < self.cancels_at_end[0]:
-            self.asked_at_end += 1
-            self.world.at(rng.uniform(0, 2.0), self.abort, job_id)
-            self.world.at(rng.uniform(0, 2.0), self.poll_once, job_id)
-            self.world.at(rng.uniform(0, 2.0), self.submit_again, job_id)
-
-    def poll_once(self, job_id):
-        asked = self.world.now
-        self.world.request(
-            "user",
-            self.world.random.choice(self.names),
-            "GET",
-            f"/submissions/{job_id}",
-            None,
-            2.0,
-            lambda status, body: self.observer.told(job_id, asked, status, body),
-        )
+    def end_faults(self) -> None:
+        """Tells the observer that all faults are over, and ends those of single messages."""
+        self.observer.liveness.quiet_since = self.world.now
+        self.world.late_duplicates = None
+        self.world.loss = 0.0
+        self.world.repeat_chance = 0.0
 
-    def submit_again(self, job_id, **changed):
-        asked = self.world.now
-        self.world.request(
-            "user",
-            self.world.random.choice(self.names),
-            "POST",
-            "/submissions",
-            {**self.observer.jobs[job_id], **changed},
-            5.0,
-            lambda status, body: self.observer.told(job_id, asked, status, body),
-        )
+    def lower_state_limits(self) -> None:
+        """Puts the limits that were announced for the state service in force."""
+        limits = self.deployment.lowered_limits()
+        assert limits.value_bytes is not None
+        assert limits.txn_ops is not None
+        assert limits.write_rps is not None
+        self.state.lower_limits(limits.value_bytes, limits.txn_ops, limits.write_rps)
 
-    def odd_requests(self, seconds):
-        """Repeats with another body, cancellations of what is done, jobs that fit nowhere or lack a
-        field.
-        """
-        rng, observer = self.world.random, self.observer
-        for number in range(int(seconds)):
-            self.world.at(
-                rng.uniform(0, seconds),
-                self.odd_request,
-                rng.randrange(4),
-                f"job-odd{self.world.now:.0f}x{number}",
-            )
-        observer.odd_until = self.world.now + seconds
-
-    def odd_request(self, kind, odd_id):
-        rng, observer = self.world.random, self.observer
-        known = sorted(set(observer.accepted) - set(observer.final))
-        done = sorted(job for job, row in observer.final.items() if row[0] == "done")
-        if kind == 0 and known:
-            self.submit_again(
-                rng.choice(known),
-                **rng.choice(
-                    [{}, {"cpus": 1000.0}, {"cpus": None}, {"crew": "nobody"}, {"embers": -1}]
-                ),
-            )
-        elif kind == 1 and done:
-            job_id, asked = rng.choice(done), self.world.now
-            self.world.request(
-                "user",
-                rng.choice(self.names),
-                "POST",
-                f"/submissions/{job_id}/abort",
-                {},
-                5.0,
-                lambda status, body: observer.told(job_id, asked, status, body),
-            )
-        elif kind >= 2:
-            body = {**JOB, "id": odd_id, "crew": sorted(self.teams)[0]}
-            if kind == 2:
-                del body[rng.choice(NOT_NULL)]
-            else:
-                body.update(
-                    rng.choice(
-                        [
-                            {"cpus": 500.0},
-                            {"ram_gb": 1e6},
-                            {"hearth_kinds": ["none"]},
-                            {"glade": "nowhere"},
-                            {"crew": "nobody"},
-                        ]
-                    )
-                )
-            self.world.request(
-                "user",
-                rng.choice(self.names),
-                "POST",
-                "/submissions",
-                body,
-                5.0,
-                lambda status, answer: observer.told_odd(odd_id, status),
-            )
-
-    def ask(self, node, method, path, body, answers):
-        """One request as it is; the answer is kept."""
-        handler = self.world.hosts[node]
-        payload = body if isinstance(body, bytes) else body.encode()
-        handler(
-            method,
-            path,
-            payload,
-            "user",
-            lambda status, data=None, retry=None: answers.append((status, data, retry)),
-        )
+    # --- raw requests
+
+    def send_raw(
+        self,
+        controller: str,
+        method: str,
+        path: str,
+        body: str,
+        answers: list[tuple[int, Any, Any]],
+    ) -> None:
+        """Sends one request past the network, and keeps (status, body, retry) of its answer."""
+        handler = self.world.hosts[controller]
+        assert handler is not None
+
+        def keep(status: int, data: Any = None, retry: Any = None) -> None:
+            answers.append((status, data, retry))
+
+        handler(method, path, body.encode(), users.HOST, keep)
--- /dev/null
+++ b/tests/stand_ins/combined_faults.py
@@ -0,0 +1,206 @@
+"""Faults that meet within a few seconds: each kind begins here with what was drawn for it."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from . import state_service
+from .cluster import Cluster
+from .world import PartitionMode
+
+LEADER_CHANCE = 0.6  # that a fault hits the leader rather than any controller
+RESTART_S = [0.05, 0.3, 3.0]
+MAX_SLOW_STATE_S = 3.0
+MAX_PAUSE_S = 25
+MAX_DELAY_S = 12
+LEADER_CRASHES = 10
+MIN_DUPLICATE_S, MAX_DUPLICATE_S = 1.0, 60.0
+
+
+class CombinedFault(NamedTuple):
+    """One fault, drawn.
+
+    Attributes:
+        machines: All machines that are up.
+        some: One to four of them.
+    """
+
+    cluster: Cluster
+    controller: str
+    machines: list[str]
+    some: list[str]
+    seconds: float
+    mode: PartitionMode
+
+
+def inject(cluster: Cluster, kind: str, seconds: float) -> None:
+    """Begins one fault; the order of the draws is part of every seed."""
+    rng = cluster.world.random
+    leader = cluster.leader()
+    hits_leader = leader is not None and rng.random() < LEADER_CHANCE
+    controller = leader if hits_leader and leader is not None else rng.choice(cluster.names)
+    machines = sorted(machine.name for machine in cluster.cloud.running())
+    some = rng.sample(machines, min(len(machines), rng.randint(1, 4)))
+    mode = rng.choice([PartitionMode.DELAY, PartitionMode.DROP])
+    KINDS[kind](CombinedFault(cluster, controller, machines, some, seconds, mode))
+
+
+def refuse(fault: CombinedFault) -> None:
+    """The state service refuses one controller."""
+    fault.cluster.state.refuse(fault.controller, fault.seconds)
+
+
+def state_outage(fault: CombinedFault) -> None:
+    """The state service is away."""
+    fault.cluster.state.begin_outage(fault.seconds)
+
+
+def late_transactions(fault: CombinedFault) -> None:
+    """A share of transactions gets no answer and is carried out late."""
+    share = fault.cluster.world.random.uniform(0.05, 0.5)
+    fault.cluster.state.delay_transactions(share, fault.seconds)
+
+
+def slow_state(fault: CombinedFault) -> None:
+    """Messages between the state service and one controller are held up."""
+    fault.cluster.world.partition(
+        [fault.controller],
+        [state_service.HOST],
+        min(fault.seconds, MAX_SLOW_STATE_S),
+        PartitionMode.DELAY,
+    )
+
+
+def crash(fault: CombinedFault) -> None:
+    """A controller ends and comes back."""
+    fault.cluster.crash(fault.controller, fault.cluster.world.random.choice(RESTART_S))
+
+
+def crash_all(fault: CombinedFault) -> None:
+    """All controllers end and come back."""
+    for name in fault.cluster.names:
+        down_s = fault.cluster.world.random.choice([*RESTART_S, fault.seconds])
+        fault.cluster.crash(name, down_s)
+
+
+def crash_leaders(fault: CombinedFault) -> None:
+    """The leader ends, ten times over."""
+    cluster = fault.cluster
+    for number in range(LEADER_CRASHES):
+        delay = number * fault.seconds / LEADER_CRASHES
+        down_s = cluster.world.random.choice([0.05, 0.3, 1.0])
+        cluster.world.at(delay, cluster.crash_leader, down_s)
+
+
+def isolate_from_control_plane(fault: CombinedFault) -> None:
+    """A controller is cut off from state service and peers."""
+    fault.cluster.isolate_from_control_plane(fault.controller, fault.seconds, fault.mode)
+
+
+def partition_zone(fault: CombinedFault) -> None:
+    """A zone is cut off."""
+    zone = fault.cluster.world.random.choice(fault.cluster.deployment.zones)
+    fault.cluster.partition_zone(zone, fault.seconds, fault.mode)
+
+
+def partition_machines(fault: CombinedFault) -> None:
+    """Some machines are cut off from all controllers."""
+    if fault.some:
+        fault.cluster.world.partition(fault.some, fault.cluster.names, fault.seconds, fault.mode)
+
+
+def make_unreachable(fault: CombinedFault) -> None:
+    """Heartbeats of some machines arrive; answers and commands don't."""
+    if fault.some:
+        fault.cluster.world.drop_messages(fault.cluster.names, fault.some, fault.seconds)
+
+
+def block_heartbeats(fault: CombinedFault) -> None:
+    """Some machines, or all, reach no controller; direct commands still pass."""
+    if fault.some:
+        machines = fault.cluster.world.random.choice([fault.some, fault.machines])
+        fault.cluster.world.block_connections(machines, fault.cluster.names, fault.seconds)
+
+
+def hang_machines(fault: CombinedFault) -> None:
+    """Some machines hang."""
+    count = fault.cluster.world.random.randint(1, 4)
+    fault.cluster.cloud.hang_machines(count, fault.seconds)
+
+
+def kill_machines(fault: CombinedFault) -> None:
+    """Some machines stop."""
+    fault.cluster.cloud.kill_machines(fault.cluster.world.random.randint(1, 3))
+
+
+def cancel_running_jobs(fault: CombinedFault) -> None:
+    """Users cancel some running jobs at once, and some of their machines may hang."""
+    rng = fault.cluster.world.random
+    count = rng.randint(1, 6)
+    fault.cluster.users.cancel_running_jobs(count, rng.choice([0, fault.seconds]))
+
+
+def cancel_on_completion(fault: CombinedFault) -> None:
+    """Users cancel jobs at the moment of their end."""
+    share = fault.cluster.world.random.uniform(0.3, 1.0)
+    fault.cluster.users.cancel_on_completion(share, fault.seconds)
+
+
+def send_invalid_requests(fault: CombinedFault) -> None:
+    """Users send requests that must be refused."""
+    fault.cluster.invalid_requests.begin(fault.seconds)
+
+
+def partition_controllers(fault: CombinedFault) -> None:
+    """Controllers don't reach each other."""
+    fault.cluster.partition_controllers(fault.seconds)
+
+
+def pause(fault: CombinedFault) -> None:
+    """A controller stands still."""
+    fault.cluster.pause(fault.controller, min(fault.seconds, MAX_PAUSE_S))
+
+
+def delay_messages(fault: CombinedFault) -> None:
+    """Commands, heartbeats and their answers are held up for seconds and then go on."""
+    if fault.some:
+        fault.cluster.world.partition(
+            fault.some,
+            [fault.controller],
+            min(fault.seconds, MAX_DELAY_S),
+            PartitionMode.DELAY,
+        )
+
+
+def duplicate_heartbeats(fault: CombinedFault) -> None:
+    """Duplicates of heartbeats come late, to any controller."""
+    chance = fault.cluster.world.random.uniform(0.02, 0.3)
+    fault.cluster.duplicate_heartbeats(chance, MIN_DUPLICATE_S, MAX_DUPLICATE_S)
+
+
+# In this order: the draw of a seed names a place.
+KINDS: dict[str, Callable[[CombinedFault], None]] = {
+    function.__name__: function
+    for function in (
+        refuse,
+        state_outage,
+        late_transactions,
+        slow_state,
+        crash,
+        crash_all,
+        crash_leaders,
+        isolate_from_control_plane,
+        partition_zone,
+        partition_machines,
+        make_unreachable,
+        block_heartbeats,
+        hang_machines,
+        kill_machines,
+        cancel_running_jobs,
+        cancel_on_completion,
+        send_invalid_requests,
+        partition_controllers,
+        pause,
+        delay_messages,
+        duplicate_heartbeats,
+    )
+}
--- /dev/null
+++ b/tests/stand_ins/invalid_requests.py
@@ -0,0 +1,52 @@
+"""Users who repeat jobs with another body, cancel what is done, and submit what can never run."""
+
+from . import wire
+from .submissions import Submission
+from .users import Users
+from .wire import JobState
+
+KINDS = 4
+
+
+class InvalidRequests:
+    """Draws such requests; none of the jobs that they submit may be accepted."""
+
+    def __init__(self, users: Users, team: str) -> None:
+        self.users = users
+        self.world = users.world
+        self.observer = users.observer
+        self.team = team
+
+    def begin(self, seconds: float) -> None:
+        """Sends one a second, at random moments."""
+        rng = self.world.random
+        for number in range(int(seconds)):
+            delay = rng.uniform(0, seconds)
+            job_id = f"job-odd{self.world.now:.0f}x{number}"
+            self.world.at(delay, self.send, rng.randrange(KINDS), job_id)
+
+    def send(self, kind: int, invalid_id: str) -> None:
+        """Sends one of a kind: a repeat, a cancellation, a job without a field, one too large."""
+        rng, observer = self.world.random, self.observer
+        live = sorted(set(observer.accepted_at) - set(observer.final))
+        done = sorted(job for job, row in observer.final.items() if row.state is JobState.DONE)
+        if kind == 0 and live:
+            self.users.submit_again(rng.choice(live), rng.choice(wire.ODD_REPEATS))
+        elif kind == 1 and done:
+            self.users.cancel_once(rng.choice(done))
+        elif kind >= 2:
+            self.submit_invalid(kind, invalid_id)
+
+    def submit_invalid(self, kind: int, invalid_id: str) -> None:
+        """Submits a job that lacks a field (kind 2) or that can never run."""
+        rng = self.world.random
+        body = wire.write_submission(Submission(id=invalid_id, team=self.team))
+        if kind == 2:
+            del body[rng.choice(wire.NOT_NULL)]
+        else:
+            body.update(rng.choice(wire.NEVER_RUNNABLE))
+        self.users.post(
+            wire.SUBMISSIONS_PATH,
+            body,
+            lambda status, _: self.observer.answered_invalid(invalid_id, status),
+        )
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -1,272 +1,205 @@
-"""Watches a run and notes every broken rule of PROTOCOL, by its own bookkeeping."""
+"""Watches a run and records every violation of PROTOCOL's rules, by its own bookkeeping.
 
+Rules of PROTOCOL keep the names that it gives them (`ran_twice`, `went_back`, ...); the others are
+the project's own.
+"""
 
-class Observer:
-    """Follows tasks and answers, and notes each broken rule."""
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-    def __init__(self, world, cancel_s, teams):
-        self.world, self.cancel_s, self.teams = world, cancel_s, teams
-        self.jobs = {}  # job -> submission, once a user has tried to submit it
-        self.accepted = {}
-        self.cancelled_told = {}
-        self.cancelled_off = {}  # job -> when the last of its tasks left a machine after that
-        self.starts_after_cancel = 0
-        self.asked_abort = set()
-        self.final = {}
-        self.on = {}  # task -> {machine: zone}
-        self.done = {}  # job -> tasks done
-        self.starts = 0
-        self.broken = []
-        self.failing = {}  # job -> polls have failed since
-        self.quiet_since = None  # when the last trouble was over, once that is known
-        self.begun = {}  # job -> when its first task started
-        self.submitted_at = {}
-        self.ended = {}  # array -> when its last task completed
-        self.job_ended = lambda job_id: None  # called when an array's last task has completed
-        self.machines = {}  # the cloud's, set by the cluster
-        self.odd_answered = 0
-        self.waiting = {}  # job -> since when a task of it waits that could run
-        self.polls = []  # (when, answered) of the last 90 s
-        world.at(1.0, self.sweep)
+from . import wire
+from .job_ledger import JobLedger
+from .liveness_checks import LivenessChecks
+from .submissions import Submission, job_of, number_of
+from .wire import JobState
+from .world import World
+
+if TYPE_CHECKING:
+    from .worker import Worker
+
+CPU_SLACK = 1e-9
+FINAL_STATES = (JobState.DONE, JobState.CANCELLED)
+ACCEPTED = (200, 201)
+FORGOTTEN = (404, 400, 422)
+REFUSED_FOR_GOOD = (400, 422)
 
-    def breach(self, rule, text):
-        self.broken.append((round(self.world.now, 2), rule, text))
 
-    def rules(self):
-        found = {rule for _, rule, _ in self.broken}
-        if not self.starts and self.accepted:
-            found.add("nothing_ran")
-        return found
+class Team(NamedTuple):
+    """A team's guarantee and quota; 0 means none."""
 
-    # --- jobs that await others
+    guaranteed_cpus: float = 0.0
+    cpu_quota: float = 0.0
 
-    def needs(self, job_id):
-        """All jobs that a job needs, directly or through others."""
-        found, stack = [], [job_id]
-        while stack:
-            for need in self.jobs[stack.pop()].get("awaits") or ():
-                if need in self.jobs and need not in found:
-                    found.append(need)
-                    stack.append(need)
-        return found
 
-    def is_done(self, job_id):
-        return len(self.done.get(job_id, ())) >= self.jobs[job_id]["embers"]
+class Violation(NamedTuple):
+    """One event that breaks a rule."""
 
-    def is_called_off(self, job_id):
-        """Whether a user asked to cancel the job or one that it needs."""
-        return job_id in self.asked_abort or any(
-            need in self.asked_abort for need in self.needs(job_id)
-        )
+    at: float
+    rule: str
+    text: str
 
-    def orphaned_since(self, job_id):
-        """When a user was first told that a job before this one is cancelled; None: nobody was."""
-        return min(
-            (
-                self.cancelled_told[need]
-                for need in self.needs(job_id)
-                if need in self.cancelled_told
-            ),
-            default=None,
-        )
 
-    # --- workers
+class Observer(JobLedger):
+    """Follows tasks and answers, and records each violation.
 
-    def started(self, name, worker):
-        job_id, _, number = name.rpartition("/")
+    Attributes:
+        on: The machines that a task is on, with the zone of each.
+        machines: The cloud's machines.
+        start_count: How often a task started on a machine.
+        starts_after_cancel: How many of them began after their user was told of a cancellation.
+        invalid_refused: How many submissions that can never run were refused for good.
+        on_array_completed: Called when the last task of an array has completed.
+    """
+
+    def __init__(self, world: World, cancel_s: float, teams: dict[str, Team]) -> None:
+        super().__init__()
+        self.world = world
+        self.cancel_s = cancel_s
+        self.teams = teams
+        self.violations: list[Violation] = []
+        self.on: dict[str, dict[str, str]] = {}
+        self.machines: dict[str, Worker] = {}
+        self.start_count = 0
+        self.starts_after_cancel = 0
+        self.invalid_refused = 0
+        self.on_array_completed: Callable[[str], None] = lambda job_id: None
+        self.liveness = LivenessChecks(self)
+
+    def record(self, rule: str, text: str) -> None:
+        """Records a violation."""
+        self.violations.append(Violation(round(self.world.now, 2), rule, text))
+
+    def broken_rules(self) -> set[str]:
+        """The rules that were broken so far."""
+        broken = {violation.rule for violation in self.violations}
+        if not self.start_count and self.accepted_at:
+            broken.add("nothing_ran")
+        return broken
+
+    # --- what workers do
+
+    def task_started(self, name: str, machine: "Worker") -> None:
+        """A task has its image and runs from now on."""
+        job_id = job_of(name)
         job = self.jobs[job_id]
-        self.starts += 1
-        for need in job.get("awaits") or ():
+        self.start_count += 1
+        for need in job.needs or ():
             if not self.is_done(need):
-                self.breach("started_before_dependency", f"{name} starts before {need} is done")
-        self.begun.setdefault(job_id, self.world.now)
-        here = self.on.setdefault(name, {})
-        if here:
-            self.breach("ran_twice", f"{name} starts on {worker.name} while on {sorted(here)}")
-        others = [
+                self.record("started_before_dependency", f"{name} starts before {need} is done")
+        self.begun_at.setdefault(job_id, self.world.now)
+        places = self.on.setdefault(name, {})
+        if places:
+            self.record("ran_twice", f"{name} starts on {machine.name} while on {sorted(places)}")
+        if not self.may_be_placed(job_id, job, machine):
+            self.record("wrong_place", f"{name} on {machine.name} in {machine.zone}")
+        if not 0 <= number_of(name) < job.tasks:
+            self.record("invented", f"{name} is no task of its job")
+        places[machine.name] = machine.zone
+        self.check_quota(job.team)
+        self.check_cancelled(name, job_id)
+
+    def may_be_placed(self, job_id: str, job: Submission, machine: "Worker") -> bool:
+        """Whether a job allows a machine, given where its other tasks are now."""
+        used_zones = [
             zone
-            for other, places in self.on.items()
-            if other.rpartition("/")[0] == job_id
+            for name, places in self.on.items()
+            if job_of(name) == job_id
             for zone in places.values()
         ]
-        wrong = (
-            (job["hearth_kinds"] is not None and worker.type["label"] not in job["hearth_kinds"])
-            or (job["glade"] is not None and worker.zone != job["glade"])
-            or (worker.spot and not job["driftwood"])
-            or (job["one_zone"] and any(zone != worker.zone for zone in others))
-            or (job["scatter"] and others.count(worker.zone) + 1 > (job["embers"] + 1) // 2)
-        )
-        if wrong:
-            self.breach("wrong_place", f"{name} on {worker.name} in {worker.zone}")
-        if not 0 <= int(number) < job["embers"]:
-            self.breach("invented", f"{name} is no task of its job")
-        here[worker.name] = worker.zone
-        limit = self.teams[job["crew"]]["cpus_max"]
-        use = sum(
-            self.jobs[other.rpartition("/")[0]]["cpus"] * len(places)
-            for other, places in self.on.items()
-            if self.jobs[other.rpartition("/")[0]]["crew"] == job["crew"]
-        )
-        if limit and use > limit + 1e-9:
-            self.breach("quota", f"{job['crew']} uses {use} of {limit}")
-        told = self.cancelled_told.get(job_id)
-        self.starts_after_cancel += told is not None
-        if told is not None and self.world.now > told + self.cancel_s:
-            self.breach(
-                "ran_cancelled",
-                f"{name} starts {self.world.now - told:.1f} s after its cancellation",
-            )
-
-    def left(self, name, machine):
+        if job.allowed_types is not None and machine.type.label not in job.allowed_types:
+            return False
+        if job.zone is not None and machine.zone != job.zone:
+            return False
+        if machine.spot and not job.spot:
+            return False
+        if job.single_zone and any(zone != machine.zone for zone in used_zones):
+            return False
+        most_in_zone = (job.tasks + 1) // 2
+        return not job.zone_spread or used_zones.count(machine.zone) + 1 <= most_in_zone
+
+    def check_quota(self, team: str) -> None:
+        """Records it if a team's tasks use more than its quota."""
+        quota = self.teams[team].cpu_quota
+        jobs = ((self.jobs[job_of(name)], places) for name, places in self.on.items())
+        used = sum(job.cpus * len(places) for job, places in jobs if job.team == team)
+        if quota and used > quota + CPU_SLACK:
+            self.record("quota", f"{team} uses {used} of {quota}")
+
+    def check_cancelled(self, name: str, job_id: str) -> None:
+        """Records it if a task starts too long after its user was told of a cancellation."""
+        cancelled_at = self.cancelled_at.get(job_id)
+        if cancelled_at is None:
+            return
+        self.starts_after_cancel += 1
+        late_s = self.world.now - cancelled_at
+        if self.world.now > cancelled_at + self.cancel_s:
+            self.record("ran_cancelled", f"{name} starts {late_s:.1f} s after its cancellation")
+
+    def task_left(self, name: str, machine: str) -> None:
+        """A task that ran on a machine is not on it any more."""
         self.on.get(name, {}).pop(machine, None)
-        job_id = name.rpartition("/")[0]
-        if job_id in self.cancelled_told:
-            self.cancelled_off[job_id] = self.world.now
+        job_id = job_of(name)
+        if job_id in self.cancelled_at:
+            self.last_left_at[job_id] = self.world.now
 
-    def completed(self, name):
-        job_id, _, number = name.rpartition("/")
+    def task_completed(self, name: str) -> None:
+        """A task has done its work."""
+        job_id = job_of(name)
         done = self.done.setdefault(job_id, set())
-        new = int(number) not in done
-        done.add(int(number))
-        if new and len(done) == self.jobs[job_id]["embers"]:
-            self.ended[job_id] = self.world.now
-            self.job_ended(job_id)
-
-    def sweep(self):
-        for job_id, told in self.cancelled_told.items():
-            if self.world.now > told + self.cancel_s:
-                for name, places in self.on.items():
-                    if places and name.rpartition("/")[0] == job_id:
-                        self.breach("ran_cancelled", f"{name} is on {sorted(places)}")
-        for job_id, since in self.failing.items():
-            if (
-                self.world.now - since > 90
-                and sum(ok for _, ok in self.polls) > len(self.polls) / 2
-            ):
-                self.breach("forgotten", f"polls for {job_id} fail since {since:.0f}")
-            # Once all troubles are over, a job stays known however others fare.
-            if self.quiet_since is not None and self.world.now - max(since, self.quiet_since) > 75:
-                self.breach(
-                    "forgotten", f"no question about {job_id} is answered since {since:.0f}"
-                )
-        if self.quiet_since is not None:
-            self.look_for_waiting()
-        self.world.at(1.0, self.sweep)
-
-    def look_for_waiting(self):
-        """Once all troubles are over, no task waits for 90 s that a machine has room for, within
-        its team's limit.
+        is_new = number_of(name) not in done
+        done.add(number_of(name))
+        if is_new and len(done) == self.jobs[job_id].tasks:
+            self.ended_at[job_id] = self.world.now
+            self.on_array_completed(job_id)
+
+    # --- what users are told
+
+    def answered(self, job_id: str, asked_at: float, status: int, body: Any) -> None:
+        """A user got an answer about a job, to a submission, poll or cancellation.
+
+        Args:
+            job_id: The job.
+            asked_at: When the user had asked.
+            status: The status of the answer; 0 and below if there was none.
+            body: The body of the answer.
         """
-        there = {}  # job -> its tasks that are on machines or on their way
-        use = dict.fromkeys(self.teams, 0.0)
-        for machine in self.machines.values():
-            for name, row in machine.tasks.items():
-                if row[1] != "exited":
-                    job_id, _, number = name.rpartition("/")
-                    there.setdefault(job_id, set()).add(int(number))
-                    use[self.jobs[job_id]["crew"]] += self.jobs[job_id]["cpus"]
-        for job_id in self.accepted:
-            job = self.jobs[job_id]
-            count = len(self.done.get(job_id, set()) | there.get(job_id, set()))
-            limit = self.teams[job["crew"]]["cpus_max"]
-            if (
-                job_id in self.final
-                or self.is_called_off(job_id)
-                or not all(map(self.is_done, job.get("awaits") or ()))
-                or count >= job["embers"]
-                or job["one_zone"]
-                or job["scatter"]
-                or (limit and use[job["crew"]] + job["cpus"] > limit)
-                or not any(
-                    m.up
-                    and m.listed
-                    and not m.hung
-                    and not m.faulty
-                    and m.notice_at is None
-                    and m.has_room(job)
-                    for m in self.machines.values()
-                )
-            ):
-                self.waiting.pop(job_id, None)
-            elif (
-                self.world.now
-                - max(self.waiting.setdefault(job_id, self.world.now), self.quiet_since)
-                > 90
-            ):
-                self.breach(
-                    "left_pending",
-                    f"{job_id} waits since {self.waiting[job_id]:.0f}, and there is room",
-                )
-
-    def told_odd(self, job_id, status):
-        """The answer to a submission that lacks a field or can never run."""
-        self.odd_answered += status in (400, 422)
-        if status in (200, 201):
-            self.breach("accepted_invalid", f"{job_id} is accepted")
-
-    def served(self):
-        """What of each class, team and of each class's largest jobs began (the largest: in four
-        minutes).
-        """
-        groups = {}
-        for job_id in self.accepted:
-            job = self.jobs[job_id]
-            if self.is_called_off(job_id):
-                continue
-            groups.setdefault(("class", job["breed"]), []).append(job_id in self.begun)
-            groups.setdefault(("team", job["crew"]), []).append(job_id in self.begun)
-        for job_class in {name for kind, name in groups if kind == "class"}:
-            own = sorted(
-                (
-                    j
-                    for j in self.accepted
-                    if self.jobs[j]["breed"] == job_class and not self.is_called_off(j)
-                ),
-                key=lambda j: -self.jobs[j]["embers"],
-            )
-            for job_id in own[: max(1, len(own) // 10)]:
-                waited = self.begun.get(job_id, self.world.now) - self.accepted[job_id]
-                if waited <= 240 and job_id not in self.begun:
-                    continue  # its time is not up yet
-                groups.setdefault(("largest", job_class), []).append(waited <= 240)
-        return {group: sum(rows) / len(rows) for group, rows in groups.items()}
-
-    # --- users
-
-    def told(self, job_id, asked, status, body):
-        """A user got an answer to a submission, poll or abort that was sent at `asked`."""
-        self.polls = [row for row in self.polls if row[0] > self.world.now - 90] + [
-            (self.world.now, status in (200, 201))
-        ]
-        if status == 200 or status == 201:
-            self.failing.pop(job_id, None)
+        self.liveness.note_answer(status in ACCEPTED)
+        if status in ACCEPTED:
+            self.failing_since.pop(job_id, None)
             if job_id not in self.jobs:
-                self.breach("invented", f"{job_id} gets {status}")
+                self.record("invented", f"{job_id} gets {status}")
                 return
-            glow = body["glow"]
-            if glow == "done" and len(self.done.get(job_id, ())) < self.jobs[job_id]["embers"]:
-                self.breach("not_done", f"{job_id} is called done")
-            since = self.orphaned_since(job_id)
-            if (
-                glow in ("pending", "running")
-                and since is not None
-                and asked > since + self.cancel_s
-            ):
-                self.breach(
-                    "dependent_not_cancelled",
-                    f"{job_id} is called {glow}; a job before it was cancelled at {since:.1f}",
-                )
-            if glow == "withdrawn" and not self.is_called_off(job_id):
-                self.breach("went_back", f"{job_id} is called cancelled; nobody asked")
-            before = self.final.get(job_id)
-            if before is not None and glow != before[0] and asked > before[1]:
-                self.breach("went_back", f"{job_id} was {before[0]}, is {glow}")
-            if glow in ("done", "withdrawn"):
-                self.final.setdefault(job_id, (glow, self.world.now))
-                if glow == "withdrawn":
-                    self.cancelled_told.setdefault(job_id, self.world.now)
-            self.accepted.setdefault(job_id, self.world.now)
-        elif job_id in self.accepted:
-            if status in (404, 400, 422):
-                self.breach("forgotten", f"{job_id} gets {status}")
-            self.failing.setdefault(job_id, self.world.now)
+            self.check_state(job_id, asked_at, wire.read_job_state(body))
+            self.accepted_at.setdefault(job_id, self.world.now)
+        elif job_id in self.accepted_at:
+            if status in FORGOTTEN:
+                self.record("forgotten", f"{job_id} gets {status}")
+            self.failing_since.setdefault(job_id, self.world.now)
+
+    def check_state(self, job_id: str, asked_at: float, state: JobState) -> None:
+        """Compares a state that a user was told with what is known of the job."""
+        if state is JobState.DONE and not self.is_done(job_id):
+            self.record("not_done", f"{job_id} is called done")
+        orphaned_at = self.need_cancelled_at(job_id)
+        if (
+            state not in FINAL_STATES
+            and orphaned_at is not None
+            and asked_at > orphaned_at + self.cancel_s
+        ):
+            self.record(
+                "dependent_not_cancelled",
+                f"{job_id} is called {state}; a job before it was cancelled at {orphaned_at:.1f}",
+            )
+        if state is JobState.CANCELLED and not self.is_called_off(job_id):
+            self.record("went_back", f"{job_id} is called cancelled; nobody asked")
+        before = self.final.get(job_id)
+        if before is not None and state is not before.state and asked_at > before.told_at:
+            self.record("went_back", f"{job_id} was {before.state}, is {state}")
+        if state in FINAL_STATES:
+            self.note_final(job_id, state, self.world.now)
+
+    def answered_invalid(self, job_id: str, status: int) -> None:
+        """A user got an answer to a submission that lacks a field or can never run."""
+        self.invalid_refused += status in REFUSED_FOR_GOOD
+        if status in ACCEPTED:
+            self.record("accepted_invalid", f"{job_id} is accepted")
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -1,210 +1,268 @@
-"""Checks who holds the shards and the lead, over the whole history of the state service."""
+"""Checks who holds the shards and the leadership, over the whole history of the state service.
 
+A `role` is what a controller can hold: `s/3` for a shard, `lead` for the leadership.
+"""
+
+from collections.abc import Callable
 from typing import NamedTuple
 
-LIVE_PREFIX = "eg/l/"
-JOB_KEYS = (LIVE_PREFIX + "j/", LIVE_PREFIX + "t/")
-# Times as shares of a worker's lease.
+from . import state_service, state_wire
+from .cluster import Cluster
+from .state_wire import LEADER, LIVE_PREFIX, SHARD, SHARD_PREFIX, Transaction
+
+# Times as shares of an agent's lease.
 ABLE_SHARE = 2 / 9  # a controller served by the state service within it can do its shards' work
-LEFT_SHARE = 1.0  # what a controller that has ended held must be others' after that
-BOUNCE_WINDOW_S, MOST_IN_WINDOW = 60.0, 4
+UNOWNED_SHARE = 1.0  # what a controller that has ended held must be others' after that
+FLAPPING_WINDOW_S, MAX_IN_WINDOW = 60.0, 4
+CHECK_INTERVAL_S = 0.5
+WATCH_FROM_S = 1.0
+STARTUP_S = 10  # until then roles may be nobody's
 
 
 class Change(NamedTuple):
-    """A shard's or the lead's key was written or removed."""
+    """A role's key was written."""
 
     at: float
-    what: str  # "s/3" or "lead"
-    node: str | None
+    role: str
+    holder: str | None
     before: str | None
 
 
 class Ownership:
-    """Follows each transaction; `watch` adds rules on takeovers to the observer's."""
+    """Follows each transaction; `watch` adds rules on failovers to the observer's.
+
+    Attributes:
+        changes: All changes of roles, in their order.
+        served_at: When the state service last served a controller.
+        first_served_at: When it served a process first.
+        unowned_since: Since when the holder of a role is no more.
+    """
 
-    def __init__(self, cluster):
-        self.cluster, self.world, self.state = cluster, cluster.world, cluster.state
-        self.changes = []
-        self.served_at = {}  # controller -> when the state service last served it
-        self.first_served = {}  # process -> when the state service served it first
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
+        self.world = cluster.world
+        self.state = cluster.state
+        self.observer = cluster.observer
+        self.changes: list[Change] = []
+        self.served_at: dict[str, float] = {}
+        self.first_served_at: dict[object, float] = {}
         self.watching = False
-        self.left_since = {}  # what -> since when its holder's process is no more
-        self._wrap()
+        self.unowned_since: dict[str, float] = {}
+        self.state.served_listeners.append(self.note_served)
+        self.state.audits.append(self.audit)
 
-    def watch(self):
-        """Also notes takeovers from controllers that could work, what is left, and bounces."""
+    def watch(self) -> None:
+        """Also records failovers from controllers that could work, what is left, and flapping."""
         self.watching = True
-        self.world.at(1.0, self.look)
-
-    def _wrap(self):
-        state, handle, txn = self.state, self.state.handle, self.state.txn
-
-        def followed_handle(method, path, body, source, reply):
-            def answered(status, data=None):
-                if status == 200 and source in self.cluster.processes:
-                    self.served_at[source] = self.world.now
-                    self.first_served.setdefault(self.cluster.processes[source], self.world.now)
-                reply(status, data)
-
-            handle(method, path, body, source, answered)
-
-        def followed_txn(data, source):
-            before = {key: self.holder(key) for key in self.claims(data)}
-            existed = {key for key in self.job_writes(data) if key in state.keys}
-            holders = {what: self.holder(what) for what in self.conditions(data)}
-            result = txn(data, source)
-            if result[0] == 200:
-                self.check_writer(data, source, existed, holders)
-                for what, former in before.items():
-                    self.note(what, former, self.holder(what))
-            return result
-
-        state.txn = followed_txn
-        self.world.hosts["state"] = followed_handle
+        self.world.at(WATCH_FROM_S, self.check_unowned)
+
+    # --- the state service's history
+
+    def note_served(self, host: str) -> None:
+        """The state service has answered a host."""
+        process = self.cluster.processes.get(host)
+        if process is not None:
+            self.served_at[host] = self.world.now
+            self.first_served_at.setdefault(process, self.world.now)
+
+    def audit(self, transaction: Transaction, source: str) -> Callable[[], None]:
+        """Looks at a transaction before it is carried out."""
+        before = {role: self.holder(role) for role in self.claimed_roles(transaction)}
+        existing = {key for key in self.job_keys(transaction) if key in self.state.keys}
+        holders = {role: self.holder(role) for role in self.shards_conditioned_on(transaction)}
+
+        def committed() -> None:
+            self.check_writer(transaction, source, existing, holders)
+            for role, former in before.items():
+                self.note_change(role, former, self.holder(role))
+
+        return committed
 
     @staticmethod
-    def claims(data):
-        """What of a transaction writes shards or the lead."""
-        names = [write.get("put", "")[len(LIVE_PREFIX) :] for write in data.get("writes", [])]
-        return [name for name in names if name == "lead" or name.startswith("s/")]
+    def claimed_roles(transaction: Transaction) -> list[str]:
+        """The roles whose keys a transaction writes."""
+        written = [write.key for write in transaction.writes if write.data is not None]
+        roles = [key[len(LIVE_PREFIX) :] for key in written]
+        return [role for role in roles if role == LEADER or role.startswith(SHARD)]
 
     @staticmethod
-    def conditions(data):
+    def shards_conditioned_on(transaction: Transaction) -> list[str]:
         """The shards on whose epoch a transaction hangs."""
-        keys = [row["key"] for row in data.get("when", [])]
-        return [key[len(LIVE_PREFIX) :] for key in keys if key.startswith(LIVE_PREFIX + "s/")]
+        keys = [key for key, _ in transaction.conditions]
+        return [key[len(LIVE_PREFIX) :] for key in keys if key.startswith(SHARD_PREFIX)]
 
     @staticmethod
-    def job_writes(data):
-        keys = [write.get("put") or write.get("remove") for write in data.get("writes", [])]
-        return [key for key in keys if key.startswith(JOB_KEYS)]
+    def job_keys(transaction: Transaction) -> list[str]:
+        """The keys of job records that a transaction changes."""
+        keys = [write.key for write in transaction.writes]
+        return [key for key in keys if key.startswith(state_wire.JOB_PREFIXES)]
 
-    def holder(self, what):
-        row = self.state.keys.get(LIVE_PREFIX + what)
-        return None if row is None else row[0]["node"]
+    def holder(self, role: str) -> str | None:
+        """Who holds a role now."""
+        row = self.state.keys.get(LIVE_PREFIX + role)
+        return None if row is None else state_wire.read_holder(row.data)
 
-    def check_writer(self, data, source, existed, holders):
-        """What a job's record already held is changed by the holder of its shard, or called off."""
-        claimed = self.claims(data)
+    def check_writer(
+        self,
+        transaction: Transaction,
+        source: str,
+        existing: set[str],
+        holders: dict[str, str | None],
+    ) -> None:
+        """What a job's record already held is changed by its shard's holder, or cancelled.
+
+        Args:
+            transaction: What was committed.
+            source: Who committed it.
+            existing: The keys of job records among its writes that were there before.
+            holders: Who held the shards on whose epochs it hangs.
+        """
+        claimed = self.claimed_roles(transaction)
         former = {
-            what: node for what, node in holders.items() if node != source and what not in claimed
+            role: holder
+            for role, holder in holders.items()
+            if holder != source and role not in claimed
         }
         if former:
-            self.breach("stale_holder_write", f"{source} commits on the epoch of {former}")
-        # Parts that no record names any more are removed without.
+            self.observer.record("stale_holder_write", f"{source} commits on the epoch of {former}")
+        # Chunks that no record names any more are removed without.
         changed = [
             write
-            for write in data.get("writes", [])
-            if (write.get("put") or write.get("remove")) in existed
-            and not write.get("remove", "").startswith(LIVE_PREFIX + "t/")
+            for write in transaction.writes
+            if write.key in existing
+            and not (write.data is None and write.key.startswith(state_wire.CHUNK_PREFIX))
         ]
-        calls_off = all("put" in write and write["data"].get("w") for write in changed)
-        if changed and not holders and not calls_off:
-            self.breach("stale_holder_write", f"{source} changes {existed} on no shard's epoch")
-
-    def note(self, what, before, node):
-        change = Change(self.world.now, what, node, before)
-        self.changes.append(change)
-        if not self.watching or before in (None, node):
+        cancels_all = all(
+            write.data is not None and state_wire.is_cancelled(write.data) for write in changed
+        )
+        if changed and not holders and not cancels_all:
+            self.observer.record(
+                "stale_holder_write", f"{source} changes {existing} on no shard's epoch"
+            )
+
+    def note_change(self, role: str, before: str | None, holder: str | None) -> None:
+        """A role was claimed, perhaps by its holder."""
+        self.changes.append(Change(self.world.now, role, holder, before))
+        if not self.watching or before is None or before == holder:
             return
-        if what != "lead" and node == self.home(what):
+        if role != LEADER and holder == self.home(role):
             return
-        if self.able(before):
-            self.breach("false_failover", f"{node} takes {what} from {before}, which could work")
+        if self.is_able(before):
+            self.observer.record(
+                "false_failover", f"{holder} takes {role} from {before}, which could work"
+            )
         lately = [
-            row
-            for row in self.moves(0.0)
-            if row.what == what and row.at > self.world.now - BOUNCE_WINDOW_S
+            change
+            for change in self.handovers(0.0)
+            if change.role == role and change.at > self.world.now - FLAPPING_WINDOW_S
         ]
-        if len(lately) > MOST_IN_WINDOW:
-            self.breach("shard_flapping", f"{what} changed hands {len(lately)} times in a minute")
+        if len(lately) > MAX_IN_WINDOW:
+            self.observer.record(
+                "shard_flapping", f"{role} changed hands {len(lately)} times in a minute"
+            )
+
+    # --- what roles and controllers are like
 
-    def breach(self, rule, text):
-        self.cluster.observer.breach(rule, text)
+    def home(self, shard: str) -> str:
+        """The controller that holds a shard when all are well."""
+        return self.cluster.names[int(shard[len(SHARD) :]) % len(self.cluster.names)]
 
-    def home(self, what):
-        return self.cluster.names[int(what[2:]) % len(self.cluster.names)]
+    def is_able(self, controller: str) -> bool:
+        """Whether a controller can do its work, for long enough that others could know.
 
-    def able(self, node):
-        """Whether the controller runs, stands not still, and the state service serves it; for long
-        enough that others could know.
+        It runs, does not stand still, and the state service serves it.
         """
-        process, now = self.cluster.processes[node], self.world.now
-        fresh = self.cluster.limits["lease_s"] * ABLE_SHARE
+        process, now = self.cluster.processes[controller], self.world.now
+        fresh_s = self.cluster.deployment.lease_s * ABLE_SHARE
         return (
             process.alive
-            and process.frozen_until <= now
-            and self.world.blocked(node, "state") is None
-            and now - self.first_served.get(process, now) >= fresh
-            and now - self.served_at.get(node, -1e9) < fresh
+            and process.paused_until <= now
+            and self.world.partition_between(controller, state_service.HOST) is None
+            and now - self.first_served_at.get(process, now) >= fresh_s
+            and now - self.served_at.get(controller, -1e9) < fresh_s
         )
 
-    def look(self):
+    def is_alive(self, controller: str | None) -> bool:
+        """Whether there is a process of this controller."""
+        return controller is not None and self.cluster.processes[controller].alive
+
+    def check_unowned(self) -> None:
         """What is held by a process that is no more must find another holder in time."""
-        self.world.at(0.5, self.look)
-        now, anyone = self.world.now, any(map(self.able, self.cluster.names))
-        whats = ["lead", *(key[len(LIVE_PREFIX) :] for key in self.state.keys if key[5:7] == "s/")]
-        for what in whats:
-            holder = self.holder(what)
-            alive = holder is not None and self.cluster.processes[holder].alive
-            if alive or not anyone or now < 10:
-                self.left_since.pop(what, None)
+        self.world.at(CHECK_INTERVAL_S, self.check_unowned)
+        now = self.world.now
+        somebody_able = any(map(self.is_able, self.cluster.names))
+        for role in [LEADER, *self.shards()]:
+            holder = self.holder(role)
+            if self.is_alive(holder) or not somebody_able or now < STARTUP_S:
+                self.unowned_since.pop(role, None)
                 continue
-            since = self.left_since.setdefault(what, now)
-            if now - since > LEFT_SHARE * self.cluster.limits["lease_s"]:
-                self.breach(
-                    "left_unowned", f"{what} is {holder}'s, which is no more, since {since}"
+            since = self.unowned_since.setdefault(role, now)
+            if now - since > UNOWNED_SHARE * self.cluster.deployment.lease_s:
+                self.observer.record(
+                    "left_unowned", f"{role} is {holder}'s, which is no more, since {since}"
                 )
 
+    def shards(self) -> list[str]:
+        """All shards that have a key."""
+        return [key[len(LIVE_PREFIX) :] for key in self.state.keys if key.startswith(SHARD_PREFIX)]
+
     # --- what scenarios ask
 
-    def moves(self, since):
-        """Changes of hands from then on."""
+    def handovers(self, since: float) -> list[Change]:
+        """The changes from one holder to another, from a moment on."""
         return [
-            row for row in self.changes if row.at >= since and row.before not in (None, row.node)
+            change
+            for change in self.changes
+            if change.at >= since and change.before is not None and change.before != change.holder
         ]
 
-    def losses(self, node, since):
-        """What others took from the controller from then on; but for shards not its own."""
+    def losses(self, controller: str, since: float) -> list[Change]:
+        """What others took from a controller from a moment on; but for shards not its own."""
         return [
-            row
-            for row in self.moves(since)
-            if row.before == node and (row.what == "lead" or row.node != self.home(row.what))
+            change
+            for change in self.handovers(since)
+            if change.before == controller
+            and (change.role == LEADER or change.holder != self.home(change.role))
         ]
 
-    def held_at(self, node, moment):
-        """What the controller held at that moment."""
-        held = {}
-        for row in self.changes:
-            if row.at <= moment:
-                held[row.what] = row.node
-        return {what for what, name in held.items() if name == node}
-
-    def taken_over(self, node, moment):
-        """How long it took until all that the controller held was others'; infinite if it isn't."""
-        waiting = self.held_at(node, moment)
-        assert waiting, f"{node} held nothing at {moment}"
-        for row in self.changes:
-            if row.at > moment and row.node != node:
-                waiting.discard(row.what)
+    def held_at(self, controller: str, moment: float) -> set[str]:
+        """What a controller held at a moment."""
+        held: dict[str, str | None] = {}
+        for change in self.changes:
+            if change.at <= moment:
+                held[change.role] = change.holder
+        return {role for role, holder in held.items() if holder == controller}
+
+    def failover_s(self, controller: str, moment: float) -> float:
+        """How long it took until all that a controller held was others'; infinite if it isn't."""
+        waiting = self.held_at(controller, moment)
+        assert waiting, f"{controller} held nothing at {moment}"
+        for change in self.changes:
+            if change.at > moment and change.holder != controller:
+                waiting.discard(change.role)
                 if not waiting:
-                    return row.at - moment
+                    return change.at - moment
         return float("inf")
 
-    def most_held(self, node, since):
-        """The most shards that the controller ever held from then on."""
-        held, most = set(), 0
-        for row in self.changes:
-            if row.what == "lead":
+    def most_shards_held(self, controller: str, since: float) -> int:
+        """The most shards that a controller ever held from a moment on."""
+        held: set[str] = set()
+        maximum = 0
+        for change in self.changes:
+            if change.role == LEADER:
                 continue
-            (held.add if row.node == node else held.discard)(row.what)
-            if row.at >= since:
-                most = max(most, len(held))
-        return most
-
-    def away_from_home(self):
-        """Shards whose holder is not their home in the end."""
-        shards = [
-            key[len(LIVE_PREFIX) :] for key in self.state.keys if key.startswith(LIVE_PREFIX + "s/")
-        ]
-        return {what: self.holder(what) for what in shards if self.holder(what) != self.home(what)}
+            if change.holder == controller:
+                held.add(change.role)
+            else:
+                held.discard(change.role)
+            if change.at >= since:
+                maximum = max(maximum, len(held))
+        return maximum
+
+    def away_from_home(self) -> dict[str, str | None]:
+        """The shards whose holder is not their home now."""
+        return {
+            shard: self.holder(shard)
+            for shard in self.shards()
+            if self.holder(shard) != self.home(shard)
+        }
--- /dev/null
+++ b/tests/stand_ins/real_time_world.py
@@ -0,0 +1,115 @@
+"""The world in real time: its clock is the real one, and HTTP carries messages on loopback."""
+
+import heapq
+import threading
+import time
+from collections.abc import Callable
+from typing import Any
+
+from emberglade.transport import ClientPool, Server, ServerLimits
+
+from .world import Reply, World
+
+LOOPBACK = "127.0.0.1"
+CLIENT_THREADS, CLIENT_CONNECTIONS = 16, 64
+SERVER_LIMITS = ServerLimits(
+    max_connections=256, max_user_connections=256, answer_timeout_s=30.0, idle_timeout_s=60.0
+)
+
+
+class RealTimeWorld(World):
+    """The world's events at their real time, one after the other in the thread that runs it.
+
+    Attributes:
+        fronts: The address where each controller serves users and workers.
+        servers: The server of a stand-in for one of its clients, by both their names.
+    """
+
+    def __init__(self, seed: int) -> None:
+        self.begun_at = time.monotonic()
+        self.planned = threading.Condition()
+        super().__init__(seed)
+        self.pool = ClientPool(CLIENT_THREADS, CLIENT_CONNECTIONS, "world")
+        self.fronts: dict[str, str] = {}
+        self.servers: dict[tuple[str, str], Server] = {}
+
+    @property
+    def now(self) -> float:
+        """Seconds since the world began."""
+        return time.monotonic() - self.begun_at
+
+    @now.setter
+    def now(self, value: float) -> None:
+        """The clock can't be set."""
+
+    def at(self, delay: float, action: Callable, *args: Any) -> None:
+        """Plans a call; any thread may."""
+        with self.planned:
+            super().at(delay, action, *args)
+            self.planned.notify()
+
+    def run(self, until: float) -> None:
+        """Plays events as their time comes, up to a moment."""
+        while self.now < until:
+            with self.planned:
+                due = self.events[0][0] if self.events else until
+                if due > self.now:
+                    self.planned.wait(min(due, until) - self.now)
+                    continue
+                _, _, action, args = heapq.heappop(self.events)
+            action(*args)
+
+    def request(
+        self,
+        source: str,
+        target: str,
+        method: str,
+        path: str,
+        body: Any,
+        timeout: float,
+        reply: Reply,
+    ) -> None:
+        """One call of a stand-in to a controller, over HTTP."""
+        self.pool.call(
+            self.fronts[target],
+            method,
+            path,
+            body,
+            timeout,
+            lambda status, data: self.at(0.0, reply, status, data),
+        )
+
+    def serve(self, name: str, source: str) -> int:
+        """The port where a stand-in serves one of its clients, known by the port it comes to."""
+        if (name, source) not in self.servers:
+
+            def route(method: str, path: str, body: bytes, reply: Reply) -> None:
+                self.at(0.0, self.handle, name, method, path, body, source, reply)
+
+            server = Server((LOOPBACK, 0), route, SERVER_LIMITS)
+            server.begin(f"{name} for {source}")
+            self.servers[name, source] = server
+        return self.servers[name, source].server_port
+
+    def handle(
+        self, name: str, method: str, path: str, body: bytes, source: str, reply: Reply
+    ) -> None:
+        """Hands a request to a stand-in."""
+        handler = self.hosts.get(name)
+        if handler is not None:
+            handler(method, path, body, source, reply)
+
+    def address_of(self, worker: str) -> str:
+        """Where a worker takes direct commands."""
+        return f"{LOOPBACK}:{self.serve(worker, 'controllers')}"
+
+    def is_blocked(self, source: str, target: str) -> bool:
+        """Whether what the one sends to the other does not arrive now."""
+        return self.partition_between(source, target) is not None or any(
+            block.applies(source, target, self.now) for block in self.drops
+        )
+
+    def stop(self) -> None:
+        """Ends all servers."""
+        for server in self.servers.values():
+            server.shutdown()
--- /dev/null
+++ b/tests/stand_ins/state_service.py
@@ -0,0 +1,300 @@
+"""A stand-in for the state service: keys, transactions, leases, watches, limits, outages."""
+
+import urllib.parse
+from collections.abc import Callable
+from typing import Any
+
+import orjson
+
+from . import state_wire as wire
+from .state_records import Lease, StoredKey, TokenBucket
+from .state_watches import Watches
+from .state_wire import Transaction, Write
+from .world import CLOCK_SLACK_S, Reply, World
+
+HOST = "state"
+TRANSACTION_BYTES = 64 * 1024
+CONDITIONS_PER_WRITE = 4  # a transaction may hold so many times its writes in conditions
+# When a transaction that gets no answer is carried out.
+MIN_LATE_S, MAX_LATE_S = 2, 12
+MALFORMED_ANSWERS: list[tuple[int, Any]] = [
+    (200, None),
+    (200, {"pairs": 7}),
+    (503, "<html>"),
+    (409, []),
+    (410, {}),
+    (429, None),
+]
+
+Answer = tuple[int, Any]
+# Called before each transaction; what it returns is called once the transaction is committed.
+Audit = Callable[[Transaction, str], Callable[[], None]]
+
+
+class StateService:
+    """The keys, their revisions, and what is refused.
+
+    Attributes:
+        keys: All keys.
+        revision: The newest revision.
+        outage_until: Until when it answers nobody.
+        refused_until: For some controllers, until when it refuses them alone.
+        late_share: The share of transactions that gets no answer and is carried out after newer
+            ones, `late_until` a moment.
+        late_applied: How many of those changed something.
+        malformed_chance: The chance of a malformed answer.
+        limits_lowered: Whether the limits have fallen: what is too large is refused from then on.
+        refused_sizes: (who, what) of values and transactions refused for their size since.
+        refused_transactions: How many were above TRANSACTION_BYTES in all.
+        largest_value: The size of the largest value written below `eg/l/m` and the like.
+        write_counts: The puts and removals below `eg/l/m` and the like.
+        lease_count: How many leases were ever granted.
+        audits: See Audit.
+        served_listeners: Called with the name of each host that gets an answer of status 200.
+    """
+
+    def __init__(
+        self,
+        world: World,
+        request_rate: float,
+        write_rate: float,
+        value_bytes: int,
+        transaction_writes: int,
+    ) -> None:
+        self.world = world
+        self.request_rate = request_rate
+        self.write_rate = write_rate
+        self.value_bytes = value_bytes
+        self.transaction_writes = transaction_writes
+        self.request_bucket = TokenBucket(request_rate)
+        self.write_bucket = TokenBucket(write_rate)
+        self.keys: dict[str, StoredKey] = {}
+        self.revision = 0
+        self.leases: dict[int, Lease] = {}
+        self.lease_count = 0
+        self.watches = Watches(self)
+        self.outage_until = -1.0
+        self.refused_until: dict[str, float] = {}
+        self.late_share = 0.0
+        self.late_until = -1.0
+        self.late_applied = 0
+        self.malformed_chance = 0.0
+        self.limits_lowered = False
+        self.refused_sizes: list[tuple[str, str]] = []
+        self.refused_transactions = 0
+        self.largest_value: dict[str, int] = {}
+        self.write_counts: dict[str, int] = {}
+        self.audits: list[Audit] = []
+        self.served_listeners: list[Callable[[str], None]] = []
+        world.hosts[HOST] = self.handle
+
+    # --- faults
+
+    def lower_limits(self, value_bytes: int, transaction_writes: int, write_rate: float) -> None:
+        """Lowers the limits without notice; what is stored stays readable."""
+        self.value_bytes = value_bytes
+        self.transaction_writes = transaction_writes
+        self.write_rate = write_rate
+        self.limits_lowered = True
+
+    def begin_outage(self, seconds: float) -> None:
+        """Answers nobody for a while; all leases get their full time again."""
+        self.outage_until = self.world.now + seconds
+        for lease in self.leases.values():
+            lease.expires_at += seconds + lease.life_s
+
+    def refuse(self, controller: str, seconds: float) -> None:
+        """Refuses one controller alone."""
+        self.refused_until[controller] = self.world.now + seconds
+
+    def delay_transactions(self, share: float, seconds: float) -> None:
+        """Leaves a share of transactions without an answer and carries them out late."""
+        self.late_share = share
+        self.late_until = self.world.now + seconds
+
+    def expire_lease_of(self, key: str) -> None:
+        """Ends the lease that a key hangs on, as if its renewals had come too late."""
+        if key in self.keys:
+            number = self.keys[key].lease
+            assert number is not None
+            self.leases[number].expires_at = self.world.now
+            self.expire(number)
+
+    # --- requests
+
+    def handle(self, method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
+        """Answers one request of a controller."""
+        random = self.world.random
+
+        def answer(status: int, data: Any = None) -> None:
+            if status == 200:
+                for served in self.served_listeners:
+                    served(source)
+            reply(status, data)
+
+        if self.world.now < self.outage_until or self.is_refused(source):
+            answer(503, {"error": "trouble"})
+        elif self.malformed_chance and random.random() < self.malformed_chance:
+            answer(*random.choice(MALFORMED_ANSWERS))
+        elif not self.request_bucket.take(1, self.request_rate, self.world.now):
+            answer(429, {})
+        else:
+            self.route(path, orjson.loads(body) if body else {}, source, answer)
+
+    def is_refused(self, source: str) -> bool:
+        """Whether a controller alone is refused now."""
+        return self.refused_until.get(source, -1) > self.world.now
+
+    def route(self, path: str, data: dict[str, Any], source: str, reply: Reply) -> None:
+        """Answers a request that is within the limits."""
+        path, _, query = path.partition("?")
+        options = dict(urllib.parse.parse_qsl(query))
+        if path == wire.TRANSACTION_PATH:
+            self.receive_transaction(wire.read_transaction(data), source, reply)
+        elif path == wire.LEASES_PATH:
+            reply(200, wire.write_lease(self.grant_lease(wire.read_lease_life(data))))
+        elif path.startswith(wire.LEASES_PATH + "/"):
+            reply(*self.renew_lease(int(path.split("/")[2])))
+        elif path == wire.WATCH_PATH:
+            self.watches.open(wire.read_watch(options), source, reply)
+        elif path == wire.KEYS_PATH:
+            reply(200, self.list_keys(wire.read_list(options)))
+        elif path.startswith(wire.KEYS_PATH + "/"):
+            reply(*self.get_key(path[len(wire.KEYS_PATH) + 1 :]))
+        else:
+            reply(404, {})
+
+    def list_keys(self, request: wire.ListRequest) -> dict[str, Any]:
+        """One page of the keys below a prefix."""
+        names = sorted(
+            key for key in self.keys if key.startswith(request.prefix) and key > request.after
+        )
+        rows = [
+            wire.write_key(name, self.keys[name].data, self.keys[name].mod_revision)
+            for name in names[: request.limit]
+        ]
+        return wire.write_keys(rows, len(names) > request.limit, self.revision)
+
+    def get_key(self, name: str) -> Answer:
+        """One key."""
+        found = self.keys.get(name)
+        if found is None:
+            return 404, wire.write_revision(self.revision)
+        return 200, wire.write_key(name, found.data, found.mod_revision)
+
+    # --- transactions
+
+    def receive_transaction(self, transaction: Transaction, source: str, reply: Reply) -> None:
+        """Carries a transaction out and answers, or carries it out late without an answer."""
+        random = self.world.random
+        if self.world.now < self.late_until and random.random() < self.late_share:
+            delay = random.uniform(MIN_LATE_S, MAX_LATE_S)
+            self.world.at(delay, self.apply_late, transaction, source)
+        else:
+            reply(*self.transact(transaction, source))
+
+    def apply_late(self, transaction: Transaction, source: str) -> None:
+        """Carries out a transaction that nobody waits for any more."""
+        before = self.revision
+        self.transact(transaction, source)
+        self.late_applied += self.revision > before
+
+    def transact(self, transaction: Transaction, source: str) -> Answer:
+        """Carries a transaction out; the audits see what was before and what came of it."""
+        committed = [audit(transaction, source) for audit in self.audits]
+        status, body = self.commit(transaction, source)
+        if status == 200:
+            for note in committed:
+                note()
+        return status, body
+
+    def commit(self, transaction: Transaction, source: str) -> Answer:
+        """Makes a transaction's changes if the limits, its leases and its conditions allow."""
+        excess = self.excess(transaction)
+        assert excess is None or self.limits_lowered, excess
+        if excess is not None:
+            self.refused_sizes.append((source, excess))
+            return 400, {"error": "too large"}
+        if transaction.size_bytes() > TRANSACTION_BYTES:
+            self.refused_transactions += 1
+            return 400, {"error": "the transaction is too large"}
+        writes = transaction.writes
+        if not self.write_bucket.take(len(writes), self.write_rate, self.world.now):
+            return 429, {}
+        if any(write.lease is not None and write.lease not in self.leases for write in writes):
+            return 400, {"error": "no such lease"}
+        failed = [
+            key
+            for key, mod_revision in transaction.conditions
+            if self.mod_revision_of(key) != mod_revision
+        ]
+        if failed:
+            return 409, wire.write_failed_conditions(failed, self.revision)
+        if writes:
+            self.apply(writes)
+        return 200, wire.write_revision(self.revision)
+
+    def mod_revision_of(self, key: str) -> int:
+        """The revision at which a key last changed; 0 if there is no such key."""
+        found = self.keys.get(key)
+        return 0 if found is None else found.mod_revision
+
+    def excess(self, transaction: Transaction) -> str | None:
+        """What of a transaction is above the limits, or None."""
+        if (
+            len(transaction.writes) > self.transaction_writes
+            or len(transaction.conditions) > CONDITIONS_PER_WRITE * self.transaction_writes
+        ):
+            return "over the limits of a transaction"
+        for write in transaction.writes:
+            size = len(orjson.dumps(write.data))
+            if size > self.value_bytes:
+                return f"{write.key}: a value is too large"
+            kind = wire.key_kind(write.key)
+            self.largest_value[kind] = max(self.largest_value.get(kind, 0), size)
+        return None
+
+    def apply(self, writes: list[Write]) -> None:
+        """Makes changes at one new revision."""
+        self.revision += 1
+        for write in writes:
+            kind = wire.key_kind(write.key)
+            self.write_counts[kind] = self.write_counts.get(kind, 0) + 1
+            if write.data is None:
+                self.keys.pop(write.key, None)
+                event = wire.write_removal(write.key, self.revision)
+            else:
+                self.keys[write.key] = StoredKey(write.data, self.revision, write.lease)
+                event = wire.write_put(write.key, write.data, self.revision)
+            self.watches.record(self.revision, write.key, event)
+        self.watches.serve()
+
+    # --- leases
+
+    def grant_lease(self, life_s: float) -> int:
+        """A new lease's number."""
+        self.lease_count += 1
+        self.leases[self.lease_count] = Lease(life_s, self.world.now + life_s)
+        self.world.at(life_s, self.expire, self.lease_count)
+        return self.lease_count
+
+    def renew_lease(self, number: int) -> Answer:
+        """Gives a lease its full time again."""
+        lease = self.leases.get(number)
+        if lease is None:
+            return 404, {}
+        lease.expires_at = self.world.now + lease.life_s
+        return 200, {}
+
+    def expire(self, number: int) -> None:
+        """Ends a lease if its time is up, and removes the keys that hang on it."""
+        lease = self.leases.get(number)
+        if lease is None:
+            return
+        if lease.expires_at > self.world.now + CLOCK_SLACK_S:
+            self.world.at(lease.expires_at - self.world.now, self.expire, number)
+            return
+        del self.leases[number]
+        gone = [Write(key, None) for key, row in self.keys.items() if row.lease == number]
+        if gone:
+            self.apply(gone)
--- /dev/null
+++ b/tests/stand_ins/users.py
@@ -0,0 +1,197 @@
+"""A stand-in for users: they submit, poll, cancel, and repeat what got no proper answer."""
+
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from . import wire
+from .observer import Observer
+from .submissions import Submission, job_of
+from .world import World
+
+HOST = "user"
+SUBMIT_TIMEOUT_S = 5.0
+POLL_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 5.0
+FINAL_POLL_INTERVAL_S = 40.0  # users may ask again at any later time, more rarely
+RETRY_S = 1.0  # plus up to a second
+GIVE_UP_S = 60
+NEED_ACCEPTED_RETRY_S = 0.3
+JOB_ACCEPTED_RETRY_S = 1.0
+SPREAD_OF_CANCELLATIONS_S = 0.2
+MAX_HUNG_MACHINES = 8
+AFTER_COMPLETION_S = 2.0  # within it a user reacts to the end of a job
+
+
+class Users:
+    """All users; they reach the controllers through a load balancer that picks one at random.
+
+    Attributes:
+        cancel_share: The share of arrays that are cancelled at the moment of their last task's
+            end; `cancel_until` a moment.
+        cancelled_on_completion: How many were.
+    """
+
+    def __init__(self, world: World, observer: Observer, controllers: list[str]) -> None:
+        self.world = world
+        self.observer = observer
+        self.controllers = controllers
+        self.cancel_share = 0.0
+        self.cancel_until = -1.0
+        self.cancelled_on_completion = 0
+        observer.on_array_completed = self.react_to_completion
+
+    # --- submissions
+
+    def submit(self, job: Submission) -> None:
+        """Submits a job, once the jobs that it needs are accepted."""
+        if not all(need in self.observer.accepted_at for need in job.needs or ()):
+            # Users name what they know to be accepted.
+            self.world.at(NEED_ACCEPTED_RETRY_S, self.submit, job)
+            return
+        assert job.id is not None
+        if job.actual_run_s is None:
+            job.actual_run_s = job.estimated_run_s
+        self.observer.jobs[job.id] = job
+        self.observer.submitted_at[job.id] = self.world.now
+        self.try_to_submit(job, self.world.now)
+
+    def try_to_submit(self, job: Submission, since: float) -> None:
+        """Sends a submission, and again until it gets an answer for good or a minute is over."""
+        assert job.id is not None
+        job_id, asked_at = job.id, self.world.now
+
+        def answered(status: int, body: Any) -> None:
+            self.observer.answered(job_id, asked_at, status, body)
+            if status in (200, 201):
+                self.world.at(POLL_INTERVAL_S, self.poll, job_id)
+            elif status not in (400, 422) and self.world.now - since < GIVE_UP_S:
+                self.world.at(self.draw_retry_s(), self.try_to_submit, job, since)
+
+        self.post(wire.SUBMISSIONS_PATH, wire.write_submission(job), answered)
+
+    def draw_retry_s(self) -> float:
+        """After how long a user tries again."""
+        return RETRY_S + self.world.random.random()
+
+    def submit_again(self, job_id: str, changes: dict[str, Any] | None = None) -> None:
+        """Repeats a submission, with some fields of its body changed."""
+        body = {**wire.write_submission(self.observer.jobs[job_id]), **(changes or {})}
+        self.post(wire.SUBMISSIONS_PATH, body, self.note_answer(job_id))
+
+    # --- polls
+
+    def poll(self, job_id: str) -> None:
+        """Asks for a job's state again and again."""
+        note = self.note_answer(job_id)
+
+        def answered(status: int, body: Any) -> None:
+            note(status, body)
+            over = status == 200 and job_id in self.observer.final
+            delay = FINAL_POLL_INTERVAL_S if over else POLL_INTERVAL_S
+            self.world.at(delay, self.poll, job_id)
+
+        self.get(wire.submission_path(job_id), answered)
+
+    def poll_once(self, job_id: str) -> None:
+        """Asks for a job's state."""
+        self.get(wire.submission_path(job_id), self.note_answer(job_id))
+
+    # --- cancellations
+
+    def cancel(
+        self, job_id: str, since: float | None = None, controller: str | None = None
+    ) -> None:
+        """Cancels a job, again and again until it is told to be, or for a minute.
+
+        Args:
+            job_id: The job; it is cancelled once it is accepted.
+            since: When the user began to ask; None: now.
+            controller: Where the user's connection leads to; None: anywhere.
+        """
+        if job_id not in self.observer.accepted_at:
+            # Users cancel what they know to be accepted.
+            self.world.at(JOB_ACCEPTED_RETRY_S, self.cancel, job_id, None, controller)
+            return
+        begun_at = self.world.now if since is None else since
+        self.observer.cancel_asked.add(job_id)
+        note = self.note_answer(job_id)
+
+        def answered(status: int, body: Any) -> None:
+            note(status, body)
+            if status != 200 and self.world.now - begun_at < GIVE_UP_S:
+                self.world.at(self.draw_retry_s(), self.cancel, job_id, begun_at, controller)
+
+        self.post(wire.cancel_path(job_id), {}, answered, controller)
+
+    def cancel_once(self, job_id: str) -> None:
+        """Asks to cancel a job, whatever the answer."""
+        self.post(wire.cancel_path(job_id), {}, self.note_answer(job_id))
+
+    def cancel_running_jobs(self, count: int, hang_s: float) -> None:
+        """Cancels some running jobs almost at once.
+
+        Args:
+            count: How many.
+            hang_s: How long some of their machines hang; 0: none does.
+        """
+        rng = self.world.random
+        running = {job_of(name) for name, places in self.observer.on.items() if places}
+        candidates = sorted(running - self.observer.cancel_asked)
+        chosen = rng.sample(candidates, min(count, len(candidates)))
+        for job_id in chosen:
+            self.world.at(rng.uniform(0, SPREAD_OF_CANCELLATIONS_S), self.cancel, job_id)
+        if hang_s:
+            self.hang_machines_of(chosen, hang_s)
+
+    def hang_machines_of(self, job_ids: Iterable[str], seconds: float) -> None:
+        """Hangs some of the machines that jobs are on."""
+        names = {
+            machine
+            for name, places in self.observer.on.items()
+            if job_of(name) in job_ids
+            for machine in places
+        }
+        for name in self.world.random.sample(sorted(names), min(MAX_HUNG_MACHINES, len(names))):
+            machine = self.observer.machines[name]
+            if not machine.hung:
+                machine.hang(seconds)
+
+    def cancel_on_completion(self, share: float, seconds: float) -> None:
+        """For a while, cancels a share of the arrays at the moment when they are complete."""
+        self.cancel_share = share
+        self.cancel_until = self.world.now + seconds
+
+    def react_to_completion(self, job_id: str) -> None:
+        """The last task of an array has just completed.
+
+        Its user may cancel it, ask for it, and submit it again.
+        """
+        rng = self.world.random
+        if self.world.now < self.cancel_until and rng.random() < self.cancel_share:
+            self.cancelled_on_completion += 1
+            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.cancel, job_id)
+            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.poll_once, job_id)
+            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.submit_again, job_id)
+
+    # --- requests
+
+    def note_answer(self, job_id: str) -> Callable[[int, Any], None]:
+        """What tells the observer of the answer to a request that is sent now."""
+        asked_at = self.world.now
+        return lambda status, body: self.observer.answered(job_id, asked_at, status, body)
+
+    def post(
+        self,
+        path: str,
+        body: dict[str, Any],
+        answered: Callable[[int, Any], None],
+        controller: str | None = None,
+    ) -> None:
+        """Sends a submission or a cancellation to a controller, any if none is named."""
+        target = controller or self.world.random.choice(self.controllers)
+        self.world.request(HOST, target, "POST", path, body, SUBMIT_TIMEOUT_S, answered)
+
+    def get(self, path: str, answered: Callable[[int, Any], None]) -> None:
+        """Asks any controller."""
+        target = self.world.random.choice(self.controllers)
+        self.world.request(HOST, target, "GET", path, None, POLL_TIMEOUT_S, answered)
