--- a/tests/stand_ins/world.py
+++ b/tests/stand_ins/world.py
@@ -1,186 +1,217 @@
-"""Simulated time, and a network that delays, holds, loses and repeats messages."""
+"""Simulated time, and a network that delays, drops and duplicates messages."""
 
 import heapq
 import itertools
 import random
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
 
 import orjson
 
-from emberglade.actors import tell
 from emberglade.transport import NO_ANSWER, REFUSED
 
+Reply = Callable[..., None]  # called with status and decoded body
+Handler = Callable[..., None]  # called with method, path, body bytes, source and a Reply
 
-class World:
-    """The clock, the events to come, and the network between hosts."""
+MIN_DELAY_S = 0.001
+DELAY_SPREAD_S = 0.004
+# How late the second copy of a request may come.
+MIN_REPEAT_DELAY_S, MAX_REPEAT_DELAY_S = 1, 40
+WORKER_PORT = 9000
+CLOCK_SLACK_S = 1e-6  # a moment that is this near counts as come
 
-    def __init__(self, seed):
-        self.random = random.Random(seed)
-        self.now = 0.0
-        self.heap = []
-        self.order = itertools.count()
-        self.hosts = {}  # name -> handler(method, path, body, source, reply) or None while down
-        self.without_power = set()  # hosts whose machine is off: silent while they are down
-        self.cuts = []  # [first set of hosts, second set, until, mode]
-        self.mutes = []  # [from these hosts, to those, until]: lost in this direction alone
-        # [these hosts, to those, until]: can't open connections, while the other way works
-        self.closed = []
-        self.repeat = 0.0  # chance that a request arrives a second time, late
-        # (path, chance, least delay, most delay, hosts): copies that come late, to any of them
-        self.copies = None
-        self.slow = 0.0  # most that a message takes longer
-        self.loss = 0.0  # chance that a message is lost
-
-    def at(self, delay, action, *args):
-        heapq.heappush(self.heap, (self.now + max(delay, 0.0), next(self.order), action, args))
-
-    def run(self, until):
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(self.heap)
-            action(*args)
-        self.now = until
 
-    def address_of(self, worker):
-        """Where a worker takes direct commands."""
-        return worker + ":9000"
+class PartitionMode(StrEnum):
+    """What becomes of messages between the two sides of a partition."""
 
-    # --- network
+    DELAY = "delay"  # they arrive when it is over
+    DROP = "drop"
+
+
+@dataclass(frozen=True)
+class Partition:
+    """Two groups of hosts that don't reach each other."""
+
+    first: set[str]
+    second: set[str]
+    until: float
+    mode: PartitionMode
+
+    def separates(self, source: str, target: str) -> bool:
+        """Whether the two hosts are on different sides."""
+        return (source in self.first and target in self.second) or (
+            source in self.second and target in self.first
+        )
 
-    def cut(self, first, second, seconds, mode):
-        self.cuts.append((set(first), set(second), self.now + seconds, mode))
 
-    def mute(self, sources, targets, seconds):
-        self.mutes.append((set(sources), set(targets), self.now + seconds))
+@dataclass(frozen=True)
+class OneWayBlock:
+    """Something that fails from some hosts to others, and works in the other direction."""
 
-    def close(self, sources, targets, seconds):
-        self.closed.append((set(sources), set(targets), self.now + seconds))
+    sources: set[str]
+    targets: set[str]
+    until: float
 
-    def blocked(self, source, target):
-        for first, second, until, mode in self.cuts:
-            if until > self.now and (
-                (source in first and target in second) or (source in second and target in first)
-            ):
-                return until, mode
+    def applies(self, source: str, target: str, now: float) -> bool:
+        """Whether it fails now between the two hosts."""
+        return source in self.sources and target in self.targets and self.until > now
+
+
+@dataclass(frozen=True)
+class LateDuplicates:
+    """Requests to one path whose duplicates arrive late, at any of some hosts."""
+
+    path: str
+    chance: float
+    min_delay_s: float
+    max_delay_s: float
+    hosts: list[str]
+
+
+class World:
+    """The clock, the events to come, and the network between hosts.
+
+    Attributes:
+        random: The one source of random numbers of a simulated run.
+        now: Seconds since the world began.
+        hosts: The handler of each host by its name; None while its process is down.
+        powered_off: Hosts whose machine is off: silent while they are down.
+        drops: Messages that are lost in one direction.
+        unconnectable: Connections that can't be opened in one direction.
+        repeat_chance: The chance that a request arrives a second time, late.
+        late_duplicates: Late duplicates of requests to one path, if any.
+        max_extra_delay_s: The most that a message takes longer than usual.
+        loss: The chance that a message is lost.
+    """
+
+    def __init__(self, seed: int) -> None:
+        self.random = random.Random(seed)
+        self.now = 0.0
+        self.events: list[tuple[float, int, Callable, tuple]] = []
+        self.event_numbers = itertools.count()
+        self.hosts: dict[str, Handler | None] = {}
+        self.powered_off: set[str] = set()
+        self.partitions: list[Partition] = []
+        self.drops: list[OneWayBlock] = []
+        self.unconnectable: list[OneWayBlock] = []
+        self.repeat_chance = 0.0
+        self.late_duplicates: LateDuplicates | None = None
+        self.max_extra_delay_s = 0.0
+        self.loss = 0.0
+
+    def at(self, delay: float, action: Callable, *args: Any) -> None:
+        """Plans a call in `delay` seconds."""
+        due = self.now + max(delay, 0.0)
+        heapq.heappush(self.events, (due, next(self.event_numbers), action, args))
+
+    def run(self, until: float) -> None:
+        """Plays all events up to a moment."""
+        while self.events and self.events[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(self.events)
+            action(*args)
+        self.now = until
+
+    def address_of(self, worker: str) -> str:
+        """Where a worker takes direct commands."""
+        return f"{worker}:{WORKER_PORT}"
+
+    # --- network faults
+
+    def partition(
+        self, first: Iterable[str], second: Iterable[str], seconds: float, mode: PartitionMode
+    ) -> None:
+        """Separates two groups of hosts, in both directions."""
+        self.partitions.append(Partition(set(first), set(second), self.now + seconds, mode))
+
+    def drop_messages(self, sources: Iterable[str], targets: Iterable[str], seconds: float) -> None:
+        """Loses all messages in this direction, answers among them."""
+        self.drops.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
+
+    def block_connections(
+        self, sources: Iterable[str], targets: Iterable[str], seconds: float
+    ) -> None:
+        """Keeps hosts from opening connections; requests in the other direction work."""
+        self.unconnectable.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
+
+    def partition_between(self, source: str, target: str) -> Partition | None:
+        """The first partition that separates two hosts now."""
+        for partition in self.partitions:
+            if partition.until > self.now and partition.separates(source, target):
+                return partition
         return None
 
-    def carry(self, source, target, deliver):
-        """Delivers after a delay; behind a cut late ('hold') or never ('lose')."""
-        delay = 0.001 + self.random.random() * (0.004 + self.slow)
-        cut = self.blocked(source, target)
-        if any(
-            source in sources and target in targets and until > self.now
-            for sources, targets, until in self.mutes
-        ):
+    # --- messages
+
+    def deliver(self, source: str, target: str, action: Callable[[], None]) -> None:
+        """Carries one message: `action` runs when it arrives, which may be never."""
+        delay = MIN_DELAY_S + self.random.random() * (DELAY_SPREAD_S + self.max_extra_delay_s)
+        partition = self.partition_between(source, target)
+        if any(block.applies(source, target, self.now) for block in self.drops):
             return
-        if cut is not None:
-            if cut[1] == "lose":
+        if partition is not None:
+            if partition.mode is PartitionMode.DROP:
                 return
-            delay += cut[0] - self.now
+            delay += partition.until - self.now
         elif self.random.random() < self.loss:
             return
-        self.at(delay, deliver)
-
-    def request(self, source, target, method, path, body, timeout, reply):
+        self.at(delay, action)
+
+    def request(
+        self,
+        source: str,
+        target: str,
+        method: str,
+        path: str,
+        body: Any,
+        timeout: float,
+        reply: Reply,
+    ) -> None:
         """One call; ends in `reply(status, body)` after an answer or after `timeout`."""
         waiting = [True]
         payload = orjson.dumps(body) if body is not None else b""
 
-        def answer(status, data=None, retry=None):
-            copy = orjson.loads(orjson.dumps(data)) if data is not None else None
-            self.carry(target, source, lambda: finish(status, copy))
+        def answer(status: int, data: Any = None, retry: Any = None) -> None:
+            received = orjson.loads(orjson.dumps(data)) if data is not None else None
+            self.deliver(target, source, lambda: finish(status, received))
 
-        def finish(status, data):
+        def finish(status: int, data: Any) -> None:
             if waiting[0]:
                 waiting[0] = False
                 reply(status, data)
 
-        def arrive(answered):
+        def arrive(respond: Reply) -> None:
             handler = self.hosts.get(target)
             if handler is not None:
-                handler(method, path, payload, source, answered)
-            elif target in self.hosts and target not in self.without_power:
+                handler(method, path, payload, source, respond)
+            elif target in self.hosts and target not in self.powered_off:
                 # Its process has ended; the machine refuses the connection.
-                self.carry(target, source, lambda: finish(REFUSED, None))
-
-        if not any(
-            source in sources and target in targets and until > self.now
-            for sources, targets, until in self.closed
-        ):
-            self.carry(source, target, lambda: arrive(answer))
-        if self.random.random() < self.repeat:
-            self.at(self.random.uniform(1, 40), lambda: arrive(lambda *_: None))
-        if (
-            self.copies is not None
-            and path == self.copies[0]
-            and self.random.random() < self.copies[1]
-        ):
-            host = self.random.choice(self.copies[4])
-            self.at(
-                self.random.uniform(*self.copies[2:4]),
-                lambda: (self.hosts.get(host) or (lambda *_: None))(
-                    method, path, payload, source, lambda *_: None
-                ),
-            )
+                self.deliver(target, source, lambda: finish(REFUSED, None))
+
+        if not any(block.applies(source, target, self.now) for block in self.unconnectable):
+            self.deliver(source, target, lambda: arrive(answer))
+        if self.random.random() < self.repeat_chance:
+            delay = self.random.uniform(MIN_REPEAT_DELAY_S, MAX_REPEAT_DELAY_S)
+            self.at(delay, lambda: arrive(ignore_answer))
+        self._duplicate_late(method, path, payload, source)
         self.at(timeout, finish, NO_ANSWER, None)
 
+    def _duplicate_late(self, method: str, path: str, payload: bytes, source: str) -> None:
+        duplicates = self.late_duplicates
+        if duplicates is None or path != duplicates.path:
+            return
+        if self.random.random() >= duplicates.chance:
+            return
+        host = self.random.choice(duplicates.hosts)
 
-class SimClient:
-    """What a controller uses instead of sockets; silent once its process has ended."""
-
-    def __init__(self, process, target):
-        self.process, self.target = process, target
-
-    def call(self, method, path, body, timeout, reply):
-        process = self.process
-        process.world.request(
-            process.name,
-            self.target,
-            method,
-            path,
-            body,
-            timeout,
-            lambda status, data: reply(status, data) if process.alive else None,
-        )
-
-
-class SimClientPool:
-    """The same for many addresses."""
-
-    def __init__(self, process):
-        self.process = process
-
-    def call(self, address, method, path, body, timeout, reply):
-        SimClient(self.process, address.partition(":")[0]).call(method, path, body, timeout, reply)
-
-
-class SimSystem:
-    """Runs the actors of one controller process on simulated time."""
-
-    def __init__(self, world, name, seed):
-        self.world, self.name, self.alive = world, name, True
-        self.frozen_until = -1.0
-        self.random = random.Random(f"{seed} {name} {world.now}")
-        self.rate = 1 + self.random.uniform(-0.0005, 0.0005)
-        self.offset = self.random.uniform(0, 1000)
-
-    def now(self):
-        return self.offset + self.world.now * self.rate
-
-    def wall(self):
-        return 1.7e9 + self.world.now
+        def arrive() -> None:
+            handler = self.hosts.get(host)
+            if handler is not None:
+                handler(method, path, payload, source, ignore_answer)
 
-    def spawn(self, actor, name):
-        actor.system = self
-        actor._post = lambda delay, handler, args: self.world.at(
-            delay / self.rate, self.deliver, handler, args
-        )
-        tell(actor.on_begin)
+        self.at(self.random.uniform(duplicates.min_delay_s, duplicates.max_delay_s), arrive)
 
-    def freeze(self, until):
-        self.frozen_until = until
 
-    def deliver(self, handler, args):
-        if self.world.now < self.frozen_until:
-            # In the order in which it came, when the process goes on.
-            self.world.at(self.frozen_until - self.world.now, self.deliver, handler, args)
-        elif self.alive:
-            handler(*args)
+def ignore_answer(*_: Any) -> None:
+    """A reply that nobody waits for."""
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,93 +1,126 @@
 """The one runner of all scenarios: small text files under tests/scenarios, one step a line.
 
-Verbs are the methods `do_*` and `expect_*` of the class that the scenario's `kind` names.
+Verbs are the methods `do_*` and `expect_*` of the class that the scenario's `kind` names; see
+`scenario_files` for the verbs that all kinds have.
 """
 
-import shlex
+from collections.abc import Iterator
 from pathlib import Path
+from typing import Any
 
 import broken_builds
 import pytest
+from scenario_files import EXPECT, GUARD, KIND, SEED, SEEDS, Guard, ScenarioFile, read_scenarios
 from scenario_kinds import KINDS
+from scenario_kinds.scenario import Scenario
 
 EXPECTATION = "expectation"  # in the place of a rule: one of the scenario's own lines has to fail
-HERE = Path(__file__).parent / "scenarios"
-FILES = sorted(HERE.rglob("*.txt"))
 
 
-def cases():
-    """Each file, once for each of its `seeds` if it names any, and once for each line `guard
-    BREAKAGE RULE`: played with a build that lacks this guard, the scenario has to break the rule on
-    one of its seeds at least, since what the guard prevents often takes a narrow window.
+def scenario_cases() -> Iterator[Any]:
+    """Each scenario, once for each of its seeds if it names any."""
+    for scenario_file in read_scenarios():
+        for seed in scenario_file.seeds:
+            suffix = f"-{seed}" if seed else ""
+            yield pytest.param(scenario_file, seed, id=scenario_file.name + suffix)
+
+
+def guard_cases() -> Iterator[Any]:
+    """Each line `guard BUILD RULE` of each scenario."""
+    for scenario_file in read_scenarios():
+        for guard in scenario_file.guards:
+            yield pytest.param(scenario_file, guard, id=f"{scenario_file.name}-{guard.build}")
+
+
+@pytest.mark.parametrize(("scenario_file", "seed"), list(scenario_cases()))
+def test_scenario(
+    scenario_file: ScenarioFile,
+    seed: str | None,
+    monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+) -> None:
+    """Plays one scenario, whose expectations have to hold."""
+    play(scenario_file, seed, monkeypatch, tmp_path)
+
+
+@pytest.mark.parametrize(("scenario_file", "guard"), list(guard_cases()))
+def test_guard(
+    scenario_file: ScenarioFile, guard: Guard, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    """Plays a scenario with a build that lacks a guard, which has to break the rule it names.
+
+    On one of its seeds at least, since what a guard prevents often takes a narrow window.
     """
-    for file in FILES:
-        name, rows = (
-            str(file.relative_to(HERE))[:-4],
-            [line.split() for line in file.read_text().splitlines()],
-        )
-        seeds = next((row[1:] for row in rows if row[:1] == ["seeds"]), [None])
-        for seed in seeds:
-            yield pytest.param(file, seed, None, id=name + (f"-{seed}" if seed else ""))
-        for _, breakage, rule in (row for row in rows if row[:1] == ["guard"]):
-            yield pytest.param(file, seeds, (breakage, rule), id=f"{name}-{breakage}")
-
-
-@pytest.mark.parametrize(("file", "seed", "guard"), list(cases()))
-def test_scenario(file, seed, guard, monkeypatch, tmp_path):
-    """Plays one scenario, or its guard."""
-    if guard is None:
-        play(file, seed, None, monkeypatch, tmp_path)
-        return
-    for number in seed:
+    for seed in scenario_file.seeds:
         with monkeypatch.context() as patch:
-            if guard[1] == EXPECTATION:
-                if not holds(file, number, guard[0], patch, tmp_path):
-                    return
-            elif guard[1] in play(file, number, guard[0], patch, tmp_path).rules():
+            if is_caught(scenario_file, seed, guard, patch, tmp_path):
                 return
     raise AssertionError(
-        f"{file.name}: without the guard that {guard[0]} removes, "
-        f"{guard[1]} is not broken on any seed"
+        f"{scenario_file.name}: without the guard that {guard.build} removes, "
+        f"{guard.rule} is not broken on any seed"
     )
 
 
-def holds(file, seed, breakage, monkeypatch, tmp_path):
-    """Whether the scenario's expectations hold with a broken build."""
+def is_caught(
+    scenario_file: ScenarioFile,
+    seed: str | None,
+    guard: Guard,
+    patch: pytest.MonkeyPatch,
+    directory: Path,
+) -> bool:
+    """Whether a scenario breaks a guard's rule when it is played with the broken build."""
+    if guard.rule != EXPECTATION:
+        scenario = begin(scenario_file, patch, directory, guard.build)
+        step_through(scenario, scenario_file, seed, skipped=(GUARD, EXPECT))
+        scenario.play()
+        return guard.rule in scenario.broken_rules()
     try:
-        play(file, seed, breakage, monkeypatch, tmp_path, with_expectations=True)
+        play(scenario_file, seed, patch, directory, guard.build)
     except AssertionError:
-        return False
-    return True
+        return True
+    return False
 
 
-def play(file, seed, breakage, monkeypatch, tmp_path, with_expectations=False):
-    """Plays a scenario's lines; with a breakage, only what leads to its expectations, unless these
-    are what it has to break.
-    """
-    scenario, expected = None, 0
-    skipped = ["guard"] if breakage is None or with_expectations else ["guard", "expect"]
-    for number, line in enumerate(file.read_text().splitlines(), 1):
-        words = shlex.split(line, comments=True, posix=True)
-        if not words:
-            continue
-        if words[0] == "kind":
-            scenario = KINDS[words[1]](monkeypatch, tmp_path)
-            if breakage is not None:
-                broken_builds.apply(breakage, monkeypatch)
-            continue
-        if words[0] in skipped:
+def play(
+    scenario_file: ScenarioFile,
+    seed: str | None,
+    patch: pytest.MonkeyPatch,
+    directory: Path,
+    build: str | None = None,
+) -> None:
+    """Plays a scenario with its expectations."""
+    assert any(line.verb == EXPECT for line in scenario_file.lines), "it has to expect something"
+    scenario = begin(scenario_file, patch, directory, build)
+    step_through(scenario, scenario_file, seed, skipped=(GUARD,))
+    scenario.end()
+
+
+def begin(
+    scenario_file: ScenarioFile, patch: pytest.MonkeyPatch, directory: Path, build: str | None
+) -> Scenario:
+    """A new scenario of the file's kind, with a broken build if one is named."""
+    scenario = KINDS[scenario_file.kind](patch, directory)
+    if build is not None:
+        broken_builds.apply(build, patch)
+    return scenario
+
+
+def step_through(
+    scenario: Scenario,
+    scenario_file: ScenarioFile,
+    seed: str | None,
+    skipped: tuple[str, ...],
+) -> None:
+    """Plays a file's lines but for those with skipped verbs."""
+    for line in scenario_file.lines:
+        if line.verb in (KIND, *skipped):
             continue
-        if words[0] == "seeds":
-            words = ["seed", seed]
-        expected += words[0] in ("expect", "operators")
+        verb, words = line.verb, line.words
+        if verb == SEEDS:
+            assert seed is not None
+            verb, words = SEED, [seed]
         try:
-            scenario.step(words[0], words[1:])
+            scenario.step(verb, words)
         except AssertionError as error:
-            raise AssertionError(f"{file.name}:{number}: {line}\n{error}") from error
-    if breakage is not None and not with_expectations:
-        scenario.play()
-        return scenario
-    if hasattr(scenario, "end"):
-        scenario.end()
-    assert expected, "a scenario has to expect something"
-    return scenario
+            place = f"{scenario_file.path.name}:{line.number}: {line.text}"
+            raise AssertionError(f"{place}\n{error}") from error
