--- a/tests/benchmarks/server_cost.py
+++ b/tests/benchmarks/server_cost.py
@@ -25,7 +25,10 @@
     b'"driftwood":true,"kindling_span":1,"tally":88,"torch":41,"reclaim_s":null,"embers":[]}'
 )
 REQUEST = b"POST /agent/beat HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
-SERVE = "serve"
+ANSWER_BYTES = 4096
+CONNECT_TIMEOUT_S = 10.0
+SERVE = "serve"  # the argument of the server's process
+DEFAULT_CONNECTIONS, DEFAULT_ROUNDS = 400, 15
 
 
 class Usage(NamedTuple):
@@ -36,7 +39,7 @@
     threads: int
 
 
-def serve():
+def serve() -> None:
     """The server's process: prints its port, then a Usage for each line of input."""
     server = Server(
         ("127.0.0.1", 0),
@@ -54,21 +57,23 @@
         print(time.process_time(), resident_bytes(), threading.active_count(), flush=True)
 
 
-def ask_usage(process):
+def ask_usage(process: subprocess.Popen[str]) -> Usage:
     """The Usage of the server's process now."""
+    assert process.stdin is not None
+    assert process.stdout is not None
     process.stdin.write("\n")
     process.stdin.flush()
     processor_s, memory_bytes, threads = process.stdout.readline().split()
     return Usage(float(processor_s), int(memory_bytes), int(threads))
 
 
-def request(connection):
+def request(connection: socket.socket) -> None:
     """One request and its answer."""
     connection.sendall(REQUEST)
-    connection.recv(4096)
+    connection.recv(ANSWER_BYTES)
 
 
-def measure(count, rounds):
+def measure(count: int, rounds: int) -> None:
     """Prints what so many connections and requests cost."""
     with subprocess.Popen(
         [sys.executable, os.path.abspath(__file__), SERVE],
@@ -76,12 +81,15 @@
         stdout=subprocess.PIPE,
         text=True,
     ) as process:
+        assert process.stdin is not None
+        assert process.stdout is not None
         port = int(process.stdout.readline())
         before = ask_usage(process)
         connections = []
         for _ in range(count):
-            connections.append(socket.create_connection(("127.0.0.1", port), 10.0))
-            request(connections[-1])
+            connection = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
+            connections.append(connection)
+            request(connection)
         opened = ask_usage(process)
         for _ in range(rounds):
             for connection in connections:
@@ -103,4 +111,5 @@
     if sys.argv[1:2] == [SERVE]:
         serve()
     else:
-        measure(*[int(word) for word in sys.argv[1:]] or [400, 15])
+        given = [int(word) for word in sys.argv[1:]]
+        measure(*given, *[DEFAULT_CONNECTIONS, DEFAULT_ROUNDS][len(given) :])
--- a/tests/benchmarks/wire_trace.py
+++ b/tests/benchmarks/wire_trace.py
@@ -3,7 +3,7 @@
 Not a test and not run in CI: a tool for changes that must not change behaviour. It plays every
 whole-cluster scenario of a source tree, on each of its seeds, and prints a digest of every request
 and answer that crossed the simulated network: time, sender, receiver, method, path and body. A
-change of names or shape leaves all digests as they were:
+change of names or shape leaves all digests as they were (names of scenarios may differ):
 
     python tests/benchmarks/wire_trace.py /path/to/tree/before > before.txt
     python tests/benchmarks/wire_trace.py . > after.txt
@@ -18,26 +18,36 @@
 import shlex
 import subprocess
 import sys
+from collections.abc import Callable, Iterator, Sequence
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
+from typing import Any
 
 CASE_TIMEOUT_S = 600
+DIGEST_DIGITS = 20
+SHOWN_ERROR_CHARACTERS = 300
 ONE_CASE = "--one-case"
 
 
-def cluster_cases(scenarios):
+def cluster_cases(scenarios: Path) -> Iterator[tuple[Path, str | None]]:
     """Yields (file, seed or None) for every scenario of kind `cluster` below a folder."""
     for file in sorted(scenarios.rglob("*.txt")):
         rows = [shlex.split(line, comments=True) for line in file.read_text().splitlines()]
         if ["kind", "cluster"] not in rows:
             continue
-        seeds = next((row[1:] for row in rows if row[:1] == ["seeds"]), [None])
+        seeds: Sequence[str | None] = next(
+            (row[1:] for row in rows if row[:1] == ["seeds"]), [None]
+        )
         for seed in seeds:
             yield file, seed
 
 
-def play_case(tree, file, seed, note):
-    """Plays one scenario of a tree; `note(bytes)` gets every request and answer in order."""
+def play_case(tree: Path, file: Path, seed: str | None, record: Callable[[bytes], None]) -> None:
+    """Plays one scenario of a tree; `record` gets every request and answer in order.
+
+    It reads the file itself, and uses only what the trees of all versions have: the kinds of
+    scenarios with their `step` and `play`, and `World.request`.
+    """
     sys.path[:0] = [str(tree / "tests"), str(tree)]
     import orjson
     import pytest
@@ -46,34 +56,42 @@
 
     send = World.request
 
-    def traced(world, source, target, method, path, body, timeout, reply):
-        def note_message(kind, *words):
-            note(repr((kind, round(world.now, 9), source, target, *words)).encode())
-
-        def traced_reply(status, data):
-            note_message("answer", method, path, status, orjson.dumps(data))
+    def traced(
+        world: World,
+        source: str,
+        target: str,
+        method: str,
+        path: str,
+        body: Any,
+        timeout: float,
+        reply: Callable[..., None],
+    ) -> None:
+        def record_message(kind: str, *words: Any) -> None:
+            record(repr((kind, round(world.now, 9), source, target, *words)).encode())
+
+        def traced_reply(status: int, data: Any) -> None:
+            record_message("answer", method, path, status, orjson.dumps(data))
             reply(status, data)
 
-        note_message("request", method, path, orjson.dumps(body))
+        record_message("request", method, path, orjson.dumps(body))
         send(world, source, target, method, path, body, timeout, traced_reply)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(World, "request", traced)
-        scenario = None
+        scenario = KINDS["cluster"](patch, Path.cwd())  # which writes no files
         for line in file.read_text().splitlines():
             words = shlex.split(line, comments=True)
-            if not words or words[0] in ("guard", "expect"):
+            if not words or words[0] in ("kind", "guard", "expect"):
                 continue
-            if words[0] == "kind":
-                scenario = KINDS[words[1]](patch, None)
-            elif words[0] == "seeds":
+            if words[0] == "seeds":
+                assert seed is not None
                 scenario.step("seed", [seed])
             else:
                 scenario.step(words[0], words[1:])
         scenario.play()
 
 
-def run_case(tree, name, seed, arguments=()):
+def run_case(tree: Path, name: str, seed: str | None, arguments: Sequence[str] = ()) -> str:
     """Plays one case in a process of its own, with set order fixed; returns what it prints."""
     command = [sys.executable, __file__, str(tree), ONE_CASE, name, *arguments]
     if seed is not None:
@@ -87,25 +105,28 @@
         timeout=CASE_TIMEOUT_S,
         check=False,
     )
-    return done.stdout.strip() if done.returncode == 0 else f"failed: {done.stderr[-300:]!r}"
+    if done.returncode != 0:
+        return f"failed: {done.stderr[-SHOWN_ERROR_CHARACTERS:]!r}"
+    return done.stdout.strip()
 
 
-def print_case(tree, scenarios, options):
+def print_case(tree: Path, scenarios: Path, options: argparse.Namespace) -> None:
     """Prints the digest of one case, or its messages."""
-    digest, count = hashlib.sha256(), 0
+    digest = hashlib.sha256()
+    count = 0
 
-    def note(message):
+    def record(message: bytes) -> None:
         nonlocal count
         count += 1
         digest.update(message)
         if options.dump:
             print(message.decode())
 
-    play_case(tree, scenarios / f"{options.one_case}.txt", options.seed, note)
-    print(f"{count} messages {digest.hexdigest()[:20]}")
+    play_case(tree, scenarios / f"{options.one_case}.txt", options.seed, record)
+    print(f"{count} messages {digest.hexdigest()[:DIGEST_DIGITS]}")
 
 
-def main():
+def main() -> None:
     """Runs the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("tree", type=Path, help="the root of a checkout")
