--- a/tests/benchmarks/failover.py
+++ b/tests/benchmarks/failover.py
@@ -231,7 +231,15 @@
     until = FIRST_FAULT_S + task.faults * INTERVAL_S
     cluster.world.run(until)
     meter.remove()
-    history = History(
+    history = begin_history(variant, cluster, meter, until)
+    for fault in faults:
+        note_outcome(history, ownership, fault)
+    return history
+
+
+def begin_history(variant: Variant, cluster: Cluster, meter: Meter, until: float) -> History:
+    """What came of a history, but for its faults one by one."""
+    return History(
         variant,
         failover_s={kind: [] for kind in ENDED},
         lost=Counter(),
@@ -242,9 +250,6 @@
         processor_s=meter.processor_s,
         controller_s=until * variant.controllers,
     )
-    for fault in faults:
-        note_outcome(history, ownership, fault)
-    return history
 
 
 def note_outcome(history: History, ownership: Ownership, fault: Fault) -> None:
--- a/tests/benchmarks/wire_trace.py
+++ b/tests/benchmarks/wire_trace.py
@@ -42,22 +42,12 @@
             yield file, seed
 
 
-def play_case(tree: Path, file: Path, seed: str | None, record: Callable[[bytes], None]) -> None:
-    """Plays one scenario of a tree; `record` gets every request and answer in order.
-
-    It reads the file itself, and uses only what the trees of all versions have: the kinds of
-    scenarios with their `step` and `play`, and `World.request`.
-    """
-    sys.path[:0] = [str(tree / "tests"), str(tree)]
+def traced(send: Callable[..., None], record: Callable[[bytes], None]) -> Callable[..., None]:
+    """`World.request`, which is `send`, with every request and answer recorded in order."""
     import orjson
-    import pytest
-    from scenario_kinds import KINDS
-    from stand_ins.world import World
-
-    send = World.request
 
-    def traced(
-        world: World,
+    def request(
+        world: Any,
         source: str,
         target: str,
         method: str,
@@ -69,15 +59,29 @@
         def record_message(kind: str, *words: Any) -> None:
             record(repr((kind, round(world.now, 9), source, target, *words)).encode())
 
-        def traced_reply(status: int, data: Any) -> None:
+        def record_and_reply(status: int, data: Any) -> None:
             record_message("answer", method, path, status, orjson.dumps(data))
             reply(status, data)
 
         record_message("request", method, path, orjson.dumps(body))
-        send(world, source, target, method, path, body, timeout, traced_reply)
+        send(world, source, target, method, path, body, timeout, record_and_reply)
+
+    return request
+
+
+def play_case(tree: Path, file: Path, seed: str | None, record: Callable[[bytes], None]) -> None:
+    """Plays one scenario of a tree; `record` gets every request and answer in order.
+
+    It reads the file itself, and uses only what the trees of all versions have: the kinds of
+    scenarios with their `step` and `play`, and `World.request`.
+    """
+    sys.path[:0] = [str(tree / "tests"), str(tree)]
+    import pytest
+    from scenario_kinds import KINDS
+    from stand_ins.world import World
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(World, "request", traced)
+        patch.setattr(World, "request", traced(World.request, record))
         scenario = KINDS["cluster"](patch, Path.cwd())  # which writes no files
         for line in file.read_text().splitlines():
             words = shlex.split(line, comments=True)
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -72,7 +72,8 @@
         holders = {role: self.holder(role) for role in self.shards_conditioned_on(transaction)}
 
         def committed() -> None:
-            self.check_writer(transaction, source, existing, holders)
+            self.check_epochs(transaction, source, holders)
+            self.check_records(transaction, source, existing)
             for role, former in before.items():
                 self.note_change(role, former, self.holder(role))
 
@@ -102,19 +103,14 @@
         row = self.state.keys.get(LIVE_PREFIX + role)
         return None if row is None else state_wire.read_holder(row.data)
 
-    def check_writer(
-        self,
-        transaction: Transaction,
-        source: str,
-        existing: set[str],
-        holders: dict[str, str | None],
+    def check_epochs(
+        self, transaction: Transaction, source: str, holders: dict[str, str | None]
     ) -> None:
-        """What a job's record already held is changed by its shard's holder, or cancelled.
+        """Who commits on a shard's epoch holds the shard, or claims it just then.
 
         Args:
             transaction: What was committed.
             source: Who committed it.
-            existing: The keys of job records among its writes that were there before.
             holders: Who held the shards on whose epochs it hangs.
         """
         claimed = self.claimed_roles(transaction)
@@ -125,6 +121,15 @@
         }
         if former:
             self.observer.record("stale_holder_write", f"{source} commits on the epoch of {former}")
+
+    def check_records(self, transaction: Transaction, source: str, existing: set[str]) -> None:
+        """What a job's record already held is changed on a shard's epoch, or cancelled.
+
+        Args:
+            transaction: What was committed.
+            source: Who committed it.
+            existing: The keys of job records among its writes that were there before.
+        """
         # Chunks that no record names any more are removed without.
         changed = [
             write
@@ -135,7 +140,7 @@
         cancels_all = all(
             write.data is not None and state_wire.is_cancelled(write.data) for write in changed
         )
-        if changed and not holders and not cancels_all:
+        if changed and not self.shards_conditioned_on(transaction) and not cancels_all:
             self.observer.record(
                 "stale_holder_write", f"{source} changes {existing} on no shard's epoch"
             )
