--- a/emberglade/placement/preempt.py
+++ b/emberglade/placement/preempt.py
@@ -116,7 +116,7 @@
     """Whether a machine has room for one task once the victims are gone.
 
     Once broken: others of the team were stopped for a task that no machine could take, were placed
-    again, and stopped again (meetings/preempts_in_vain.txt).
+    again, and stopped again (placement/preempts_only_what_fits.txt).
     """
     spec, capacity = job.spec, placement_round.capacity
     zones, known = capacity.zones_of(job)
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -1,5 +1,6 @@
 """Broken builds of quotas, zones and what is counted as taken."""
 
+from emberglade.placement import preempt
 from emberglade.placement.capacity import ClusterCapacity
 
 
@@ -30,3 +31,8 @@
         original(self, machines)
 
     patch.setattr(ClusterCapacity, "inventory", inventory)
+
+
+def preempts_what_does_not_fit(patch):
+    """Tasks are stopped for a job that no machine has capacity for, with their capacity or not."""
+    patch.setattr(preempt, "has_fit", lambda job, victims, placement_round: True)
