--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -53,7 +53,7 @@
         """The command that a new binding or stop calls for, if it is this controller's to give.
 
         Once broken: the binding and its stop came in one change, and the start went out all the
-        same, with a fencing token above the stop's (rules/stopped_in_one_change.txt).
+        same, with a fencing token above the stop's (protocol_rules/bound_and_stopped.txt).
         """
         bindings = self.committed.bindings
         desired = bindings.of_machine(machine).get(key)
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -114,7 +114,7 @@
         """Whether this controller's replica was as new as all peers' not long ago.
 
         Peers that lose contact themselves answer questions late by up to what a sync may take
-        (meetings/gap_silent.txt, 2).
+        (combined_faults/cancel_before_outage_timeouts.txt, 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
@@ -199,7 +199,7 @@
         if only_starts and connected_peer is not None:
             # This controller knows what the others know, but a start needs one that can sync.
             # Nobody is sent away for less: an agent that can't reach the other loses its lease on
-            # the way (meetings/gap_silent.txt).
+            # the way (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
             self._answer_after_sync(record, reply)
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -140,7 +140,7 @@
         """Answers a peer, from a replica synced after it asked.
 
         Without contact a sync may take longer than the peer waits; what the replica's revision
-        says it needs at once (meetings/gap_silent.txt).
+        says it needs at once (combined_faults/cancel_before_outage_timeouts.txt).
         """
         now = self.now()
         self.asked_by[question.asker] = now
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -26,7 +26,7 @@
     if key_shown_gone and refuses:
         # Two sources of evidence: the state service, and the machine where nobody listens any
         # more. Once slower than keys alone, when most controllers ended at once
-        # (failure_detection/most_gone.txt).
+        # (failure_detection/majority_lost.txt).
         return "refuses, and the state service has ended its key"
     if not relays:
         # The state service alone is the evidence.
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -124,7 +124,7 @@
         occupied = name in self.machines.occupied
         in_touch_s = HEARD_WITHIN_HEARTBEATS * self.settings.agent_heartbeat_s
         # Once broken: a new leader took its own birth for a sign of life of the machines behind a
-        # cut (fleet/new_leader_waits.txt).
+        # cut (fleet/taint_kept_by_new_leader.txt).
         if liveness.ever_heard and quiet_s < in_touch_s and not liveness.unreachable:
             return taint == Taint.LOST or not occupied
         forgotten_s = FORGOTTEN_AFTER_LEASES * self.settings.lease_s
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -132,7 +132,7 @@
     def _is_lost_for_good(self, machine: FleetMachine, now: float) -> bool:
         """Whether a machine whose lease is over has been away so long that it is replaced."""
         # A new leader has heard of nobody yet; a machine behind a cut may well come back.
-        # Once broken: it gave such machines back at once (fleet/cut_across_take_over.txt).
+        # Once broken: it gave such machines back at once (fleet/partition_across_failover.txt).
         silent_since = max(machine.last_heard, self.leadership.since)
         return (
             now - silent_since > REPLACED_LEASES * self.settings.lease_s
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -107,7 +107,7 @@
         growth = after - before
         # Once broken: 4,000 machines fell silent together, their taints made a transaction above
         # the limit, and then, each a byte longer, values above theirs; these were refused again
-        # and again (fleet/thousands_silent.txt).
+        # and again (fleet/nearly_all_machines_fail.txt).
         if growth > 0 and sum(self.sizes.values()) + growth > MAX_CHANGE_BYTES:
             return False
         target: str | None = key
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -126,7 +126,7 @@
             self.commits.mark_if_over(job)
         # Once broken: the stops for a drained machine went with a commit that was not carried out,
         # and nobody asked for them again; its tasks neither ran nor moved
-        # (rules/random_meetings_small_values.txt, 39).
+        # (protocol_rules/random_combined_faults_small_values.txt, 39).
         self.tasks.apply_taints(self.tasks.tainted_machines())
         self.garbage.sweep_orphans()
         self.garbage.sweep_generations(self.rechunking.job_id)
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -92,7 +92,7 @@
 
         What was often tried, of a job that gets nothing done, its holder may well be holding back.
         Others are tried as often on a rough day; their capacity was given away, and made for them
-        again and again (rules/random_meetings_small_values.txt, 39).
+        again and again (protocol_rules/random_combined_faults_small_values.txt, 39).
         """
         reserved = self._reserved.get(job.id, 0)
         hopeful = job.has_progress()
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -166,7 +166,7 @@
         """Whether a task is the first sign of a job that waited long: it is left for a while.
 
         Once broken: what had its turn was stopped for a higher priority before it began, had its
-        turn again, and so on; neither ran (meetings/turn_and_stop.txt).
+        turn again, and so on; neither ran (combined_faults/aging_and_preemption.txt).
         """
         bound_s = now - binding.since
         age = self.system.wall() - job.spec.submitted_at - bound_s
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -184,7 +184,7 @@
             return True
         # Once broken: a controller that was in contact again after long took all shards in the
         # moment in which its replica showed their holders and its view did not
-        # (failure_detection/contact_at_last.txt).
+        # (failure_detection/late_first_contact.txt).
         return self._view is not None and self._view.revision >= self._revision
 
     # --- taking it
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -63,7 +63,7 @@
         A repeat gets its job's state, whatever its body holds now.
 
         Once broken: a malformed repeat of a job that was over got 400 while the state service
-        did not answer (pipelines/random.txt, 730).
+        did not answer (dependencies/random_faults.txt, 730).
         """
         job_id = wire.read_id(data)
         if job_id is None:
--- a/tests/benchmarks/start_cost.py
+++ b/tests/benchmarks/start_cost.py
@@ -30,6 +30,7 @@
         stderr=subprocess.PIPE,
         env={**inherited, **environment},
     )
+    assert process.stderr is not None
     with process.stderr as log:
         if not any(SERVES in line for line in log):
             raise SystemExit(f"the controller in {tree} does not serve")
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -10,12 +10,12 @@
 from emberglade.agents.routing import Routing
 
 
-def deaf_to_cancellations(patch):
+def ignores_cancellations(patch):
     """No agent manager sees a cancellation."""
     patch.setattr(CommittedBindings, "note_cancelled", lambda self, job_id, job, revision: None)
 
 
-def copies_are_signs_of_life(patch):
+def accepts_duplicate_heartbeats(patch):
     """A machine whose copies still come is never proven lost."""
     original = HeartbeatHandler.handle
 
@@ -28,17 +28,17 @@
     patch.setattr(HeartbeatHandler, "handle", handle)
 
 
-def blind_to_the_deaf(patch):
+def trusts_unreachable_machines(patch):
     """A machine that does not hear us counts as a good one."""
     patch.setattr(Reachability, "track", lambda self, record, heartbeat, last_seen, now: None)
 
 
-def halts_wait_for_heartbeats(patch):
+def stops_wait_for_heartbeats(patch):
     """A cancelled task is halted only by the answer to its machine's heartbeat."""
     patch.setattr(DirectHalts, "halt_job", lambda self, job_id: None)
 
 
-def empty_replicas_are_caught_up(patch):
+def trusts_empty_replicas(patch):
     """A peer that has no replica, just restarted, counts as one that told nobody anything."""
 
     def compare_replicas(self, revision):
@@ -50,12 +50,12 @@
     patch.setattr(LeaseEvidence, "compare_replicas", compare_replicas)
 
 
-def never_silent(patch):
+def always_answers_agents(patch):
     """A controller answers agents however long it has heard of nothing new."""
     patch.setattr(Routing, "may_answer", lambda self, now: self.committed.revision >= 0)
 
 
-def starts_unsynced(patch):
+def starts_without_sync(patch):
     """Answers start whatever the replica shows, however old it is."""
     original = Reconciler.reconcile
     patch.setattr(
@@ -63,11 +63,11 @@
     )
 
 
-def proves_by_silence(patch):
+def proves_lease_expiry_by_silence(patch):
     """A machine that the leader has not heard of is taken for one whose lease is over."""
     patch.setattr(LeaseEvidence, "proves_leases_over", lambda self, *_: True)
 
 
-def forgets_cancellations_of_the_dead(patch):
+def forgets_cancellations_of_dead_peers(patch):
     """Nobody repeats the halts of a controller that has ended before their time."""
     patch.setattr(AgentManager, "on_peer_dead", lambda self, name: None)
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -1,20 +1,21 @@
 """Broken builds of quotas, zones and what is counted as taken."""
 
+from emberglade import placement
 from emberglade.placement.capacity import ClusterCapacity
 from emberglade.placement.zones import JobZones
 
 
-def no_limits(patch):
+def no_quota(patch):
     """Teams have no limits."""
     patch.setattr(ClusterCapacity, "tasks_within_quota", lambda self, spec: spec.tasks)
 
 
-def any_zone(patch):
+def ignores_used_zones(patch):
     """The zones of a job's other tasks don't matter."""
     patch.setattr(ClusterCapacity, "zones_of", lambda self, job: JobZones({}, complete=True))
 
 
-def forgets_bound(patch):
+def forgets_unheard_bindings(patch):
     """What is bound on a machine that is not heard does not count."""
     original = ClusterCapacity.set_machines
 
@@ -31,3 +32,8 @@
         original(self, machines)
 
     patch.setattr(ClusterCapacity, "set_machines", set_machines)
+
+
+def preempts_what_does_not_fit(patch):
+    """Tasks are stopped for a job that no machine has capacity for, with their capacity or not."""
+    patch.setattr(placement, "has_fit", lambda job, victims, placement_round: True)
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -11,7 +11,7 @@
 from emberglade.user_api.submissions import Submissions
 
 
-def forgets_the_final_state(patch):
+def forgets_final_states(patch):
     """A final key is never found."""
     patch.setattr(
         JobLookup,
@@ -30,7 +30,7 @@
     )
 
 
-def withdrawn_becomes_done(patch):
+def swaps_final_states(patch):
     """Final states are mixed up."""
     mixed_up = {"done": JobStatus.CANCELLED, "withdrawn": JobStatus.DONE}
     patch.setattr(
@@ -42,7 +42,7 @@
     )
 
 
-def deaf_to_polls(patch):
+def ignores_polls(patch):
     """Questions about one job are never answered."""
     original = JobLookup.look_up
 
@@ -53,7 +53,7 @@
     patch.setattr(JobLookup, "look_up", look_up)
 
 
-def tells_before_commit(patch):
+def confirms_before_commit(patch):
     """A cancellation is told before it is durable."""
     original = CancellationRequests.on_cancel_synced
 
@@ -73,7 +73,7 @@
     )
 
 
-def accepts_odd(patch):
+def accepts_invalid_jobs(patch):
     """What a submission lacks gets a default, and what fits no machine is accepted."""
     original = Submissions.on_submit
 
--- a/tests/stand_ins/serve_loopback.py
+++ b/tests/stand_ins/serve_loopback.py
@@ -18,93 +18,89 @@
 from emberglade.jobs import wire as jobs_wire  # noqa: E402
 from emberglade.jobs.job_spec import PRIORITIES, JobSpec  # noqa: E402
 from emberglade.state import LIVE_PREFIX  # noqa: E402
-from stand_ins.cloud import Cloud  # noqa: E402
-from stand_ins.loopback import HOST, RealTimeWorld  # noqa: E402
-from stand_ins.observer import Observer  # noqa: E402
-from stand_ins.state import StateService  # noqa: E402
+from stand_ins.cloud import Cloud, MachineType  # noqa: E402
+from stand_ins.observer import Observer, Team  # noqa: E402
+from stand_ins.real_time_world import LOOPBACK, RealTimeWorld  # noqa: E402
+from stand_ins.state_service import StateService  # noqa: E402
+from stand_ins.state_wire import Write  # noqa: E402
+from stand_ins.submissions import JobShape, Submission  # noqa: E402
+from stand_ins.worker import WorkerSettings  # noqa: E402
 
 SEED = 1
 LIVE_JOBS = LIVE_PREFIX + jobs_wire.JOB_PREFIX
 MACHINES_PER_POOL = 10  # of each zone, spot or not
+BOOT_S = 3.0
 LOOK_S = 1.0  # between two looks for broken rules
-MACHINE_TYPE = {
-    "label": "box",
-    "cpus": 8.0,
-    "ram_gb": 32.0,
-    "local_gb": 30.0,
-    "fetch_gb_per_s": 0.2,
-    "price": 0.6,
-    "spot_price": 0.2,
-    "boot_s": 3.0,
-}
 
 
 class RecordedStateService(StateService):
     """Notes each job that is committed: the workers' stand-ins have to know what they run."""
 
-    def __init__(self, world, settings: Settings, observer: Observer):
+    def __init__(self, world: RealTimeWorld, settings: Settings, observer: Observer) -> None:
         super().__init__(
             world,
-            rps=settings.state_rps,
-            write_rps=settings.state_write_rps,
-            value_bytes=settings.value_bytes,
-            txn_ops=settings.txn_ops,
+            settings.state_rps,
+            settings.state_write_rps,
+            settings.value_bytes,
+            settings.txn_ops,
         )
         self.observer = observer
 
-    def change(self, writes):
-        """Applies the writes of one transaction, `(key, value or None, lease)`."""
-        for key, data, _ in writes:
-            job_id = key.removeprefix(LIVE_JOBS)
-            if job_id != key and data is not None and job_id not in self.observer.jobs:
-                spec = jobs_wire.read_spec(job_id, data)
+    def apply(self, writes: list[Write]) -> None:
+        """Applies the writes of one transaction."""
+        for write in writes:
+            job_id = write.key.removeprefix(LIVE_JOBS)
+            is_job = job_id != write.key and write.data is not None
+            if is_job and job_id not in self.observer.jobs:
+                spec = jobs_wire.read_spec(job_id, write.data)
                 self.observer.jobs[job_id] = as_submission(spec)
-        super().change(writes)
-
-
-def as_submission(spec: JobSpec) -> dict:
-    """What a job's user submitted, in PROTOCOL's words; its tasks run as long as was estimated."""
-    return {
-        "id": spec.id,
-        "breed": spec.job_class,
-        "crew": spec.team,
-        "shape": "standing" if spec.service else "sweep",
-        "rank": PRIORITIES[spec.priority],
-        "embers": spec.tasks,
-        "cpus": spec.cpus,
-        "cards": spec.gpus,
-        "ram_gb": spec.ram_gb,
-        "kindling": spec.image,
-        "image_gb": spec.image_gb,
-        "hearth_kinds": spec.allowed_types,
-        "glade": spec.zone,
-        "one_zone": spec.single_zone,
-        "scatter": spec.zone_spread,
-        "driftwood": spec.spot,
-        "burn_s": spec.estimated_run_s,
-        "bank_s": spec.checkpoint_interval_s,
-        "banking_s": spec.checkpoint_save_s,
-        "due_s": spec.deadline_s,
-        "real_s": spec.estimated_run_s,
-    }
+        super().apply(writes)
+
+
+def as_submission(spec: JobSpec) -> Submission:
+    """What a job's user submitted; its tasks run as long as was estimated."""
+    return Submission(
+        id=spec.id,
+        job_class=spec.job_class,
+        team=spec.team,
+        shape=JobShape.SERVICE if spec.service else JobShape.ARRAY,
+        priority=PRIORITIES[spec.priority],
+        tasks=spec.tasks,
+        cpus=spec.cpus,
+        gpus=spec.gpus,
+        ram_gb=spec.ram_gb,
+        image=spec.image,
+        image_gb=spec.image_gb,
+        allowed_types=list(spec.allowed_types) if spec.allowed_types is not None else None,
+        zone=spec.zone,
+        single_zone=spec.single_zone,
+        zone_spread=spec.zone_spread,
+        spot=spec.spot,
+        estimated_run_s=spec.estimated_run_s,
+        checkpoint_interval_s=spec.checkpoint_interval_s,
+        checkpoint_save_s=spec.checkpoint_save_s,
+        deadline_s=spec.deadline_s,
+        actual_run_s=spec.estimated_run_s,
+    )
 
 
 def make_world(settings: Settings) -> RealTimeWorld:
     """The stand-ins for one controller, listening; they act once the world runs."""
     world = RealTimeWorld(SEED)
     world.fronts = {settings.node: "{}:{}".format(*settings.front)}
-    teams = {name: {"cpus_max": team.cpu_quota} for name, team in settings.teams.items()}
+    teams = {
+        name: Team(team.guaranteed_cpus, team.cpu_quota) for name, team in settings.teams.items()
+    }
     observer = Observer(world, settings.cancel_s, teams)
     RecordedStateService(world, settings, observer)
-    plan = {
-        "type": {**MACHINE_TYPE, "glades": list(settings.zones)},
-        "capacity": {
-            (zone, spot): MACHINES_PER_POOL for zone in settings.zones for spot in (False, True)
-        },
-        "lag_s": settings.list_lag_s / 2,  # up to twice as long
-    }
-    workers = {"report_s": settings.agent_heartbeat_s, "lease_s": settings.lease_s}
-    Cloud(world, plan, workers, observer, [settings.node])
+    Cloud(
+        world,
+        MachineType(boot_s=BOOT_S, zones=list(settings.zones)),
+        {(zone, spot): MACHINES_PER_POOL for zone in settings.zones for spot in (False, True)},
+        settings.list_lag_s / 2,  # up to twice as long
+        WorkerSettings(settings.agent_heartbeat_s, settings.lease_s, [settings.node]),
+        observer,
+    )
     print_broken_rules(world, observer, 0)
     for name, (_, port) in (("state", settings.state), ("cloud", settings.cloud)):
         world.serve(name, settings.node, port)
@@ -113,9 +109,9 @@
 
 def print_broken_rules(world: RealTimeWorld, observer: Observer, printed: int) -> None:
     """Prints what was broken since the last look, and looks again in a moment."""
-    for at_s, rule, text in observer.broken[printed:]:
+    for at_s, rule, text in observer.violations[printed:]:
         print(f"broken after {at_s} s: {rule}: {text}", flush=True)
-    world.at(LOOK_S, print_broken_rules, world, observer, len(observer.broken))
+    world.at(LOOK_S, print_broken_rules, world, observer, len(observer.violations))
 
 
 def main() -> int:
@@ -127,13 +123,15 @@
     except SettingsError as error:
         print(f"serve_loopback: {error}", file=sys.stderr)
         return 2
-    if {settings.state[0], settings.cloud[0]} != {HOST}:
-        print(f"serve_loopback: the endpoints have to be on {HOST}", file=sys.stderr)
+    if {settings.state[0], settings.cloud[0]} != {LOOPBACK}:
+        print(f"serve_loopback: the endpoints have to be on {LOOPBACK}", file=sys.stderr)
         return 2
     world = make_world(settings)
+    state_address = f"{LOOPBACK}:{settings.state[1]}"
+    cloud_address = f"{LOOPBACK}:{settings.cloud[1]}"
     print(
-        f"state service at {HOST}:{settings.state[1]}, cloud at {HOST}:{settings.cloud[1]}, "
-        f"workers for {settings.node}; Ctrl-C ends them",
+        f"state service at {state_address}, cloud at {cloud_address}, workers for "
+        f"{settings.node}; Ctrl-C ends them",
         flush=True,
     )
     try:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 import pytest
-from stand_ins.loopback import HOST, free_port
+from stand_ins.loopback import free_port
+from stand_ins.real_time_world import LOOPBACK
 
 from emberglade.config import load_platform
 
@@ -50,7 +51,9 @@
     """The shipped settings on four free ports."""
     copy = tmp_path / "settings.toml"
     copy.write_text(
-        re.sub(rf"{HOST}:\d+", lambda _: f"{HOST}:{free_port()}", (ROOT / SETTINGS).read_text())
+        re.sub(
+            rf"{LOOPBACK}:\d+", lambda _: f"{LOOPBACK}:{free_port()}", (ROOT / SETTINGS).read_text()
+        )
     )
     return copy
 
