--- a/emberglade/agents/__init__.py
+++ b/emberglade/agents/__init__.py
@@ -2,9 +2,6 @@
 
 from .manager import AgentManager
 from .wire.peers import (
-    CANCELLATION_PATH,
-    MACHINES_PATH,
-    TASK_UPDATES_PATH,
     read_cancellation,
     read_question,
     read_task_updates,
@@ -12,9 +9,6 @@
 
 __all__ = [
     "AgentManager",
-    "CANCELLATION_PATH",
-    "MACHINES_PATH",
-    "TASK_UPDATES_PATH",
     "read_cancellation",
     "read_question",
     "read_task_updates",
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -9,6 +9,7 @@
 
 from typing import Any, NamedTuple
 
+from .. import peer_paths
 from ..actors import Actor, callback, tell_after
 from .cancelled_jobs import Cancellation
 from .direct_commands import DirectCommands
@@ -62,7 +63,7 @@
         for link in self.peers.values():
             link.call(
                 "POST",
-                peer_wire.CANCELLATION_PATH,
+                peer_paths.CANCELLATION,
                 peer_wire.write_cancellation(job_id, cancellation.revision),
                 self.settings.agent_heartbeat_s,
                 lambda status, body: None,
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -267,7 +267,8 @@
         missing_since = self.key_missing_since.get(peer)
         if missing_since is not None:
             # Once broken: such a peer was left out of the account, though a machine that it had
-            # kept alive could go to a controller whose statement was older (protocol_rules/isolated_controller.txt).
+            # kept alive could go to a controller whose statement was older
+            # (protocol_rules/isolated_controller.txt).
             both_seen_at = max(missing_since, taint_seen_at)
             last_answered = both_seen_at + self.settings.max_staleness_s * CLOCK_DRIFT
             bounds.append((last_answered, self.last_contact))
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from .. import peer_paths
 from ..actors import Actor, callback, tell, tell_after
 from ..state import wire as state_wire
 from .lease_evidence import NEVER
@@ -92,7 +93,7 @@
             self.awaiting_answer[name] = now
             link.call(
                 "POST",
-                peer_wire.MACHINES_PATH,
+                peer_paths.MACHINES,
                 peer_wire.write_question(self.settings.node, machines),
                 2 * self.settings.agent_heartbeat_s,
                 callback(self.on_peer_answer, name, now, asked_about),
@@ -128,7 +129,7 @@
             return
         self.peers[peer].call(
             "POST",
-            state_wire.PEER_CHANGES_PATH,
+            peer_paths.REPLICA_CHANGES,
             state_wire.changes_request(revision),
             2 * self.settings.agent_heartbeat_s,
             lambda status, body: tell(self.store.on_changes_of_peer, revision, status, body),
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -54,8 +54,9 @@
 
         When a zone is cut off, its machines need their lease renewed by a controller inside. Once
         broken: most turned to controllers outside, and with five of them the search for the one
-        inside took longer than a lease (agents/zone_partitioned_of_five.txt). A machine is sent once in
-        REDIRECT_LEASES, so that one which can't reach that controller stays where it is heard.
+        inside took longer than a lease (agents/zone_partitioned_of_five.txt). A machine is sent
+        once in REDIRECT_LEASES, so that one which can't reach that controller stays where it is
+        heard.
         """
         machine = heartbeat.machine
         if (
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -4,6 +4,7 @@
 
 import orjson
 
+from .. import peer_paths
 from ..actors import Actor, callback, tell, tell_after
 from ..jobs.binding import StopMode
 from ..jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate, UpdateKey
@@ -107,7 +108,7 @@
                 batch = updates[first : first + MAX_UPDATES_SENT]
                 self.peers[node].call(
                     "POST",
-                    peer_wire.TASK_UPDATES_PATH,
+                    peer_paths.TASK_UPDATES,
                     peer_wire.write_task_updates(batch),
                     self.settings.agent_heartbeat_s,
                     callback(self.on_updates_sent, node, batch),
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -8,10 +8,6 @@
 from ...jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
 from .agents import AgentHeartbeat
 
-TASK_UPDATES_PATH = "/peer/facts"
-MACHINES_PATH = "/peer/heard"  # asks a peer for its view of the machines
-CANCELLATION_PATH = "/peer/withdrawn"
-
 UPDATE_TYPES: dict[str, type[TaskUpdate]] = {
     "exited": TaskExited,
     "gone": TaskGone,
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
+from .. import peer_paths
 from ..actors import callback_inline, tell, tell_after, tell_inline
-from ..agents.wire.peers import MACHINES_PATH
 from ..membership import ownership_revision
 from ..membership.wire import NODE_PREFIX, read_incarnation
 from ..state import Change, ReplicaSubscriber, Store
@@ -36,7 +36,7 @@
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: "Reply") -> None:
         """Like the link's own `call`."""
-        if path == MACHINES_PATH:
+        if path == peer_paths.MACHINES:
             tell_inline(self.monitor.on_ask, self.peer, body, timeout, reply)
         else:
             self.link.call(method, path, body, timeout, reply)
@@ -182,7 +182,7 @@
         """
         self.links[peer].call(
             "POST",
-            MACHINES_PATH,
+            peer_paths.MACHINES,
             self.heartbeats.add_to(body),
             timeout,
             callback_inline(self.on_asked, peer, self.now() + timeout, reply),
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any
 
+from .. import peer_paths
 from ..actors import Actor, ActorPart, callback, tell_after
 from ..transport import NO_ANSWER, REFUSED
 from . import wire
@@ -57,7 +58,7 @@
         # The link may be busy with a question that nobody answers.
         tell_after(self.heartbeat_s, self.on_ping_overdue, peer)
         self.links[peer].call(
-            "POST", wire.PING_PATH, body, self.heartbeat_s, callback(self.on_pinged, peer)
+            "POST", peer_paths.PING, body, self.heartbeat_s, callback(self.on_pinged, peer)
         )
 
     def on_pinged(self, peer: str, status: int, body: Any) -> None:
@@ -145,7 +146,7 @@
         timeout_s = PROBE_TIMEOUT_INTERVALS * self.heartbeat_s
         for relay in probe.relays:
             reply = callback(self.on_probed, relay, probe.target)
-            self.links[relay].call("POST", wire.PROBE_PATH, body, timeout_s, reply)
+            self.links[relay].call("POST", peer_paths.PROBE, body, timeout_s, reply)
 
     def on_probed(self, relay: str, target: str, status: int, body: Any) -> None:
         """Handles a relay's answer to a probe about `target`, from the relay's link.
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -22,9 +22,6 @@
 Member = TypeVar("Member", bound=enum.Enum)
 
 
-PING_PATH = "/peer/ping"
-PROBE_PATH = "/peer/probe"
-
 HEARTBEAT_FIELD = "heartbeat"  # of a question or an answer, which production ignores
 
 # A heartbeat names each controller once; more rows than this are no honest message.
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -109,8 +109,8 @@
         """Asks for machines for tasks that can run in one zone only, and find no capacity there.
 
         Once broken: enough machines by their count, all of them elsewhere, and such tasks waited
-        for ever (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a shortage counts once
-        it is seen twice.
+        for ever (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a shortage
+        counts once it is seen twice.
 
         Args:
             machine_type: The type that is short.
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -52,8 +52,8 @@
         """Handles `fence`, sent to itself: sees that a commit is applied by now or never will be.
 
         Once broken: it was applied late, when the capacity and the quota that it counted on had
-        been given to others (protocol_rules/late_commit.txt). All that it hangs on are the epochs of its
-        shards, so these are written anew.
+        been given to others (protocol_rules/late_commit.txt). All that it hangs on are the epochs
+        of its shards, so these are written anew.
         """
         epochs = sorted(self._holders.own_among(in_flight.shards))
         if not epochs:
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -5,11 +5,9 @@
 
 import orjson
 
+from . import peer_paths
 from .actors import tell, tell_inline
 from .agents import (
-    CANCELLATION_PATH,
-    MACHINES_PATH,
-    TASK_UPDATES_PATH,
     AgentManager,
     read_cancellation,
     read_question,
@@ -17,7 +15,6 @@
 )
 from .jobs import JobManager
 from .state import Store, read_changes_request
-from .state.wire import PEER_CHANGES_PATH
 
 if TYPE_CHECKING:
     from .failure_detection import PeerMonitor
@@ -46,17 +43,14 @@
         self.agents = agents
         self.peer_monitor = peer_monitor
         self.handlers: dict[str, PeerHandler] = {
-            MACHINES_PATH: self._machines,
-            TASK_UPDATES_PATH: self._task_updates,
-            PEER_CHANGES_PATH: self._replica_changes,
-            CANCELLATION_PATH: self._cancellation,
+            peer_paths.MACHINES: self._machines,
+            peer_paths.TASK_UPDATES: self._task_updates,
+            peer_paths.REPLICA_CHANGES: self._replica_changes,
+            peer_paths.CANCELLATION: self._cancellation,
         }
         if peer_monitor is not None:
-            # A start without failure detection does not pay for its import.
-            from .failure_detection.wire import PING_PATH, PROBE_PATH
-
-            self.handlers[PING_PATH] = self._ping
-            self.handlers[PROBE_PATH] = self._probe
+            self.handlers[peer_paths.PING] = self._ping
+            self.handlers[peer_paths.PROBE] = self._probe
 
     def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
         """Leads one request to one call of `reply(status, body)`."""
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -81,7 +81,7 @@
     """Whether a machine has room for one task of a job once the victims are gone.
 
     Once broken: others of the team were stopped for a task that no machine could take, were placed
-    again, and stopped again (meetings/preempts_in_vain.txt).
+    again, and stopped again (placement/preempts_only_what_fits.txt).
     """
     spec = job.spec
     capacity = placement_round.capacity
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -113,6 +113,7 @@
     """Runs a controller until the process ends; returns the exit code."""
     threading.stack_size(THREAD_STACK_BYTES)
     gc.set_threshold(*GC_THRESHOLDS)
+    gc.enable()  # off while modules were imported (`run.py`)
     system = ThreadSystem()
     descriptors = DescriptorBudget(settings)
     for warning in small_quota_warnings(settings):
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -14,7 +14,6 @@
 
 TRANSACTION_PATH = "/txn"
 GRANT_PATH = "/grants"
-PEER_CHANGES_PATH = "/peer/changes"  # between controllers: what a peer's replica lacks
 NO_SUCH_LEASE = "no such lease"  # what a transaction under an expired lease is refused with
 
 Body = Mapping[str, Any]  # a JSON object
--- a/run.py
+++ b/run.py
@@ -1,5 +1,6 @@
 """Start one emberglade controller: `python3 run.py --config settings.toml`."""
 
+import gc
 import os
 import sys
 
@@ -11,6 +12,10 @@
     # written, every start would compile all of the source.
     sys.pycache_prefix = os.path.join(TARGET, "bytecode")
 
+# Nothing of what is imported is garbage; looking through it took a tenth of a start. A controller
+# that serves turns the collector on again (`emberglade/process.py`).
+gc.disable()
+
 from emberglade.main import main  # noqa: E402
 
 if __name__ == "__main__":
