--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -107,7 +107,7 @@
             "node": node,
             "leads": controller.autoscaler.leading,
             "shards": sum(
-                holder[:2] == identity for holder in list(controller.job_manager.holders.values())
+                owner[:2] == identity for owner in list(controller.job_manager.owners.values())
             ),
         }
 
--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -1,7 +1,7 @@
 """Actors: objects that own their state and are spoken to by messages.
 
 A message is a call of one of the actor's handlers, made later and in the actor's own turn:
-`tell(store.on_sync, reply)` has the store's thread run `on_sync(reply)`. Handlers are the methods
+`send(store.on_sync, reply)` has the store's thread run `on_sync(reply)`. Handlers are the methods
 `on_<message>`; nobody calls another actor's methods directly. `ThreadSystem` gives each actor a
 thread, a mailbox and a turn; the tests run the same actors on simulated time. Own layer instead
 of Pykka: see docs/design.md, "Libraries".
@@ -23,7 +23,7 @@
 Arguments = ParamSpec("Arguments")
 Handler = Callable[..., Any]  # a bound method `on_<message>` of an actor or of a part of one
 Post = Callable[[float, Handler, tuple[Any, ...]], None]  # post(delay_s, handler, arguments)
-TellInline = Callable[[Handler, tuple[Any, ...]], None]  # tell_inline(handler, arguments)
+SendInline = Callable[[Handler, tuple[Any, ...]], None]  # send_inline(handler, arguments)
 
 HANDLER_PREFIX = "on_"
 AT_ONCE = 0.0  # in the place of a due time: in the order in which messages were told
@@ -37,7 +37,7 @@
     def now(self) -> float:
         """The steady clock, in seconds."""
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The time of day, in seconds since 1970."""
 
 
@@ -51,7 +51,7 @@
     # Set by whoever runs the actor, before any actor of its process begins.
     system: ActorSystem
     _post: Post
-    _tell_inline: TellInline | None = None
+    _send_inline: SendInline | None = None
 
     def now(self) -> float:
         """The steady clock, in seconds."""
@@ -79,8 +79,8 @@
         return self.actor._post
 
     @property
-    def _tell_inline(self) -> TellInline | None:
-        return self.actor._tell_inline
+    def _send_inline(self) -> SendInline | None:
+        return self.actor._send_inline
 
     @property
     def system(self) -> ActorSystem:
@@ -92,7 +92,7 @@
         return self.actor.system.now()
 
 
-def tell(
+def send(
     handler: Callable[Arguments, Any], *args: Arguments.args, **kwargs: Arguments.kwargs
 ) -> None:
     """Has an actor run one of its handlers with these arguments, in its own turn.
@@ -103,22 +103,22 @@
     _owner(handler)._post(0.0, handler, args)
 
 
-def tell_after(delay_s: float, handler: Handler, *args: Any) -> None:
-    """Like `tell`, but `delay_s` seconds from now."""
+def send_after(delay_s: float, handler: Handler, *args: Any) -> None:
+    """Like `send`, but `delay_s` seconds from now."""
     _owner(handler)._post(delay_s, handler, args)
 
 
-def tell_inline(handler: Handler, *args: Any) -> None:
-    """Like `tell`, but in the caller's thread if the actor has nothing else to do just now.
+def send_inline(handler: Handler, *args: Any) -> None:
+    """Like `send`, but in the caller's thread if the actor has nothing else to do just now.
 
     It is still one message at a time, in the actor's own turn. Two changes of threads a heartbeat
     cost more than the heartbeat.
     """
     actor = _owner(handler)
-    if actor._tell_inline is None:
+    if actor._send_inline is None:
         actor._post(0.0, handler, args)
     else:
-        actor._tell_inline(handler, args)
+        actor._send_inline(handler, args)
 
 
 def callback(handler: Handler, *context: Any) -> Callable[..., None]:
@@ -128,8 +128,8 @@
 
 
 def callback_inline(handler: Handler, *context: Any) -> Callable[..., None]:
-    """Like `callback`, with `tell_inline`."""
-    return lambda *result: tell_inline(handler, *context, *result)
+    """Like `callback`, with `send_inline`."""
+    return lambda *result: send_inline(handler, *context, *result)
 
 
 def _owner(handler: Handler) -> Actor | ActorPart:
@@ -192,7 +192,7 @@
         due = self._now() + delay_s if delay_s > 0 else AT_ONCE
         self._mailbox.put((due, handler, args))
 
-    def tell_inline(self, handler: Handler, args: tuple[Any, ...]) -> None:
+    def send_inline(self, handler: Handler, args: tuple[Any, ...]) -> None:
         """Delivers in the caller's thread if nothing else waits; else puts it into the mailbox."""
         if not self._mailbox.empty() or not self._turn.acquire(blocking=False):
             self._mailbox.put((AT_ONCE, handler, args))
@@ -256,7 +256,7 @@
     """
 
     now = staticmethod(time.monotonic)
-    wall = staticmethod(time.time)
+    wall_time = staticmethod(time.time)
 
     def __init__(self, seed: int | None = None) -> None:
         self.random = random.Random(seed)
@@ -277,7 +277,7 @@
         thread = self._threads[name] = ActorThread(actor, name, self.now)
         actor.system = self
         actor._post = thread.post
-        actor._tell_inline = thread.tell_inline
+        actor._send_inline = thread.send_inline
         return thread
 
     def take_account(self) -> dict[str, dict[str, list[float]]]:
--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -39,7 +39,7 @@
         bindings: Of all live jobs.
         cancelled: The cancelled ones among them.
         taints: Of machines.
-        holders: {shard: controller}.
+        owners: {shard: controller}.
         machine_types: {name: MachineType}, of the catalog.
         controllers: Those whose keys are there.
         tables: {controller: {key: what it holds}}, of its own key and its overflow values.
@@ -52,16 +52,16 @@
         self.cancelled = CancelledJobs(actor, settings.agent_heartbeat_s)
         self.bindings = CommittedBindings(self.cancelled)
         self.taints = Taints()
-        self.holders: dict[int, str | None] = {}
+        self.owners: dict[int, str | None] = {}
         self.machine_types: dict[str, MachineType] = {}
         self.controllers: set[str] = set()
         self.tables: dict[str, dict[str, Any]] = {}
         self.revision = -1
 
-    def holder_of(self, spec: JobSpec) -> str | None:
+    def owner_of(self, spec: JobSpec) -> str | None:
         """The controller that holds a job."""
         shard = shard_of(spec, self.settings.teams, shard_count(self.settings))
-        return self.holders.get(shard)
+        return self.owners.get(shard)
 
     def note_announced(self, job_id: str, revision: int) -> None:
         """Notes a cancellation that a peer has announced."""
@@ -72,9 +72,9 @@
         if job is not None and job_id not in self.cancelled.by_job:
             self.bindings.note_cancelled(job_id, job, revision)
 
-    def apply(self, events: list, revision: int, whole: bool) -> ReplicaChange:
+    def apply(self, events: list, revision: int, is_snapshot: bool) -> ReplicaChange:
         """Takes over a change of the replica, as `ReplicaSubscriber` is told of it."""
-        if whole:
+        if is_snapshot:
             self._forget_missing(events)
         change = ReplicaChange()
         for key, data, mod_revision in events:
@@ -108,7 +108,7 @@
         elif key.startswith(records.SHARD_PREFIX):
             if data is not None:
                 shard = int(key[len(records.SHARD_PREFIX) :])
-                self.holders[shard] = records.shard_holder(data)
+                self.owners[shard] = records.shard_owner(data)
         elif key.startswith(records.NODE_PREFIX):
             self._apply_controller(key, data, change)
         elif key.startswith(records.OVERFLOW_PREFIX):
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -65,7 +65,7 @@
         ):
             return None
         spec = bindings.jobs[key[0]].spec
-        if self.committed.holder_of(spec) != self.settings.node:
+        if self.committed.owner_of(spec) != self.settings.node:
             return None
         if desired.stop == StopMode.KEEP:
             return StartTask(key, desired.attempt)
@@ -125,5 +125,5 @@
             record.contact_at = record.heard_at
             record.settled = False
             self.evidence.last_seen[heartbeat.machine] = record.last_seen()
-        self.updates.tell_holders(heartbeat, tasks)
+        self.updates.notify_owners(heartbeat, tasks)
         return heartbeat, tasks
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from .. import peer_paths
-from ..actors import Actor, callback, tell_after
+from ..actors import Actor, callback, send_after
 from .cancelled_jobs import Cancellation
 from .direct_commands import DirectCommands
 from .lease_evidence import NEVER, LastSeen
@@ -77,7 +77,7 @@
 
     def on_repeat_halts(self) -> None:
         """Handles `repeat_halts`, sent to itself twice in a heartbeat interval."""
-        tell_after(self.settings.agent_heartbeat_s / 2, self.on_repeat_halts)
+        send_after(self.settings.agent_heartbeat_s / 2, self.on_repeat_halts)
         self.committed.cancelled.forget_announced(self.committed.revision)
         self.last_halts = {
             machine: halt
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..actors import Actor, callback, tell
+from ..actors import Actor, callback, send
 from .agent_records import AgentRecord
 from .inventory import MachineInventory
 from .lease_evidence import LastSeen
@@ -170,7 +170,7 @@
         if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
             self.inventory.update_soon()
         self.committed.bindings.touched.discard(heartbeat.machine)
-        updated = self.updates.tell_holders(heartbeat, tasks)
+        updated = self.updates.notify_owners(heartbeat, tasks)
         result = self.reconciler.reconcile(record, synced=False)
         record.settled = not updated and self._is_settled(record, result)
         self._answer_news(record, result, connected_peer, reply)
@@ -209,7 +209,7 @@
     def _answer_after_sync(self, record: AgentRecord, reply: Reply) -> None:
         number = next(self.pending_numbers)
         self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heard_at)
-        tell(self.store.on_sync, callback(self.on_heartbeat_synced, number))
+        send(self.store.on_sync, callback(self.on_heartbeat_synced, number))
 
     def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
         """Handles the store's answer to the sync that a heartbeat waits for; None: it failed."""
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -3,7 +3,7 @@
 import logging
 from typing import Any
 
-from ..actors import Actor, tell, tell_after
+from ..actors import Actor, send, send_after
 from ..placement import Machine
 from .lease_evidence import LastSeen
 from .routing import Routing
@@ -50,7 +50,7 @@
         """Has the job manager told of something new, together with what else is new by then."""
         if not self.update_due:
             self.update_due = True
-            tell_after(
+            send_after(
                 self.settings.agent_heartbeat_s / UPDATES_PER_HEARTBEAT, self.on_update_inventory
             )
 
@@ -58,12 +58,12 @@
         """Handles `update_inventory`, from `update_soon`: logs what is new, and tells of it."""
         self.update_due = False
         self._log_news()
-        self.tell_job_manager()
+        self.notify_job_manager()
 
     def update_regularly(self) -> None:
         """Tells of all machines if that is due."""
         if self.now() - self.told_at >= self.settings.peer_exchange_s:
-            self.tell_job_manager()
+            self.notify_job_manager()
 
     def _log_news(self) -> None:
         for text, names in (
@@ -79,7 +79,7 @@
                 log_machines(text, names)
                 names.clear()
 
-    def tell_job_manager(self) -> None:
+    def notify_job_manager(self) -> None:
         """Tells the job manager of all machines that were heard lately, after forgetting others."""
         now = self.now()
         self.records.forget_old(now)
@@ -96,7 +96,7 @@
             if last_seen.status.type in machine_types
         }
         self.told_at = now
-        tell(self.job_manager.on_inventory, self.machines)
+        send(self.job_manager.on_inventory, self.machines)
 
     def _machine(self, name: str, last_seen: LastSeen, heard_recently: bool) -> Machine:
         """A machine as placing sees it: the same object as long as nothing of it changes."""
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..actors import tell, tell_after
+from ..actors import send, send_after
 from ..jobs.task_updates import TaskUpdate
 from ..state import Change, ReplicaSubscriber
 from .agent_records import AgentRecords
@@ -36,7 +36,7 @@
         evidence: Who heard which machine, and when.
         records: The machines whose agents send heartbeats here.
         routing: Which controller an agent turns to.
-        updates: Tells holders of jobs what heartbeats prove.
+        updates: Tells owners of jobs what heartbeats prove.
         direct_commands, direct_halts: Commands that do not wait for a heartbeat.
         inventory: The machines that the job manager may use.
         peer_exchange, tables: What controllers tell each other of machines.
@@ -81,14 +81,14 @@
         """Handles `begin` from the actor system: subscribes to the store, starts the timers."""
         self.evidence.began_at = self.now()
         super().on_begin()
-        tell_after(FIRST_QUESTION_S, self.peer_exchange.on_ask_peers)
-        tell_after(FIRST_TICK_S, self.on_tick)
-        tell_after(FIRST_TABLE_S, self.tables.on_write_table)
-        tell_after(self.settings.agent_heartbeat_s, self.direct_halts.on_repeat_halts)
+        send_after(FIRST_QUESTION_S, self.peer_exchange.on_ask_peers)
+        send_after(FIRST_TICK_S, self.on_tick)
+        send_after(FIRST_TABLE_S, self.tables.on_write_table)
+        send_after(self.settings.agent_heartbeat_s, self.direct_halts.on_repeat_halts)
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every heartbeat interval, MAX_TICK_S at most."""
-        tell_after(min(MAX_TICK_S, self.settings.agent_heartbeat_s), self.on_tick)
+        send_after(min(MAX_TICK_S, self.settings.agent_heartbeat_s), self.on_tick)
         self.heartbeats.answer_overdue()
         self.updates.write_undelivered()
         self.tables.write_early()
@@ -103,18 +103,21 @@
         """Handles `sync_answered(sent_at, revision)` from the store."""
         self.evidence.note_sync(sent_at, revision)
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store, and commands what follows."""
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
+
+        Sends the commands that follow from it.
+        """
         committed = self.committed
-        change = committed.apply(changes, revision, whole)
+        change = committed.apply(changes, revision, is_snapshot)
         for update in change.task_updates:
-            tell(self.job_manager.on_task_update, update)
+            send(self.job_manager.on_task_update, update)
         self.evidence.compare_replicas(committed.revision)
-        if change.controllers or whole:
+        if change.controllers or is_snapshot:
             self.evidence.note_controllers(committed.controllers, self.now())
         for node in change.controllers:
             self.tables.read(node)
-        if not whole:
+        if not is_snapshot:
             self.direct_commands.send(change.bindings)
 
     # --- from agents and peers, by way of the servers
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .. import peer_paths
-from ..actors import Actor, callback, tell, tell_after
+from ..actors import Actor, callback, send, send_after
 from ..state import wire as state_wire
 from .lease_evidence import NEVER
 from .shared_state import AgentPart, SharedState
@@ -63,7 +63,7 @@
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
         interval_s = self.settings.peer_exchange_s
         lost = self._lost_machines()
-        tell_after(proof_interval_s if lost else interval_s, self.on_ask_peers)
+        send_after(proof_interval_s if lost else interval_s, self.on_ask_peers)
         if now - self.asked_for_all_at >= interval_s - proof_interval_s / 2:
             self.asked_for_all_at = now
             self._ask(None, now)
@@ -132,7 +132,7 @@
             peer_paths.REPLICA_CHANGES,
             state_wire.changes_request(revision),
             2 * self.settings.agent_heartbeat_s,
-            lambda status, body: tell(self.store.on_changes_of_peer, revision, status, body),
+            lambda status, body: send(self.store.on_changes_of_peer, revision, status, body),
         )
 
     # --- answering
@@ -148,7 +148,7 @@
         if now - self.evidence.last_contact > self.settings.lease_s / 4:
             self.on_question_synced(question.machines, reply, None)
             return
-        tell(self.store.on_sync, callback(self.on_question_synced, question.machines, reply))
+        send(self.store.on_sync, callback(self.on_question_synced, question.machines, reply))
 
     def on_question_synced(
         self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -84,7 +84,7 @@
                 self._end_undesired(result, heartbeat.machine, key, status, synced)
             elif status.state is not EXITED:
                 self._stop_if_committed(result, key, status, desired)
-            # Else its job's holder is told; it is cleared once the exit is committed.
+            # Else its job's owner is told; it is cleared once the exit is committed.
         may_start = self._may_start(record)
         for key, desired in desired_tasks.items():
             found = tasks.get(key)
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from ..actors import Actor, callback, tell, tell_after
+from ..actors import Actor, callback, send, send_after
 from .peer_exchange import PeerExchange
 from .shared_state import AgentPart, SharedState
 from .wire import tables as table_wire
@@ -45,7 +45,7 @@
 
     def on_write_table(self) -> None:
         """Handles `write_table`, sent to itself every TABLE_INTERVAL_S."""
-        tell_after(TABLE_INTERVAL_S, self.on_write_table)
+        send_after(TABLE_INTERVAL_S, self.on_write_table)
         self._begin_table()
 
     def write_early(self) -> None:
@@ -54,7 +54,7 @@
             self._begin_table()
 
     def _begin_table(self) -> None:
-        tell(self.job_manager.on_demand, callback(self.on_demand_counted))
+        send(self.job_manager.on_demand, callback(self.on_demand_counted))
 
     def on_demand_counted(self, demand: dict, shortage: dict) -> None:
         """Handles the job manager's counts for a table: passes that on to the member.
@@ -75,7 +75,7 @@
             overflow = [
                 table_wire.write_overflow_value(header.number, machines) for machines in values[1:]
             ]
-        tell(self.member.on_table, table, overflow)
+        send(self.member.on_table, table, overflow)
 
     def _header(self, demand: dict, shortage: dict, now: float) -> table_wire.TableHeader:
         # The incarnation and a count: no two tables of a controller share it.
@@ -84,7 +84,7 @@
             number=f"{self.incarnation}-{self.last_number}",
             demand=demand,
             shortage=shortage,
-            wall=self.system.wall(),
+            wall=self.system.wall_time(),
             up_s=now - self.evidence.began_at,
             contact_age_s=now - self.evidence.last_contact,
             revision=self.committed.revision,
@@ -115,7 +115,7 @@
         try:
             table = table_wire.read_table(node, stored, self.settings.zones)
             if table is not None:
-                age_s = self.system.wall() - table.wall
+                age_s = self.system.wall_time() - table.wall
                 self.evidence.add_table(node, self.now(), age_s, table.view)
         except (KeyError, TypeError, ValueError, IndexError) as error:
             log.info("the table of %s is malformed (%s); the next one is awaited", node, error)
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -5,7 +5,7 @@
 import orjson
 
 from .. import peer_paths
-from ..actors import Actor, callback, tell, tell_after
+from ..actors import Actor, callback, send, send_after
 from ..jobs.binding import StopMode
 from ..jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate, UpdateKey
 from ..state import LIVE_PREFIX
@@ -17,13 +17,13 @@
 from .wire import records
 from .wire.agents import EXITED, AgentHeartbeat, TaskKey, TaskStatus
 
-MAX_UPDATES_SENT = 200  # in one message to a holder
+MAX_UPDATES_SENT = 200  # in one message to an owner
 FRAME_BYTES = 256  # of the value that holds undelivered updates: names of fields and controllers
 BATCHES_PER_HEARTBEAT = 20  # updates are gathered for this part of a heartbeat interval
 
 
 class UpdateForwarding(AgentPart):
-    """Tells the holders of jobs what heartbeats prove."""
+    """Tells the owners of jobs what heartbeats prove."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.undelivered: dict[str, dict[UpdateKey, TaskUpdate]] = {}
         self.wrote_updates = False
 
-    def tell_holders(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
+    def notify_owners(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
         """Passes on what the heartbeat proves; True if anything was."""
         updates = [
             update
@@ -84,22 +84,22 @@
         return None
 
     def forward(self, update: TaskUpdate) -> None:
-        """Passes an update on to the holder of its job, which may be this controller."""
+        """Passes an update on to the owner of its job, which may be this controller."""
         job = self.committed.bindings.jobs.get(update.job_id)
         if job is None:
             return
-        node = self.committed.holder_of(job.spec)
+        node = self.committed.owner_of(job.spec)
         if node == self.settings.node:
-            tell(self.job_manager.on_task_update, update)
+            send(self.job_manager.on_task_update, update)
         elif node in self.peers:
             self.outbox.setdefault(node, {})[update.key] = update
             if not self.outbox_due:
                 self.outbox_due = True
                 delay_s = self.settings.agent_heartbeat_s / BATCHES_PER_HEARTBEAT
-                tell_after(delay_s, self.on_send_updates)
+                send_after(delay_s, self.on_send_updates)
 
     def on_send_updates(self) -> None:
-        """Handles `send_updates`, from `forward`: sends each holder what is for it, in batches."""
+        """Handles `send_updates`, from `forward`: sends each owner what is for it, in batches."""
         self.outbox_due = False
         outbox, self.outbox = self.outbox, {}
         for node, by_key in outbox.items():
@@ -115,7 +115,7 @@
                 )
 
     def on_updates_sent(self, node: str, updates: list[TaskUpdate], status: int, body: Any) -> None:
-        """Handles the holder's answer to one batch."""
+        """Handles the owner's answer to one batch."""
         if status == 200:
             self.undelivered.pop(node, None)
             return
@@ -137,7 +137,7 @@
             return
         self.wrote_updates = bool(rows)
         key = LIVE_PREFIX + records.undelivered_key(self.settings.node)
-        tell(
+        send(
             self.store.on_commit,
             DECISIONS,
             [],
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -21,7 +21,7 @@
 
 
 def write_task_updates(updates: Iterable[TaskUpdate]) -> list[list]:
-    """The body that tells a holder of these updates: a list of [kind, job id, task, ...]."""
+    """The body that tells an owner of these updates: a list of [kind, job id, task, ...]."""
     return [[update.key.kind, *astuple(update)] for update in updates]
 
 
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -11,7 +11,7 @@
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
 OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
-UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their holders
+UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their owners
 
 
 def overflow_owner(key: str) -> str:
@@ -19,18 +19,18 @@
     return key.split("/")[1]
 
 
-def shard_holder(record: dict) -> str | None:
+def shard_owner(record: dict) -> str | None:
     """The controller that a shard's record names."""
     return record.get("node")
 
 
 def undelivered_key(node: str) -> str:
-    """The key under which a controller leaves updates for holders that it does not reach."""
+    """The key under which a controller leaves updates for owners that it does not reach."""
     return UNDELIVERED_PREFIX + node
 
 
 def write_undelivered(rows: dict[str, list]) -> dict:
-    """The record of such a key: {holder: rows of `peers.write_task_updates`}."""
+    """The record of such a key: {owner: rows of `peers.write_task_updates`}."""
     return {"to": rows}
 
 
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from .actors import Actor, tell
+from .actors import Actor, send
 from .agents import AgentManager
 from .config import Operators, Settings
 from .fleet import Autoscaler
@@ -48,9 +48,9 @@
         ]
         return actors
 
-    def tell_memory_pressure(self, short: bool) -> None:
+    def notify_memory_pressure(self, short: bool) -> None:
         """Memory has become short, or enough again."""
-        tell(self.user_api.on_memory_pressure, short)
+        send(self.user_api.on_memory_pressure, short)
 
     def describe(self) -> str:
         """How much there is of what takes memory."""
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from ..membership import NOBODY, Holder
+from ..membership import NO_OWNER, Owner
 from .view import LivenessView
 
 NEVER = float("-inf")
@@ -27,12 +27,12 @@
         self._mod_revisions: dict[int | str, int] = {}
         self._written_at: dict[int | str, float] = {}
 
-    def note(self, claims: Mapping[int, Holder] | Mapping[str, Holder], now: float) -> None:
-        """Takes in the claims as they are, {name: Holder}; what was there at first is old."""
-        for name, holder in claims.items():
-            if self._mod_revisions.get(name, holder.mod_revision) != holder.mod_revision:
+    def note(self, claims: Mapping[int, Owner] | Mapping[str, Owner], now: float) -> None:
+        """Takes in the claims as they are, {name: Owner}; what was there at first is old."""
+        for name, owner in claims.items():
+            if self._mod_revisions.get(name, owner.mod_revision) != owner.mod_revision:
                 self._written_at[name] = now
-            self._mod_revisions[name] = holder.mod_revision
+            self._mod_revisions[name] = owner.mod_revision
 
     def is_fresh(self, name: int | str, now: float) -> bool:
         """Whether the claim was written less than a heartbeat's interval ago."""
@@ -50,7 +50,7 @@
         self.shard_count = shard_count
         self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
-        self._free_since: dict[int, float] = {}  # shard -> when no serving holder was first seen
+        self._free_since: dict[int, float] = {}  # shard -> when no serving owner was first seen
 
     def home(self, shard: int) -> str:
         """The controller that holds the shard while all is well."""
@@ -59,61 +59,61 @@
     def shards_to_take(
         self,
         incarnation: int | None,
-        holders: Mapping[int, Holder],
+        owners: Mapping[int, Owner],
         view: LivenessView,
         now: float,
     ) -> list[int]:
         """The shards that this controller should take now, in their order."""
-        self.history.note(holders, now)
-        free = self._free(incarnation, holders, view, now)
+        self.history.note(owners, now)
+        free = self._free(incarnation, owners, view, now)
         self._free_since = {shard: self._free_since.get(shard, now) for shard in free}
         counts = {name: 0 for name in view.serving}
-        for shard, holder in holders.items():
-            if shard not in free and holder.node in counts:
-                counts[holder.node] += 1
+        for shard, owner in owners.items():
+            if shard not in free and owner.node in counts:
+                counts[owner.node] += 1
         taken = []
         for shard in range(self.shard_count):
-            holder = holders.get(shard, NOBODY)
+            owner = owners.get(shard, NO_OWNER)
             if shard in free:
                 successors = self._successors(shard, counts, view)
                 counts[successors[0]] = counts.get(successors[0], 0) + 1
-                if self._is_due(shard, holder, successors, view, now):
+                if self._is_due(shard, owner, successors, view, now):
                     taken.append(shard)
-            elif self._is_failback_due(shard, holder, view):
+            elif self._is_failback_due(shard, owner, view):
                 taken.append(shard)
         return taken
 
     def _free(
         self,
         incarnation: int | None,
-        holders: Mapping[int, Holder],
+        owners: Mapping[int, Owner],
         view: LivenessView,
         now: float,
     ) -> set[int]:
-        """Shards whose holder does not serve, is a former process of ours, or is slow."""
+        """Shards whose owner does not serve, is a former process of ours, or is slow."""
         return {
             shard
             for shard in range(self.shard_count)
-            if self._is_free(shard, holders.get(shard, NOBODY), incarnation, view, now)
+            if self._is_free(shard, owners.get(shard, NO_OWNER), incarnation, view, now)
         }
 
     def _is_free(
         self,
         shard: int,
-        holder: Holder,
+        owner: Owner,
         incarnation: int | None,
         view: LivenessView,
         now: float,
     ) -> bool:
-        if holder.node == self.node:
-            return holder.incarnation != incarnation
+        if owner.node == self.node:
+            return owner.incarnation != incarnation
         if self.history.is_fresh(shard, now):
             return False
-        if holder.node not in view.serving:
+        if owner.node not in view.serving:
             return True
         return (
-            holder.node in view.slow
-            and holder.node != self.home(shard)
+            owner.node in view.slow
+            and owner.node != self.home(shard)
             and bool(view.serving - view.slow)
         )
 
@@ -133,43 +133,43 @@
         )
 
     def _is_due(
-        self, shard: int, holder: Holder, successors: list[str], view: LivenessView, now: float
+        self, shard: int, owner: Owner, successors: list[str], view: LivenessView, now: float
     ) -> bool:
         """Whether this controller should take a free shard now."""
-        if holder.node == self.node:
+        if owner.node == self.node:
             return True  # our former process held it; nobody else has it
         place = successors.index(self.node)
-        if not view.may_fail_over and not (holder is NOBODY and place == 0):
+        if not view.may_fail_over and not (owner is NO_OWNER and place == 0):
             return False
         # Views differ for a moment: who comes next waits, so that a shard is not left to nobody.
         return now - self._free_since[shard] >= place * self.heartbeat_s
 
-    def _is_failback_due(self, shard: int, holder: Holder, view: LivenessView) -> bool:
+    def _is_failback_due(self, shard: int, owner: Owner, view: LivenessView) -> bool:
         """Whether this controller should take its home shard back from who serves it."""
         return (
             self.home(shard) == self.node
-            and holder.node != self.node
+            and owner.node != self.node
             and view.may_fail_back
             and self.node not in view.slow
         )
 
 
 class LeaderPlanner:
-    """Says when to take leadership: if the leader's key is free, or its holder does not serve."""
+    """Says when to take leadership: if the leader's key is free, or its owner does not serve."""
 
     def __init__(self, node: str, heartbeat_s: float) -> None:
         self.node = node
         self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
-        self._former = NOBODY
+        self._former = NO_OWNER
         self._free_since: float | None = None
 
     def should_take(
-        self, incarnation: int | None, leader: Holder | None, view: LivenessView, now: float
+        self, incarnation: int | None, leader: Owner | None, view: LivenessView, now: float
     ) -> bool:
         """Whether this controller should write the leader's key now.
 
-        `leader` is the key's holder, or None if the key is missing.
+        `leader` is the key's owner, or None if the key is missing.
         """
         if leader is not None:
             self._former = leader
--- a/emberglade/failure_detection/heartbeats.py
+++ b/emberglade/failure_detection/heartbeats.py
@@ -45,7 +45,7 @@
         return Heartbeat(
             sender=self.node,
             version=HeartbeatVersion(Incarnation(self.first_revision, self.lease), self._sequence),
-            sent_wall=self.system.wall(),
+            sent_wall=self.system.wall_time(),
             store_contact_age_s=min(MAX_CONTACT_AGE_S, contact_age_s),
             slow=self.detector.health.slow,
             opinions=self.detector.opinions(now),
@@ -73,7 +73,7 @@
         """Takes in the heartbeat that a message of a peer carries, or refuses it."""
         try:
             heartbeat = wire.read_carried_heartbeat(body)
-            self.detector.receive_heartbeat(heartbeat, self.now(), self.system.wall())
+            self.detector.receive_heartbeat(heartbeat, self.now(), self.system.wall_time())
         except MalformedPeerMessageError as error:
             self.refuse(peer, error)
 
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import peer_paths
-from ..actors import callback_inline, tell, tell_after, tell_inline
+from ..actors import callback_inline, send, send_after, send_inline
 from ..membership import ownership_revision
 from ..membership.wire import NODE_PREFIX, read_incarnation
 from ..state import Change, ReplicaSubscriber, Store
@@ -37,7 +37,7 @@
     def call(self, method: str, path: str, body: Any, timeout: float, reply: "Reply") -> None:
         """Like the link's own `call`."""
         if path == peer_paths.MACHINES:
-            tell_inline(self.monitor.on_ask, self.peer, body, timeout, reply)
+            send_inline(self.monitor.on_ask, self.peer, body, timeout, reply)
         else:
             self.link.call(method, path, body, timeout, reply)
 
@@ -93,8 +93,8 @@
 
     # --- the replica
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store.
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         The first replica starts the detector. The nodes' keys tell the detector which process of
         each peer holds its key; a change of ownership publishes a new view.
@@ -107,7 +107,7 @@
             if key.startswith(NODE_PREFIX):
                 lease = None if data is None else read_incarnation(data)
                 self.detector.note_key(key[len(NODE_PREFIX) :], lease)
-        changed = ownership_revision(changes, revision, whole)
+        changed = ownership_revision(changes, revision, is_snapshot)
         if changed is not None:
             self._ownership_revision = max(self._ownership_revision, changed)
             self.publish(self.detector.view(now))
@@ -120,7 +120,7 @@
         if view != self._view:
             self._view = view
             for listener in self.listeners:
-                tell(listener.on_liveness, view)
+                send(listener.on_liveness, view)
 
     def on_sync_answered(self, sent_at: float, revision: int) -> None:
         """Handles `sync_answered`, from the store: a sync sent at `sent_at` was answered."""
@@ -132,7 +132,7 @@
         """Tells this actor `turn` after a quarter of the heartbeat interval."""
         period_s = self.bounds.heartbeat_s / TURNS_PER_HEARTBEAT
         self.heartbeats.turn_due = self.now() + period_s
-        tell_after(period_s, self.on_turn)
+        send_after(period_s, self.on_turn)
 
     def on_turn(self) -> None:
         """Handles `turn`, from `schedule_turn`: one step of the detector.
@@ -151,7 +151,7 @@
         for transition in result.transitions:
             if transition.after is PeerState.DEAD:
                 for listener in self.listeners:
-                    tell(listener.on_peer_dead, transition.peer)
+                    send(listener.on_peer_dead, transition.peer)
 
     def _note_transition(self, transition: Transition) -> None:
         self._transition_counts[transition.after] += 1
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import peer_paths
-from ..actors import Actor, ActorPart, callback, tell_after
+from ..actors import Actor, ActorPart, callback, send_after
 from ..transport import NO_ANSWER, REFUSED
 from . import wire
 from .detector import PeerDetector
@@ -56,7 +56,7 @@
         self._pings[peer] = list(waiting)
         body = self.heartbeats.add_to({})
         # The link may be busy with a question that nobody answers.
-        tell_after(self.heartbeat_s, self.on_ping_overdue, peer)
+        send_after(self.heartbeat_s, self.on_ping_overdue, peer)
         self.links[peer].call(
             "POST", peer_paths.PING, body, self.heartbeat_s, callback(self.on_pinged, peer)
         )
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -8,7 +8,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ..actors import callback, tell, tell_after
+from ..actors import callback, send, send_after
 from ..config import Operators, Settings
 from ..membership import FORMAT_KEY, is_raised
 from ..membership.wire import LEADER_KEY, NODE_PREFIX
@@ -92,20 +92,20 @@
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes, starts the tick and the watch."""
         super().on_begin()
-        tell_after(START_DELAY_S, self.on_tick)
-        tell_after(START_DELAY_S, self.liveness.on_watch)
+        send_after(START_DELAY_S, self.on_tick)
+        send_after(START_DELAY_S, self.liveness.on_watch)
 
     # --- the replica
 
-    def on_changed(self, events: list, revision: int, whole: bool) -> None:
-        """Handles `changed(events, revision, whole)` from the store.
+    def on_changed(self, events: list, revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(events, revision, is_snapshot)` from the store.
 
         Notes taints, the leader's key, the catalog, the record format and the controllers' tables;
         leadership begins or ends as the leader's key then shows.
         """
         self.loaded = True
-        if whole:
-            self.leadership.holder = None
+        if is_snapshot:
+            self.leadership.owner = None
             self.taints.forget()
         for key, data, mod_revision in events:
             if key.startswith(TAINT_PREFIX):
@@ -147,7 +147,7 @@
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every second: asks for news, and plays a round if due."""
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
         if not self.leading or not self.loaded:
             return
         now = self.now()
@@ -156,7 +156,7 @@
         if not self.catalog.machine_types:
             return
         self.listing.refresh(now)
-        tell(self.job_manager.on_occupied, callback(self.on_occupied))
+        send(self.job_manager.on_occupied, callback(self.on_occupied))
         self.liveness.ask()
         total = self.demand.total()
         self.demand.record(total, self.catalog.machine_types)
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -7,7 +7,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..config import Operators
 from .catalog import MachineCatalog
 from .demand import DemandTargets
@@ -70,11 +70,11 @@
         ordinary_surplus = ordinary - self.demand.target(machine_type, False)
         surplus = ordinary_surplus - max(0, spot_shortage)
         idle = sum(machine.is_idle and not machine.spot for machine in machines)
-        tell(self.job_manager.on_replicas, callback(self.on_replicas))
+        send(self.job_manager.on_replicas, callback(self.on_replicas))
         boot_s = self.catalog.machine_types[machine_type].boot_s
         led_for_s = self.now() - self.leadership.since
         if surplus > idle and self.moves >= 1 and boot_s < led_for_s:
-            tell(
+            send(
                 self.job_manager.on_underused_machine,
                 machine_type,
                 int(self.moves),
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ..actors import Actor, ActorPart, callback, tell, tell_after
+from ..actors import Actor, ActorPart, callback, send, send_after
 from ..config import Settings
 from .leadership import Leadership
 from .machines import FleetMachines, shorten_names
@@ -48,16 +48,16 @@
     def ask(self, tainted_only: bool = False) -> None:
         """Asks the agent manager how silent machines are."""
         if tainted_only:
-            tell(self.agents.on_ask_liveness, callback(self.on_liveness), True)
+            send(self.agents.on_ask_liveness, callback(self.on_liveness), True)
         else:
-            tell(self.agents.on_ask_liveness, callback(self.on_liveness))
+            send(self.agents.on_ask_liveness, callback(self.on_liveness))
 
     def on_watch(self) -> None:
         """Handles `watch`, sent to itself several times a heartbeat.
 
         Tasks of a silent machine wait for proof that its lease is over: asked more often.
         """
-        tell_after(self.settings.agent_heartbeat_s / WATCHES_PER_HEARTBEAT, self.on_watch)
+        send_after(self.settings.agent_heartbeat_s / WATCHES_PER_HEARTBEAT, self.on_watch)
         if self.leadership.leading and self._awaits_proof():
             self.ask(tainted_only=True)
 
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from ..actors import ActorPart, callback, tell_after
+from ..actors import ActorPart, callback, send_after
 from ..config import Operators, Settings
 from ..placement import MachineType
 from ..state import ReplicaSubscriber
@@ -234,7 +234,7 @@
         if machines is None and not wire.is_refusal(status, body):
             # Perhaps carried out: only the same name asked again tells, and adds nothing twice.
             if retries < MAX_RETRIES and self.leadership.leading:
-                tell_after(RETRY_S, self.on_retry, name, requested_at, retries)
+                send_after(RETRY_S, self.on_retry, name, requested_at, retries)
             else:
                 del self.pending[name]
             return
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -4,9 +4,9 @@
 from http import HTTPStatus
 from typing import Any
 
-from ..actors import Actor, ActorPart, callback, tell, tell_after
+from ..actors import Actor, ActorPart, callback, send, send_after
 from ..config import Settings
-from ..membership import Holder
+from ..membership import Owner
 from ..state import Store
 from .leadership import Leadership
 from .states import Taint
@@ -73,26 +73,26 @@
         self.leadership.commit(
             [(key, row.mod_revision) for key, row in values.items()],
             [(key, row.taints) for key, row in values.items()],
-            callback(self.on_written, self.leadership.holder),
+            callback(self.on_written, self.leadership.owner),
         )
 
-    def on_written(self, holder: Holder, status: int, revision: int | None, failed: Any) -> None:
+    def on_written(self, owner: Owner, status: int, revision: int | None, failed: Any) -> None:
         """Handles the store's answer to a commit of taints: a sync shows what became of it.
 
-        `holder` is the leader's key as of the commit.
+        `owner` is the leader's key as of the commit.
         """
-        tell(self.store.on_sync, callback(self.on_taints_synced, holder, status))
+        send(self.store.on_sync, callback(self.on_taints_synced, owner, status))
 
-    def on_taints_synced(self, holder: Holder, status: int, revision: int | None) -> None:
+    def on_taints_synced(self, owner: Owner, status: int, revision: int | None) -> None:
         """Handles the sync after a commit of taints that was answered with `status`.
 
         Ignored if the leader's key has changed since. Writes what is pending meanwhile.
         """
-        if self.leadership.holder != holder:
+        if self.leadership.owner != owner:
             return
         if revision is None:
             # The replica may not show what was written; the next change is worked out from it.
-            tell_after(SYNC_RETRY_S, self.on_written, holder, status, None, None)
+            send_after(SYNC_RETRY_S, self.on_written, owner, status, None, None)
             return
         written, self.in_flight = self.in_flight, {}
         if status != HTTPStatus.OK:
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from ..actors import ActorPart, callback, tell, tell_after
+from ..actors import ActorPart, callback, send, send_after
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
-from .shard_holders import full_shard_key
+from .shard_owners import full_shard_key
 from .transaction import CommitInFlight
 from .view import View
 
@@ -35,7 +35,7 @@
         settled: Callable[[dict[str, Any]], None],
     ) -> None:
         super().__init__(actor)
-        self._settings, self._store, self._holders = view.settings, store, view.holders
+        self._settings, self._store, self._owners = view.settings, store, view.owners
         self._settled = settled
 
     def settle(self, in_flight: CommitInFlight, decided: bool) -> None:
@@ -55,12 +55,12 @@
         been given to others (protocol_rules/late_commit.txt). All that it hangs on are the epochs
         of its shards, so these are written anew.
         """
-        epochs = sorted(self._holders.own_among(in_flight.shards))
+        epochs = sorted(self._owners.owned_among(in_flight.shards))
         if not epochs:
             self.on_sync(in_flight)
             return
-        record = self._holders.own_record()
-        tell(
+        record = self._owners.own_record()
+        send(
             self._store.on_commit,
             DECISIONS,
             [(full_shard_key(shard), epoch) for shard, epoch in epochs],
@@ -76,15 +76,15 @@
             # With 409 the epochs are others' already, or ours from a try that got no answer.
             self.on_sync(in_flight)
         else:
-            tell_after(self._settings.agent_heartbeat_s / 3, self.on_fence, in_flight)
+            send_after(self._settings.agent_heartbeat_s / 3, self.on_fence, in_flight)
 
     def on_sync(self, in_flight: CommitInFlight) -> None:
         """Handles `sync`, sent to itself after one that failed: brings the replica up to date."""
-        tell(self._store.on_sync, callback(self.on_synced, in_flight))
+        send(self._store.on_sync, callback(self.on_synced, in_flight))
 
     def on_synced(self, in_flight: CommitInFlight, revision: int | None) -> None:
         """Handles the sync after which the replica shows what became of the commit."""
         if revision is None:
-            tell_after(SYNC_RETRY_S, self.on_sync, in_flight)
+            send_after(SYNC_RETRY_S, self.on_sync, in_flight)
             return
-        tell(self._store.on_read_replica, list(in_flight.chunks), callback(self._settled))
+        send(self._store.on_read_replica, list(in_flight.chunks), callback(self._settled))
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..actors import ActorPart, callback, tell, tell_after
+from ..actors import ActorPart, callback, send, send_after
 from ..state import Change
 from ..state.store import DECISIONS
 from ..transport import status_text
@@ -61,7 +61,7 @@
     ) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
-        self._jobs, self._holders = view.jobs, view.holders
+        self._jobs, self._owners = view.jobs, view.owners
         self._chunk_limits = view.chunk_limits
         self._garbage, self._listener = garbage, listener
         self._flush_at = float("inf")  # when the next flush is due
@@ -77,7 +77,7 @@
 
     def mark_if_over(self, job: Job) -> None:
         """Notes an own job for its end when nothing more is to come of it."""
-        if job.is_over() and self._holders.holds(job):
+        if job.is_over() and self._owners.owns(job):
             self._mark(wire.job_key(job.id), soon=True)
 
     def _mark(self, key: str, soon: bool) -> None:
@@ -87,7 +87,7 @@
         at = self.now() + delay_s
         if self.in_flight is None and at < self._flush_at:
             self._flush_at = at
-            tell_after(delay_s, self.on_flush)
+            send_after(delay_s, self.on_flush)
 
     def _flush_rest(self) -> None:
         """Sees to what is pending still, but for jobs that have to be rechunked first."""
@@ -114,7 +114,7 @@
             return
         self._budget.count_writes(now, len(transaction.writes))
         self.in_flight = transaction.in_flight()
-        tell(
+        send(
             self._store.on_commit,
             DECISIONS,
             list(transaction.conditions.items()),
@@ -127,7 +127,7 @@
         transaction = Transaction(self._budget.max_writes)
         for key in self.pending.in_turn(now):
             job = self._jobs.get(wire.job_id_of(key))
-            if job is None or not self._holders.holds(job):
+            if job is None or not self._owners.owns(job):
                 self.pending.discard(key)
                 continue
             over = job.is_over()
@@ -138,7 +138,7 @@
                 continue
             if not transaction.has_space(over):
                 break
-            shard, epoch = self._holders.shard_of(job.spec), self._holders.epoch_condition(job.spec)
+            shard, epoch = self._owners.shard_of(job.spec), self._owners.epoch_condition(job.spec)
             if over:
                 transaction.add_end(job, shard, epoch)
             else:
@@ -166,7 +166,7 @@
         for end in ends:
             self._end_job(end)
         # Others' starts follow from the replica; it is asked for at once.
-        tell(self._store.on_sync, lambda revision: None)
+        send(self._store.on_sync, lambda revision: None)
         self._apply_deferred(in_flight, revision)
         self._garbage.collect()
         self._flush_rest()
@@ -178,7 +178,7 @@
             "%s is %s after %.1f s",
             end.job_id,
             end.outcome.name.lower(),
-            self.system.wall() - job.spec.submitted_at if job else 0,
+            self.system.wall_time() - job.spec.submitted_at if job else 0,
         )
         if job is not None:
             self._jobs.remove(end.job_id)
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -17,7 +17,7 @@
 
 
 class CommittedState:
-    """Takes in what the replica shows: jobs, chunks, holders, taints, machine types, the format.
+    """Takes in what the replica shows: jobs, chunks, owners, taints, machine types, the format.
 
     What was decided here and is not committed yet gives way to what others have committed.
     """
@@ -26,7 +26,7 @@
         self, view: View, commits: Commits, garbage: GarbageCollection, clock: Callable[[], float]
     ) -> None:
         self._jobs, self._unattached, self._cluster = view.jobs, view.unattached, view.cluster
-        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._owners, self._chunk_limits = view.owners, view.chunk_limits
         self._graph = view.graph
         self._commits, self._garbage, self._clock = commits, garbage, clock
         self._changed_taints: set[str] = set()
@@ -49,7 +49,7 @@
         elif wire.is_chunk_key(key):
             self._apply_chunk(key, record, mod_revision)
         elif key.startswith(membership_wire.SHARD_PREFIX):
-            self._holders.apply(key, record, mod_revision)
+            self._owners.apply(key, record, mod_revision)
         elif key.startswith(TAINT_PREFIX):
             taints = self._cluster.taints
             self._changed_taints.update(taints.apply(key, record, mod_revision, self._clock()))
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -46,9 +46,9 @@
 
     # --- following the replica
 
-    def apply(self, events: Iterable[Change], whole: bool) -> None:
-        """Takes in changes of the replica, in their order; `whole`: they are all of it."""
-        if whole:
+    def apply(self, events: Iterable[Change], is_snapshot: bool) -> None:
+        """Takes in changes of the replica, in their order; `is_snapshot`: they are all of it."""
+        if is_snapshot:
             self._forget()
         # The order of keys puts a job before the segments of its list.
         for key, record, mod_revision in events:
@@ -57,7 +57,7 @@
         touched: set[str] = set()
         for key, record, mod_revision in events:
             if key.startswith(wire.JOB_PREFIX):
-                self._apply_live(wire.job_id_of(key), record, whole, touched)
+                self._apply_live(wire.job_id_of(key), record, is_snapshot, touched)
             elif key.startswith(wire.WAITING_PREFIX):
                 self._apply_waiting(wire.job_id_of(key), record, mod_revision, touched)
         for job_id in touched:
@@ -82,7 +82,7 @@
             del self.segments[(job_id, list_id)]
 
     def _apply_live(
-        self, job_id: str, record: wire.Record | None, whole: bool, touched: set[str]
+        self, job_id: str, record: wire.Record | None, is_snapshot: bool, touched: set[str]
     ) -> None:
         if record is not None:
             cancelled = wire.is_cancelled(record)
@@ -93,7 +93,7 @@
                 self._cancel_dependents(job_id)
             return
         cancelled_before = self.live.pop(job_id, None)
-        if cancelled_before is None or whole:
+        if cancelled_before is None or is_snapshot:
             touched.add(job_id)
             return
         # The end of a job is written on condition of its record, so the last record seen tells how
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from ..actors import ActorPart, callback, tell, tell_after
+from ..actors import ActorPart, callback, send, send_after
 from ..state import FINAL_PREFIX, LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -36,7 +36,7 @@
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
-        self._graph, self._holders = view.graph, view.holders
+        self._graph, self._owners = view.graph, view.owners
         self._chunk_limits = view.chunk_limits
         self._busy = False  # a transaction is on its way, or its outcome not seen yet
         self._being_read: set[str] = set()  # dependencies whose final key is being read
@@ -46,7 +46,7 @@
 
         Nothing before this process's incarnation is known.
         """
-        if self._holders.incarnation is None:
+        if self._owners.incarnation is None:
             return
         if self._graph.unresolved:
             self._read_unresolved()
@@ -56,7 +56,7 @@
     def _own(self, job_ids: Iterable[str]) -> list[str]:
         """Those of these waiting jobs whose shards this controller holds."""
         waiting = self._graph.waiting
-        return [job_id for job_id in job_ids if self._holders.holds(waiting[job_id])]
+        return [job_id for job_id in job_ids if self._owners.owns(waiting[job_id])]
 
     # --- how dependencies ended, where the replica doesn't tell
 
@@ -66,7 +66,7 @@
                 return
             if self._own(self._graph.dependents.get(needed, ())):
                 self._being_read.add(needed)
-                tell(
+                send(
                     self._store.on_read,
                     DECISIONS,
                     FINAL_PREFIX + wire.final_key(needed),
@@ -98,13 +98,13 @@
         conditions, writes = set(), []
         for job_id in releases + ends:
             job = graph.waiting[job_id]
-            conditions.add(self._holders.epoch_condition(job.spec))
+            conditions.add(self._owners.epoch_condition(job.spec))
             conditions.add((LIVE_PREFIX + wire.waiting_key(job_id), job.mod_revision))
             writes.append(self._release(job) if job_id in graph.ready else self._end(job))
             writes.append(state_wire.remove(LIVE_PREFIX + wire.waiting_key(job_id)))
         self._busy = True
         self._budget.count_writes(self.now(), len(writes))
-        tell(
+        send(
             self._store.on_commit,
             DECISIONS,
             sorted(conditions),
@@ -114,7 +114,7 @@
 
     def _release(self, job: WaitingJob) -> dict[str, Any]:
         """The write that makes a waiting job a live one."""
-        spec = released_spec(job.spec, self.system.wall())
+        spec = released_spec(job.spec, self.system.wall_time())
         live_job = Job(spec, max(1, self._chunk_limits.chunk_size_for(spec)))
         return state_wire.put(LIVE_PREFIX + wire.job_key(spec.id), wire.job_record(live_job))
 
@@ -139,19 +139,19 @@
             if ends:
                 log.info("cancelled with a job that they need: %s", " ".join(ends))
         elif status in NOT_EXECUTED:
-            tell_after(self._settings.agent_heartbeat_s / 8, self.on_advance_again)
+            send_after(self._settings.agent_heartbeat_s / 8, self.on_advance_again)
             return
         elif status == 400:
             job_ids = " ".join(releases + ends)
             log.error("the state service refuses to release %s (%s)", job_ids, failed)
-            tell_after(self._settings.agent_heartbeat_s, self.on_advance_again)
+            send_after(self._settings.agent_heartbeat_s, self.on_advance_again)
             return
-        tell(self._store.on_sync, callback(self.on_synced))
+        send(self._store.on_sync, callback(self.on_synced))
 
     def on_synced(self, revision: int | None) -> None:
         """Handles the sync after which the replica shows what became of a transaction."""
         if revision is None:
-            tell_after(self._settings.agent_heartbeat_s / 3, self.on_advance_again)
+            send_after(self._settings.agent_heartbeat_s / 3, self.on_advance_again)
             return
         self.on_advance_again()
 
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..actors import ActorPart, callback, tell
+from ..actors import ActorPart, callback, send
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -23,7 +23,7 @@
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
-        self._jobs, self._holders = view.jobs, view.holders
+        self._jobs, self._owners = view.jobs, view.owners
         self._unattached = view.unattached
         self._garbage: dict[str, int] = {}  # key of a chunk to be removed -> its mod revision
         self._orphaned_since: dict[str, float] = {}  # job -> when chunks without it were seen
@@ -49,7 +49,7 @@
             return
         owners = {self._unused_condition(wire.job_id_of(key)) for key in unused}
         conditions = [(LIVE_PREFIX + key, revision) for key, revision in unused.items()]
-        tell(
+        send(
             self._store.on_commit,
             DECISIONS,
             conditions + sorted(owners),
@@ -68,27 +68,27 @@
         """Whether a chunk belongs to no live job, or to another generation than an own one's."""
         chunk = wire.read_chunk_key(key)
         job = self._jobs.get(chunk.job_id)
-        return job is None or (self._holders.holds(job) and chunk.generation != job.generation)
+        return job is None or (self._owners.owns(job) and chunk.generation != job.generation)
 
     def _unused_condition(self, job_id: str) -> tuple[str, int]:
         """What a removal of a job's chunks hangs on.
 
         A live job's own key is always there, so without it nobody needs its chunks. Those of
-        another generation are needed by nobody but the holder, who alone may rechunk the job.
+        another generation are needed by nobody but the owner, who alone may rechunk the job.
         """
         job = self._jobs.get(job_id)
         if job is None:
             return LIVE_PREFIX + wire.job_key(job_id), 0
-        return self._holders.epoch_condition(job.stored_spec)
+        return self._owners.epoch_condition(job.stored_spec)
 
     def sweep_generations(self, rechunked_job_id: str | None) -> None:
-        """Finds chunks of other generations than their job's: its holder removes them.
+        """Finds chunks of other generations than their job's: its owner removes them.
 
         Not those of `rechunked_job_id`, whose new chunks are being written just now.
         """
         for job_id in self._unattached.of_jobs:
             job = self._jobs.get(job_id)
-            if job is not None and self._holders.holds(job) and job_id != rechunked_job_id:
+            if job is not None and self._owners.owns(job) and job_id != rechunked_job_id:
                 self._garbage.update(self._unattached.keys_of(job_id))
 
     def sweep_orphans(self) -> None:
@@ -96,7 +96,7 @@
 
         One controller removes those that had no job for long.
         """
-        if not self._holders.holds_first_shard():
+        if not self._owners.owns_first_shard():
             return
         now = self.now()
         self._orphaned_since = {
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -140,7 +140,7 @@
 def shard_of(spec: JobSpec, teams: Mapping[str, Any], shards: int) -> int:
     """The shard of a job, of `shards` in all.
 
-    The jobs of a team with a quota share a shard, so that one holder alone enforces the quota.
+    The jobs of a team with a quota share a shard, so that one owner alone enforces the quota.
     """
     team = teams.get(spec.team)
     name = "team " + spec.team if team is not None and team.limited else spec.id
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import placement
-from ..actors import tell, tell_after
-from ..membership import Holder
+from ..actors import send, send_after
+from ..membership import Owner
 from ..state import Change, ReplicaSubscriber
 from .commits import Commits
 from .committed import CommittedState
@@ -70,19 +70,19 @@
         return self.view.jobs.jobs
 
     @property
-    def holders(self) -> dict[int, Holder]:
-        """Shard -> Holder, as the replica shows them."""
-        return self.view.holders.holders
+    def owners(self) -> dict[int, Owner]:
+        """Shard -> Owner, as the replica shows them."""
+        return self.view.owners.owners
 
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes to the store, and ticks."""
         super().on_begin()
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
 
     def on_identity(self, incarnation: int) -> None:
         """Handles `identity(incarnation)` from the member: which process this is."""
         super().on_identity(incarnation)
-        self.view.holders.incarnation = incarnation
+        self.view.owners.incarnation = incarnation
 
     # --- what agents and the store tell
 
@@ -95,24 +95,24 @@
         """Handles `task_update(update)` from the agent manager, or from a peer's."""
         self.tasks.apply(update)
 
-    def on_changed(self, events: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(events, revision, whole)` from the store: the replica has changed.
+    def on_changed(self, events: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(events, revision, is_snapshot)` from the store: the replica has changed.
 
         Changes of what is being written just now wait for the outcome.
         """
-        if whole:
+        if is_snapshot:
             self.committed.begin_anew({key for key, record, _ in events if record is not None})
         for event in events:
             if not self.commits.defer(event):
                 self.committed.apply(*event)
-        self._follow_dependencies(events, whole)
+        self._follow_dependencies(events, is_snapshot)
         machines = self.committed.take_changed_taints()
         if machines:
             self.tasks.apply_taints(machines)
         self.schedule_placement()
 
-    def _follow_dependencies(self, events: list[Change], whole: bool) -> None:
-        self.view.graph.apply(events, whole)
+    def _follow_dependencies(self, events: list[Change], is_snapshot: bool) -> None:
+        self.view.graph.apply(events, is_snapshot)
         for job_id in self.view.graph.urgency.take_changes():
             job = self.view.jobs.get(job_id)
             if job is not None:
@@ -121,7 +121,7 @@
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every TICK_S: looks after what no message brings about."""
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
         for job in list(self.jobs.values()):
             self.commits.mark_if_over(job)
         # Once broken: the stops for a drained machine went with a commit that was not carried out,
@@ -160,8 +160,8 @@
         self.scheduler.schedule_round()
 
     def request_stop(self, update: StopWanted) -> None:
-        """Has the holder of another's task asked to stop it."""
-        tell(self.agents.on_ask_stop, update)
+        """Has the owner of another's task asked to stop it."""
+        send(self.agents.on_ask_stop, update)
 
     # --- questions of other actors
 
@@ -176,10 +176,10 @@
         """
         settings, cluster = self.settings, self.view.cluster
         own = [
-            job for job in self.jobs.values() if self.view.holders.holds(job) and not job.cancelled
+            job for job in self.jobs.values() if self.view.owners.owns(job) and not job.cancelled
         ]
         buffer = placement.capacity_buffer(
-            own, settings.objectives, cluster.machine_types, self.system.wall()
+            own, settings.objectives, cluster.machine_types, self.system.wall_time()
         )
         reply(
             placement.demand(own, buffer, cluster.machine_types, settings.teams),
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -15,7 +15,7 @@
 MAX_TASKS_A_TURN = 256
 STARVING_JOB_SHARE = 1 / 8  # of a starving job's tasks goes first: enough to begin
 COMMITS_A_ROUND = 4  # full commits that a round may bind tasks for
-# What was tried so often, of a job that gets nothing done, its holder may well be holding back.
+# What was tried so often, of a job that gets nothing done, its owner may well be holding back.
 MAX_HOPEFUL_ATTEMPTS = 3
 
 
@@ -35,7 +35,7 @@
         wall: float,
     ) -> None:
         settings = view.settings
-        self._jobs, self._cluster, self._holders = view.jobs, view.cluster, view.holders
+        self._jobs, self._cluster, self._owners = view.jobs, view.cluster, view.owners
         self._commits, self._round, self._starving = commits, placement_round, starving
         self._teams, self._now, self._wall = settings.teams, now, wall
         # (a job, tasks like it that are expected soon): capacity is kept free for them.
@@ -64,7 +64,7 @@
         limit = self._task_limit(job, within_guarantee)
         if limit <= 0:
             return
-        if not self._holders.holds(job):
+        if not self._owners.owns(job):
             self._reserve(job, limit)
         elif self._tasks_left > 0:
             self._tasks_left -= self._place(job, job.pending_tasks(self._now, limit))
@@ -88,9 +88,9 @@
         return limit
 
     def _reserve(self, job: Job, limit: int) -> None:
-        """Takes capacity for another holder's job, as its holder is expected to.
+        """Takes capacity for another owner's job, as its owner is expected to.
 
-        What was often tried, of a job that gets nothing done, its holder may well be holding back.
+        What was often tried, of a job that gets nothing done, its owner may well be holding back.
         Others are tried as often on a rough day; their capacity was given away, and made for them
         again and again (protocol_rules/random_combined_faults_small_values.txt, 39).
         """
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -25,7 +25,7 @@
 LATE_START_LEASES = 4  # agent leases for which the first sign of a job that waited long is left
 MAX_PRESSING_PRIORITY = 1  # index into PRIORITIES: jobs of lower priority are not pressing by age
 
-STOP_REASON = "room for "  # for the log; sent to other holders, so it stays as it is
+STOP_REASON = "room for "  # for the log; sent to other owners, so it stays as it is
 
 
 class Preemption(ActorPart):
@@ -44,10 +44,10 @@
         super().__init__(actor)
         self._settings = view.settings
         self._jobs, self._cluster = view.jobs, view.cluster
-        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._owners, self._chunk_limits = view.owners, view.chunk_limits
         self._tasks, self._request_stop = tasks, request_stop
         self._last_round_at = float("-inf")
-        # (job, task, attempt) -> when its holder was asked to stop it
+        # (job, task, attempt) -> when its owner was asked to stop it
         self._requested: dict[tuple[str, int, int], float] = {}
 
     def preempt(
@@ -81,7 +81,7 @@
         """Whether a pending job may have others stopped now: a deadline allows patience."""
         spec = job.spec
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
-        age = self.system.wall() - spec.submitted_at
+        age = self.system.wall_time() - spec.submitted_at
         if spec.service:
             return age > 2 * heartbeat_s / 10
         if job.id in guaranteed and age > heartbeat_s:
@@ -97,9 +97,7 @@
         pressing = [
             job
             for job in pending
-            if self._holders.holds(job)
-            and job.pending_count()
-            and self._is_pressing(job, guaranteed)
+            if self._owners.owns(job) and job.pending_count() and self._is_pressing(job, guaranteed)
         ]
         if not pressing:
             return []
@@ -169,7 +167,7 @@
         turn again, and so on; neither ran (combined_faults/aging_and_preemption.txt).
         """
         bound_s = now - binding.since
-        age = self.system.wall() - job.spec.submitted_at - bound_s
+        age = self.system.wall_time() - job.spec.submitted_at - bound_s
         return bound_s < LATE_START_LEASES * self._settings.lease_s < age / 2 and (
             not job.done_count()
         )
@@ -228,7 +226,7 @@
 
     def _stop(self, now: float, running: placement.BoundTask, reason: str) -> None:
         job, task, binding = running
-        if self._holders.holds(job):
+        if self._owners.owns(job):
             self._tasks.stop(job, task, StopMode.SAVE, reason)
         else:
             self._requested[(job.id, task, binding.attempt)] = now
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -1,7 +1,7 @@
 """Rechunks jobs whose chunks may outgrow the values that the store takes.
 
 Records written under larger limits stay readable, but their next version might be refused. The
-holder writes the new chunks first, under keys of a generation of their own that nobody reads, and
+owner writes the new chunks first, under keys of a generation of their own that nobody reads, and
 then switches the job's record to them in one conditional transaction. Until then nothing is decided
 about the job: status updates of its tasks are repeated by heartbeats, so none is lost.
 """
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from ..actors import ActorPart, callback, tell, tell_after
+from ..actors import ActorPart, callback, send, send_after
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -54,7 +54,7 @@
     def __init__(self, actor: "JobManager", store: "Store", view: View, commits: Commits) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
-        self._jobs, self._holders = view.jobs, view.holders
+        self._jobs, self._owners = view.jobs, view.owners
         self._chunk_limits = view.chunk_limits
         self._commits = commits
         self._current: Rechunk | None = None
@@ -73,16 +73,16 @@
         if (
             self._current is not None
             or not self._chunk_limits.format_raised
-            or self._holders.incarnation is None
+            or self._owners.incarnation is None
         ):
             return
         job = self._next_job()
         if job is None:
             return
         self._count += 1
-        self._current = Rechunk(job.id, f"{self._holders.incarnation}-{self._count}")
+        self._current = Rechunk(job.id, f"{self._owners.incarnation}-{self._count}")
         keys = [wire.key_of_chunk(job, number) for number in {0, *job.chunks}]
-        tell(self._store.on_read_replica, keys, callback(self.on_chunks_read, self._current))
+        send(self._store.on_read_replica, keys, callback(self.on_chunks_read, self._current))
 
     def _next_job(self) -> Job | None:
         urgent = self._commits.pending.job_ids()
@@ -93,7 +93,7 @@
             for job in self._jobs.jobs.values()
             if job.id not in busy
             and self._chunk_limits.needs_rechunking(job)
-            and self._holders.holds(job)
+            and self._owners.owns(job)
         ]
         return max(
             candidates,
@@ -104,7 +104,7 @@
     def on_chunks_read(self, change: Rechunk, found: dict[str, Any]) -> None:
         """Handles what the replica shows of the job's chunks: they are split anew from that."""
         job = self._jobs.get(change.job_id)
-        if job is None or not self._holders.holds(job) or found.get(wire.job_key(job.id)) is None:
+        if job is None or not self._owners.owns(job) or found.get(wire.job_key(job.id)) is None:
             self._current = None
             return
         for chunk in job.chunks.values():
@@ -128,15 +128,15 @@
     def _write(self, change: Rechunk) -> None:
         """Writes the next of the new chunks, or switches to them when all are there."""
         job = self._jobs.get(change.job_id)
-        if job is None or not self._holders.holds(job) or job.mod_revision != change.mod_revision:
+        if job is None or not self._owners.owns(job) or job.mod_revision != change.mod_revision:
             self._current = None
             return
         if not change.chunks:
             self._switch(job, change)
             return
         batch = change.chunks[: self._budget.max_writes]
-        epoch = self._holders.epoch_condition(job.stored_spec)
-        tell(
+        epoch = self._owners.epoch_condition(job.stored_spec)
+        send(
             self._store.on_commit,
             DECISIONS,
             [epoch, *((LIVE_PREFIX + key, 0) for key, _ in batch)],
@@ -152,7 +152,7 @@
             del change.chunks[:count]
             self._write(change)
         elif status in NOT_EXECUTED:
-            tell_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
+            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
         else:
             # Perhaps carried out later; the next try uses keys of its own, and what is left over is
             # removed.
@@ -169,12 +169,12 @@
         That is a commit like any other: nothing else is written until its outcome is known.
         """
         if self._commits.in_flight is not None:
-            tell_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, change)
+            send_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, change)
             return
-        key, epoch = wire.job_key(job.id), self._holders.epoch_condition(job.stored_spec)
-        shard = self._holders.shard_of(job.stored_spec)
+        key, epoch = wire.job_key(job.id), self._owners.epoch_condition(job.stored_spec)
+        shard = self._owners.shard_of(job.stored_spec)
         self._commits.begin_flight(CommitInFlight({key: job.chunk_of(0)}, {shard}))
-        tell(
+        send(
             self._store.on_commit,
             DECISIONS,
             [epoch, (LIVE_PREFIX + key, change.mod_revision)],
@@ -186,7 +186,7 @@
         """Handles the store's answer to the switch."""
         if status in NOT_EXECUTED:
             self._commits.abandon_flight()
-            tell_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
+            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
             return
         if status == 200:
             size = wire.read_chunk_size(change.record)
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from .. import placement
-from ..actors import ActorPart, tell_after
+from ..actors import ActorPart, send_after
 from .commits import Commits
 from .failure_backoff import FailureBackoff
 from .job import Job
@@ -38,7 +38,7 @@
         super().__init__(actor)
         self._settings, self._view = view.settings, view
         self._jobs, self._cluster = view.jobs, view.cluster
-        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._owners, self._chunk_limits = view.owners, view.chunk_limits
         self._commits, self._backoff, self._preemption = commits, backoff, preemption
         self._round_scheduled = False
         self._next_round_at = float("-inf")
@@ -51,7 +51,7 @@
             self._round_scheduled = True
             min_delay_s = self._settings.agent_heartbeat_s / MIN_DELAYS
             delay_s = max(min_delay_s, self._next_round_at - self.now())
-            tell_after(delay_s, self.on_place)
+            send_after(delay_s, self.on_place)
 
     def play_if_due(self) -> None:
         """Plays the scheduled round at once, if the pause after the last one is over."""
@@ -67,7 +67,7 @@
         if not self._cluster.machine_types or self._commits.in_flight is not None:
             return
         pending = self._jobs_with_pending_tasks()
-        if not any(self._holders.holds(job) for job in pending):
+        if not any(self._owners.owns(job) for job in pending):
             return
         usable = self._cluster.untainted_machines()
         usable.difference_update(self._backoff.machines(now))
@@ -89,10 +89,10 @@
     ) -> None:
         """One round: takes capacity for everybody's pending tasks in order, and binds own ones.
 
-        Every holder plays the round through for all jobs, in the same order: capacity that a free
+        Every owner plays the round through for all jobs, in the same order: capacity that a free
         machine offers is not fought over by several controllers.
         """
-        wall = self.system.wall()
+        wall = self.system.wall_time()
         starving = {job.id for job in pending if self.is_starving(job, wall)}
         self._sort(pending, starving, wall)
         self._update_guaranteed(now)
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..actors import ActorPart, tell
+from ..actors import ActorPart, send
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -22,7 +22,7 @@
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
-        self._graph, self._holders = view.graph, view.holders
+        self._graph, self._owners = view.graph, view.owners
         self._unused_since: dict[tuple[str, str], float] = {}  # (job, list id) -> when first seen
 
     def sweep(self) -> None:
@@ -30,7 +30,7 @@
 
         The first segment goes first, since a job's key hangs on it.
         """
-        if not self._holders.holds_first_shard():
+        if not self._owners.owns_first_shard():
             self._unused_since = {}
             return
         now = self.now()
@@ -59,7 +59,7 @@
         ]
         waiting = self._graph.waiting.get(job_id)
         waiting_revision = waiting.mod_revision if waiting is not None else 0
-        tell(
+        send(
             self._store.on_commit,
             DECISIONS,
             [(LIVE_PREFIX + wire.waiting_key(job_id), waiting_revision), *keys],
--- a/emberglade/jobs/shard_holders.py
+++ b/emberglade/jobs/shard_owners.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..membership import NOBODY, Holder, shard_count
+from ..membership import NO_OWNER, Owner, shard_count
 from ..membership import wire as membership_wire
 from ..state import LIVE_PREFIX
 from .job import Job, shard_of
@@ -13,58 +13,58 @@
     from ..config import Settings
 
 
-class ShardHolders:
-    """The shards' holders, as the replica shows them.
+class ShardOwners:
+    """The shards' owners, as the replica shows them.
 
     Attributes:
         incarnation: This process's, once the member has told it.
-        holders: shard -> Holder.
+        owners: shard -> Owner.
     """
 
     def __init__(self, settings: "Settings") -> None:
         self._settings = settings
         self._shards = shard_count(settings)
         self.incarnation: int | None = None
-        self.holders: dict[int, Holder] = {}
+        self.owners: dict[int, Owner] = {}
 
     def apply(self, key: str, record: dict[str, Any] | None, mod_revision: int) -> None:
         """Takes in a change of a shard's key."""
         shard = membership_wire.read_shard_key(key)
         if record is None:
-            self.holders.pop(shard, None)
+            self.owners.pop(shard, None)
         else:
-            self.holders[shard] = membership_wire.read_holder(record, mod_revision)
+            self.owners[shard] = membership_wire.read_owner(record, mod_revision)
 
-    def is_own(self, holder: Holder) -> bool:
-        """Whether this process is the holder."""
+    def is_own(self, owner: Owner) -> bool:
+        """Whether this process is the owner."""
         return (
             self.incarnation is not None
-            and holder.node == self._settings.node
-            and holder.incarnation == self.incarnation
+            and owner.node == self._settings.node
+            and owner.incarnation == self.incarnation
         )
 
     def shard_of(self, spec: JobSpec) -> int:
         """The shard that a job belongs to."""
         return shard_of(spec, self._settings.teams, self._shards)
 
-    def holds(self, job: Job | WaitingJob) -> bool:
+    def owns(self, job: Job | WaitingJob) -> bool:
         """Whether this process holds the job's shard."""
-        return self.is_own(self.holders.get(self.shard_of(job.spec), NOBODY))
+        return self.is_own(self.owners.get(self.shard_of(job.spec), NO_OWNER))
 
-    def holds_first_shard(self) -> bool:
+    def owns_first_shard(self) -> bool:
         """Whether this process is the one that removes what others left behind."""
-        return self.is_own(self.holders.get(0, NOBODY))
+        return self.is_own(self.owners.get(0, NO_OWNER))
 
     def own_record(self) -> membership_wire.Record:
         """The record of a shard's key that this process holds."""
-        return membership_wire.holder_record(self._settings.node, self.incarnation)
+        return membership_wire.owner_record(self._settings.node, self.incarnation)
 
-    def own_among(self, shards: set[int]) -> set[tuple[int, int]]:
+    def owned_among(self, shards: set[int]) -> set[tuple[int, int]]:
         """{(shard, epoch)} of those of these shards that this process holds."""
         return {
-            (shard, holder.mod_revision)
-            for shard, holder in self.holders.items()
-            if shard in shards and self.is_own(holder)
+            (shard, owner.mod_revision)
+            for shard, owner in self.owners.items()
+            if shard in shards and self.is_own(owner)
         }
 
     def epoch_condition(self, spec: JobSpec) -> tuple[str, int]:
@@ -73,7 +73,7 @@
         (full key of the shard, its mod revision), which is the shard's epoch.
         """
         shard = self.shard_of(spec)
-        return full_shard_key(shard), self.holders[shard].mod_revision
+        return full_shard_key(shard), self.owners[shard].mod_revision
 
 
 def full_shard_key(shard: int) -> str:
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -37,13 +37,13 @@
     ) -> None:
         super().__init__(actor)
         self._jobs, self._cluster = view.jobs, view.cluster
-        self._holders, self._chunk_limits = view.holders, view.chunk_limits
+        self._owners, self._chunk_limits = view.owners, view.chunk_limits
         self._commits, self._backoff = commits, backoff
         self._schedule_placement = schedule_placement
 
     def may_change(self, job: Job) -> bool:
         """Whether this controller holds the job, and may change it now."""
-        return self._holders.holds(job) and not self._chunk_limits.needs_rechunking(job)
+        return self._owners.owns(job) and not self._chunk_limits.needs_rechunking(job)
 
     def apply(self, update: TaskUpdate) -> None:
         """Takes in what is proven of one attempt, or asked for it.
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -1,4 +1,4 @@
-"""What one controller tells a job's holder about one attempt of a task.
+"""What one controller tells a job's owner about one attempt of a task.
 
 Each is proven of one attempt on one machine, or asked for it: told late or twice, it changes
 nothing that it should not.
--- a/emberglade/jobs/view.py
+++ b/emberglade/jobs/view.py
@@ -7,7 +7,7 @@
 from .cluster_view import ClusterView
 from .dependencies import DependencyGraph
 from .job_table import JobTable
-from .shard_holders import ShardHolders
+from .shard_owners import ShardOwners
 from .unattached_chunks import UnattachedChunks
 from .write_budget import WriteBudget
 
@@ -25,7 +25,7 @@
         jobs: The live jobs.
         unattached: Chunks that no job's record names.
         graph: The waiting jobs and what they wait for.
-        holders: Who decides on which jobs.
+        owners: Who decides on which jobs.
         chunk_limits: Which jobs have to be rechunked before anything is decided on them.
     """
 
@@ -36,5 +36,5 @@
         self.jobs = JobTable(self.cluster, clock)
         self.unattached = UnattachedChunks()
         self.graph = DependencyGraph()
-        self.holders = ShardHolders(settings)
+        self.owners = ShardOwners(settings)
         self.chunk_limits = ChunkLimits(settings.value_bytes)
--- a/emberglade/membership/__init__.py
+++ b/emberglade/membership/__init__.py
@@ -1,15 +1,15 @@
 """Membership: the leased node key, shard ownership, leader election, the record format."""
 
 from .format import FORMAT_KEY, FormatUpgrade, is_raised
-from .holder import NOBODY, Holder
 from .member import Member
+from .owner import NO_OWNER, Owner
 from .ownership import ownership_revision, shard_count
 
 __all__ = [
     "FORMAT_KEY",
-    "NOBODY",
+    "NO_OWNER",
     "FormatUpgrade",
-    "Holder",
+    "Owner",
     "Member",
     "is_raised",
     "ownership_revision",
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -9,7 +9,7 @@
 import logging
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..actors import callback, tell, tell_after
+from ..actors import callback, send, send_after
 from ..state import LIVE_PREFIX, Change, Priority, ReplicaSubscriber, Store
 from ..state import wire as state_wire
 from . import wire
@@ -61,10 +61,10 @@
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes, and ticks every TICK_S."""
         super().on_begin()
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store.
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         Notes the format's key, the nodes' keys and the readers' keys, and takes the next step of
         the upgrade.
@@ -72,7 +72,7 @@
         Raises:
             RecordError: A node's or a reader's key holds something other than a JSON object.
         """
-        if whole:
+        if is_snapshot:
             self.processes, self.readers = {}, {}
         for change in changes:
             key = change.key
@@ -97,7 +97,7 @@
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every TICK_S: takes the next step, if one is due."""
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
         self.advance()
 
     # --- the steps
@@ -148,7 +148,7 @@
     def _commit(self, conditions: list[tuple[str, int]], key: str, record: wire.Record) -> None:
         """Writes one key under `conditions`; nothing else is sent until a sync shows it."""
         self._is_committing = True
-        tell(
+        send(
             self.store.on_commit,
             Priority.DECISIONS,
             conditions,
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from ..actors import Actor, ActorPart, callback, tell, tell_after
+from ..actors import Actor, ActorPart, callback, send, send_after
 from ..state import wire as state_wire
 
 if TYPE_CHECKING:
@@ -53,12 +53,12 @@
     def start(self) -> None:
         """Asks for the first lease, and renews it from then on."""
         self.on_request()
-        tell_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
+        send_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
 
     def on_request(self) -> None:
         """Handles `request`, sent to itself: asks the store for a lease."""
         life_ms = int(self.life_s * MS_PER_S)
-        tell(self.store.on_grant_lease, life_ms, callback(self.on_answer))
+        send(self.store.on_grant_lease, life_ms, callback(self.on_answer))
 
     def on_answer(self, lease: Any) -> None:
         """Handles the store's answer to the request: the lease's number, or None.
@@ -66,7 +66,7 @@
         Without a lease, asks again after RETRY_S.
         """
         if not isinstance(lease, int):
-            tell_after(RETRY_S, self.on_request)
+            send_after(RETRY_S, self.on_request)
             return
         self.number = lease
         if self.incarnation is None:
@@ -77,9 +77,9 @@
 
     def on_renew(self) -> None:
         """Handles `renew`, sent to itself three times a life: renews the lease."""
-        tell_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
+        send_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
         if self.number is not None:
-            tell(self.store.on_keep_alive, self.number, callback(self.on_renewed, self.number))
+            send(self.store.on_keep_alive, self.number, callback(self.on_renewed, self.number))
 
     def on_renewed(self, lease: int, status: int) -> None:
         """Handles the store's answer to a renewal of `lease`: a 404 takes a new lease."""
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from ..actors import tell, tell_after
+from ..actors import send, send_after
 from ..state import Change, ReplicaSubscriber, Store
 from .lease import NodeLease
 from .node_key import NodeKey
@@ -42,14 +42,14 @@
         """Handles `begin` from the actor system: subscribes, asks for a lease, starts timers."""
         super().on_begin()
         self.lease.start()
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
 
     def identify(self, incarnation: int) -> None:
         """This process has its first lease: tells the listeners which process this is."""
         self.incarnation = incarnation
         log.info("this is incarnation %d of %s", incarnation, self.settings.node)
         for actor in self.listeners:
-            tell(actor.on_identity, incarnation)
+            send(actor.on_identity, incarnation)
 
     def rewrite_node_key(self) -> None:
         """There is a new lease: the node's key is written again under it."""
@@ -64,7 +64,7 @@
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every TICK_S: rewrites a lost node key, takes shards."""
-        tell_after(TICK_S, self.on_tick)
+        send_after(TICK_S, self.on_tick)
         if self.settings.node not in self.ownership.nodes and self.lease.number is not None:
             self.node_key.is_stale = True
         self.node_key.write_if_stale()
@@ -76,12 +76,12 @@
         """Takes shards and leadership by these plans, once the first view of peers is there."""
         self.ownership.watch_peers(shard_planner, leader_planner)
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store.
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         Notes the nodes' keys and the shards' and leader's keys, and takes what is due.
         """
-        self.ownership.note_changes(changes, revision, whole)
+        self.ownership.note_changes(changes, revision, is_snapshot)
 
     def on_liveness(self, view: "LivenessView") -> None:
         """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
--- a/emberglade/membership/node_key.py
+++ b/emberglade/membership/node_key.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..state import LIVE_PREFIX, Priority
 from ..state import wire as state_wire
 from . import wire
@@ -120,7 +120,7 @@
     def _commit(self, writes: Sequence[dict[str, Any]]) -> None:
         """Sends writes in one transaction; the answer goes to `on_written`."""
         reply = callback(self.on_written, self.lease.number)
-        tell(self.store.on_commit, Priority.DECISIONS, [], writes, reply)
+        send(self.store.on_commit, Priority.DECISIONS, [], writes, reply)
 
     def on_written(self, lease: int | None, status: int, revision: int | None, failed: Any) -> None:
         """Handles the store's answer to a write of the node's key or overflow values.
--- a/emberglade/membership/holder.py
+++ b/emberglade/membership/owner.py
@@ -3,13 +3,13 @@
 from typing import NamedTuple
 
 
-class Holder(NamedTuple):
+class Owner(NamedTuple):
     """Who holds a shard or the leader's key.
 
     Attributes:
         node: The controller; None if nobody holds it.
         incarnation: Which process of that controller.
-        mod_revision: Of the key: the epoch that this holder's writes are conditional on.
+        mod_revision: Of the key: the epoch that this owner's writes are conditional on.
     """
 
     node: str | None
@@ -17,8 +17,8 @@
     mod_revision: int
 
     def is_process(self, node: str, incarnation: int | None) -> bool:
-        """Whether the holder is this process of this controller."""
+        """Whether the owner is this process of this controller."""
         return self.node == node and self.incarnation == incarnation
 
 
-NOBODY = Holder(None, None, 0)
+NO_OWNER = Owner(None, None, 0)
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -1,7 +1,7 @@
 """Shard ownership and leader election: takes this node's shards, and the leader's key if free.
 
 Taking a shard writes its key, and every write to a job is conditional on that key's mod revision,
-the shard's epoch: a former holder can't write any more, however late it learns of it. So nothing
+the shard's epoch: a former owner can't write any more, however late it learns of it. So nothing
 here has to be exact about who is alive; wrong guesses cost time, never safety.
 """
 
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from ..actors import ActorPart, callback, tell
+from ..actors import ActorPart, callback, send
 from ..state import LIVE_PREFIX, Change, Priority, ReplicaSubscriber
 from ..state import wire as state_wire
 from . import wire
-from .holder import NOBODY, Holder
 from .lease import NodeLease
+from .owner import NO_OWNER, Owner
 
 if TYPE_CHECKING:
     from ..config import Settings
@@ -30,9 +30,9 @@
     return SHARDS_PER_NODE * settings.size
 
 
-def ownership_revision(changes: Iterable[Change], revision: int, whole: bool) -> int | None:
+def ownership_revision(changes: Iterable[Change], revision: int, is_snapshot: bool) -> int | None:
     """The revision of the last change of a node's, a shard's or the leader's key; None: none."""
-    if whole:
+    if is_snapshot:
         return revision
     return max(
         (
@@ -51,16 +51,16 @@
 
     Attributes:
         nodes: The incarnation of the live process of each controller whose key is there.
-        shards: The holder of each shard that has one.
-        leader: The holder of the leader's key, None if it is missing.
+        shards: The owner of each shard that has one.
+        leader: The owner of the leader's key, None if it is missing.
     """
 
     def __init__(self, member: ReplicaSubscriber, settings: "Settings", lease: NodeLease) -> None:
         super().__init__(member)
         self.member, self.settings, self.lease = member, settings, lease
         self.nodes: dict[str, int | None] = {}
-        self.shards: dict[int, Holder] = {}
-        self.leader: Holder | None = None
+        self.shards: dict[int, Owner] = {}
+        self.leader: Owner | None = None
         # The failure detection's plans, once peers are watched, and its view once that is there.
         self._shard_planner: ShardPlanner | None = None
         self._leader_planner: LeaderPlanner | None = None
@@ -81,14 +81,14 @@
 
     # --- who holds what
 
-    def note_changes(self, changes: Iterable[Change], revision: int, whole: bool) -> None:
+    def note_changes(self, changes: Iterable[Change], revision: int, is_snapshot: bool) -> None:
         """Takes in what the replica shows, and takes what is due if that concerns ownership."""
         self._is_loaded = True
-        if whole:
+        if is_snapshot:
             self.nodes, self.shards, self.leader = {}, {}, None
         # Each of them is noted, also after the first that concerns ownership.
         touched = [change for change in changes if self._note_change(change)]
-        changed = ownership_revision(changes, revision, whole)
+        changed = ownership_revision(changes, revision, is_snapshot)
         if changed is not None:
             self._revision = max(self._revision, changed)
         if touched:
@@ -102,7 +102,7 @@
         elif key.startswith(wire.SHARD_PREFIX):
             self._note_shard(wire.read_shard_key(key), record, mod_revision)
         elif key == wire.LEADER_KEY:
-            self.leader = None if record is None else wire.read_holder(record, mod_revision)
+            self.leader = None if record is None else wire.read_owner(record, mod_revision)
         else:
             return False
         return True
@@ -117,11 +117,11 @@
         if record is None:
             self.shards.pop(shard, None)
         else:
-            self.shards[shard] = wire.read_holder(record, mod_revision)
+            self.shards[shard] = wire.read_owner(record, mod_revision)
 
     # --- what to take
 
-    def wanted_holder(self, shard: int) -> str | None:
+    def desired_owner(self, shard: int) -> str | None:
         """Who should hold the shard: its home node, or if that is not alive the next live one."""
         names = self.settings.names
         home = names[shard % len(names)]
@@ -143,8 +143,8 @@
         return [
             shard
             for shard in range(shard_count(self.settings))
-            if self.wanted_holder(shard) == node
-            and not self.shards.get(shard, NOBODY).is_process(node, incarnation)
+            if self.desired_owner(shard) == node
+            and not self.shards.get(shard, NO_OWNER).is_process(node, incarnation)
         ]
 
     def should_take_leadership(self) -> bool:
@@ -183,7 +183,7 @@
         if self._shard_planner is None:
             return True
         # Once broken: a controller that was in contact again after long took all shards in the
-        # moment in which its replica showed their holders and its view did not
+        # moment in which its replica showed their owners and its view did not
         # (failure_detection/late_first_contact.txt).
         return self._view is not None and self._view.revision >= self._revision
 
@@ -193,13 +193,13 @@
         """Takes shards in one compare-and-swap on their keys' mod revisions."""
         self._is_taking_shards = True
         conditions = [
-            (LIVE_PREFIX + wire.shard_key(shard), self.shards.get(shard, NOBODY).mod_revision)
+            (LIVE_PREFIX + wire.shard_key(shard), self.shards.get(shard, NO_OWNER).mod_revision)
             for shard in shards
         ]
-        record = wire.holder_record(self.settings.node, self.lease.incarnation)
+        record = wire.owner_record(self.settings.node, self.lease.incarnation)
         writes = [state_wire.put(LIVE_PREFIX + wire.shard_key(shard), record) for shard in shards]
         log.info("taking shards %s", shards)
-        tell(
+        send(
             self.member.store.on_commit,
             Priority.DECISIONS,
             conditions,
@@ -217,11 +217,11 @@
         """Takes the leader's key in a compare-and-swap, under this controller's lease."""
         self._is_taking_leadership = True
         key = LIVE_PREFIX + wire.LEADER_KEY
-        record = wire.holder_record(self.settings.node, self.lease.incarnation)
-        tell(
+        record = wire.owner_record(self.settings.node, self.lease.incarnation)
+        send(
             self.member.store.on_commit,
             Priority.DECISIONS,
-            [(key, NOBODY.mod_revision if self.leader is None else self.leader.mod_revision)],
+            [(key, NO_OWNER.mod_revision if self.leader is None else self.leader.mod_revision)],
             [state_wire.put(key, record, self.lease.number)],
             callback(self.on_leader_written, self.lease.number),
         )
@@ -237,7 +237,7 @@
             log.info("leader from revision %s", revision)
         else:
             self.lease.replace_if_lost(lease, status, failed)
-        tell(self.member.store.on_sync, callback(self.on_leader_seen))
+        send(self.member.store.on_sync, callback(self.on_leader_seen))
 
     def on_leader_seen(self, revision: int | None) -> None:
         """Handles the sync after a take of the leader's key: another may be tried."""
--- a/emberglade/membership/wire.py
+++ b/emberglade/membership/wire.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .holder import Holder
+from .owner import Owner
 
-LEADER_KEY = "lead"  # the leader's key: a holder record, under the leader's lease
+LEADER_KEY = "lead"  # the leader's key: an owner record, under the leader's lease
 FORMAT_KEY = "format"  # the cluster's record format
 NODE_PREFIX = "n/"  # n/NODE: a controller's key, under its lease
 SHARD_PREFIX = "s/"  # s/SHARD: who holds a shard
@@ -48,14 +48,14 @@
 # --- records
 
 
-def holder_record(node: str, incarnation: int | None) -> Record:
+def owner_record(node: str, incarnation: int | None) -> Record:
     """The record of a shard's or the leader's key."""
     return {"node": node, "inc": incarnation}
 
 
-def read_holder(record: Record, mod_revision: int) -> Holder:
-    """The holder that a shard's or the leader's key names."""
-    return Holder(record.get("node"), record.get("inc"), mod_revision)
+def read_owner(record: Record, mod_revision: int) -> Owner:
+    """The owner that a shard's or the leader's key names."""
+    return Owner(record.get("node"), record.get("inc"), mod_revision)
 
 
 def node_record(incarnation: int | None, table: Any) -> Record:
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -25,13 +25,13 @@
     def __init__(
         self,
         limit_mb: float,
-        tell_pressure: Callable[[bool], None],
+        notify_pressure: Callable[[bool], None],
         describe: Callable[[], str],
         resident: Callable[[], float] = resident_bytes,
         interval_s: float = CHECK_INTERVAL_S,
     ) -> None:
         self.limit = limit_mb * MEGABYTE
-        self.tell_pressure = tell_pressure
+        self.notify_pressure = notify_pressure
         self.describe = describe
         self.resident = resident
         self.interval_s = interval_s
@@ -60,4 +60,4 @@
             self.limit / MEGABYTE,
             self.describe(),
         )
-        self.tell_pressure(short)
+        self.notify_pressure(short)
--- a/emberglade/peer_paths.py
+++ b/emberglade/peer_paths.py
@@ -4,7 +4,7 @@
 """
 
 MACHINES = "/peer/heard"  # asks for a peer's view of the machines; carries heartbeats
-TASK_UPDATES = "/peer/facts"  # tells a holder of its jobs' tasks
+TASK_UPDATES = "/peer/facts"  # tells an owner of its jobs' tasks
 REPLICA_CHANGES = "/peer/changes"  # asks for what a replica lacks
 CANCELLATION = "/peer/withdrawn"  # tells of a cancellation that was committed
 PING = "/peer/ping"  # asks for a sign of life
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -6,7 +6,7 @@
 import orjson
 
 from . import peer_paths
-from .actors import tell, tell_inline
+from .actors import send, send_inline
 from .agents import (
     AgentManager,
     read_cancellation,
@@ -68,19 +68,19 @@
     def _machines(self, data: Any, reply: Reply) -> None:
         """A peer asks what is known here of machines; its question may carry a heartbeat."""
         if self.peer_monitor is not None:
-            tell_inline(self.peer_monitor.on_hear_question, data)
+            send_inline(self.peer_monitor.on_hear_question, data)
             reply = self.peer_monitor.answering(reply)
-        tell_inline(self.agents.on_machine_question, read_question(data), reply)
+        send_inline(self.agents.on_machine_question, read_question(data), reply)
 
     def _ping(self, data: Any, reply: Reply) -> None:
         """A peer wants a sign of life."""
         assert self.peer_monitor is not None
-        tell_inline(self.peer_monitor.probing.on_ping, data, reply)
+        send_inline(self.peer_monitor.probing.on_ping, data, reply)
 
     def _probe(self, data: Any, reply: Reply) -> None:
         """A peer asks whether this controller reaches another one."""
         assert self.peer_monitor is not None
-        tell_inline(self.peer_monitor.probing.on_probe, data, reply)
+        send_inline(self.peer_monitor.probing.on_probe, data, reply)
 
     def _task_updates(self, data: Any, reply: Reply) -> None:
         """A peer tells what it saw of tasks whose jobs this controller holds."""
@@ -88,7 +88,7 @@
             reply_no_such_path(reply)
             return
         for update in read_task_updates(data):
-            tell(self.job_manager.on_task_update, update)
+            send(self.job_manager.on_task_update, update)
         reply(200, {})
 
     def _replica_changes(self, data: Any, reply: Reply) -> None:
@@ -97,7 +97,7 @@
         if since is None:
             reply_no_such_path(reply)
             return
-        tell_inline(self.store.on_changes_for_peer, since, reply)
+        send_inline(self.store.on_changes_for_peer, since, reply)
 
     def _cancellation(self, data: Any, reply: Reply) -> None:
         """A peer tells of a cancellation that it has seen committed."""
@@ -105,5 +105,5 @@
         if cancellation is None:
             reply_no_such_path(reply)
             return
-        tell_inline(self.agents.on_hear_cancellation, *cancellation)
+        send_inline(self.agents.on_hear_cancellation, *cancellation)
         reply(200, {})
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -130,7 +130,7 @@
     system.spawn(controller.actors())
     internal.begin("internal")
     Accountant(system, controller, (front, internal)).begin()
-    MemoryGuard(settings.mem_mb, controller.tell_memory_pressure, controller.describe).begin()
+    MemoryGuard(settings.mem_mb, controller.notify_memory_pressure, controller.describe).begin()
     log.info("%s serves users and workers at %s:%d", settings.node, *settings.front)
     front.serve_forever()
     return 0
--- a/emberglade/state/full_read.py
+++ b/emberglade/state/full_read.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..actors import Actor, ActorPart, callback, tell_after
+from ..actors import Actor, ActorPart, callback, send_after
 from . import wire
 from .requests import RequestQueue
 from .wire import LIVE_PREFIX, Change
@@ -51,7 +51,7 @@
         """
         page = wire.read_page(body, LIVE_PREFIX) if status == 200 else None
         if page is None:
-            tell_after(RETRY_S, self.on_retry)
+            send_after(RETRY_S, self.on_retry)
             return
         found.extend(page.rows)
         if first_revision is None:
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..actors import Actor, ActorPart, callback, tell_after
+from ..actors import Actor, ActorPart, callback, send_after
 from . import wire
 from .replica import Replica
 from .replica_subscriber import Subscribers, SyncReply
@@ -92,7 +92,7 @@
         self._is_scheduled = True
         # A second one at once is worth its cost only when the first is slow to be answered.
         interval_s = self.interval_s * (1 + SLOWDOWN_IN_FLIGHT * len(self._in_flight))
-        tell_after(max(0.0, self._last_sent_at + interval_s - self.now()), self.on_send_sync)
+        send_after(max(0.0, self._last_sent_at + interval_s - self.now()), self.on_send_sync)
 
     def schedule_if_idle(self) -> None:
         """Schedules a sync if none was sent for long: what others wrote is to be seen soon."""
@@ -142,4 +142,4 @@
         """
         if sync.sent_at > self._last_answered_sent_at:
             self._last_answered_sent_at = sync.sent_at
-            self.subscribers.tell_sync_answered(sync.sent_at, self.replica.revision)
+            self.subscribers.notify_sync_answered(sync.sent_at, self.replica.revision)
--- a/emberglade/state/replica_subscriber.py
+++ b/emberglade/state/replica_subscriber.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from ..actors import Actor, callback, tell
+from ..actors import Actor, callback, send
 from .wire import Change
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
 
 
 class ReplicaSubscriber(Actor):
-    """Told `changed(changes, revision, whole)` by the store; subclasses set `store`.
+    """Told `changed(changes, revision, is_snapshot)` by the store; subclasses set `store`.
 
     Attributes:
         store: The store that it follows.
@@ -27,19 +27,19 @@
 
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes to the store."""
-        tell(self.store.on_subscribe, self)
+        send(self.store.on_subscribe, self)
 
     def on_identity(self, incarnation: int) -> None:
         """Handles `identity(incarnation)` from the member: this process's incarnation is known."""
         self.incarnation = incarnation
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store.
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         Args:
             changes: What is new, in its order; keys are without LIVE_PREFIX.
             revision: The replica now shows all changes up to this one.
-            whole: Whether `changes` are the whole replica, read anew.
+            is_snapshot: Whether `changes` are the whole replica, read anew.
         """
 
     def on_sync_answered(self, sent_at: float, revision: int) -> None:
@@ -56,7 +56,7 @@
         `seen` is a handler of this actor. Whatever became of the commit, the replica shows it
         after a sync; the sync's revision (None if it failed) is then told to that handler.
         """
-        tell(self.store.on_sync, callback(seen))
+        send(self.store.on_sync, callback(seen))
 
 
 class Subscribers:
@@ -69,19 +69,21 @@
         """From now on this actor is told as well."""
         self._actors.append(actor)
 
-    def tell_changes(self, changes: list[Change], revision: int, whole: bool = False) -> None:
+    def notify_changes(
+        self, changes: list[Change], revision: int, is_snapshot: bool = False
+    ) -> None:
         """Tells all of committed changes."""
         for actor in self._actors:
-            tell(actor.on_changed, changes, revision, whole)
+            send(actor.on_changed, changes, revision, is_snapshot)
 
-    def tell_revision(self, revision: int) -> None:
+    def notify_revision(self, revision: int) -> None:
         """Tells those that follow syncs how far the replica is, also if nothing is new."""
         for actor in self._actors:
             if actor.follows_syncs:
-                tell(actor.on_changed, [], revision, False)
+                send(actor.on_changed, [], revision, False)
 
-    def tell_sync_answered(self, sent_at: float, revision: int) -> None:
+    def notify_sync_answered(self, sent_at: float, revision: int) -> None:
         """Tells those that follow syncs that one was answered."""
         for actor in self._actors:
             if actor.follows_syncs:
-                tell(actor.on_sync_answered, sent_at, revision)
+                send(actor.on_sync_answered, sent_at, revision)
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING, Any
 
-from ..actors import Actor, tell, tell_after
+from ..actors import Actor, send, send_after
 from ..transport import NO_ANSWER
 from . import wire
 from .full_read import FullRead
@@ -87,23 +87,23 @@
         """Handles `tick`, sent to itself: syncs if none went out for long, and sends what waits."""
         self.barrier.schedule_if_idle()
         self.requests.send_queued()
-        tell_after(self.barrier.idle_interval_s / 2, self.on_tick)
+        send_after(self.barrier.idle_interval_s / 2, self.on_tick)
 
     # --- the replica
 
     def on_subscribe(self, actor: ReplicaSubscriber) -> None:
         """Handles `subscribe(actor)` from a subscriber: it is told every change from now on.
 
-        If the replica has been read, the subscriber is told all of it at once (`whole` True).
+        If the replica has been read, the subscriber is told all of it at once (`is_snapshot` True).
         """
         self.subscribers.add(actor)
         if self.replica.is_read:
-            tell(actor.on_changed, self.replica.rows(), self.revision, True)
+            send(actor.on_changed, self.replica.rows(), self.revision, True)
 
     def replace(self, rows: list[Change], revision: int) -> None:
         """Takes in all live keys, read anew, and tells the subscribers the whole of them."""
         changes = self.replica.replace(rows, revision)
-        self.subscribers.tell_changes(changes, revision, whole=True)
+        self.subscribers.notify_changes(changes, revision, is_snapshot=True)
         log.info("read %d live keys at revision %d", len(self.replica), revision)
         self.barrier.schedule()
 
@@ -111,7 +111,7 @@
         """Takes in committed changes, and tells the subscribers those that are new here."""
         fresh = self.replica.apply(changes.changes, changes.revision)
         if fresh:
-            self.subscribers.tell_changes(fresh, self.revision)
+            self.subscribers.notify_changes(fresh, self.revision)
 
     def on_sync(self, reply: SyncReply) -> None:
         """Handles `sync(reply)`: `reply(revision)` once the replica shows all changes up to now.
@@ -149,7 +149,7 @@
         changes = wire.read_changes(body) if status == 200 else None
         if changes is not None and 0 <= since <= self.revision:
             self.apply(changes)
-            self.subscribers.tell_revision(self.revision)
+            self.subscribers.notify_revision(self.revision)
 
     # --- single requests
 
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -3,7 +3,7 @@
 import logging
 from typing import Any
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..config import Settings
 from ..jobs import wire as jobs_wire
 from ..jobs.chunking import chunk_size_for
@@ -64,7 +64,7 @@
     def commit(self, spec: JobSpec, reply: Reply) -> None:
         """Commits a job that may run at once, unless it was accepted before; then answers."""
         job = Job(spec, chunk_size_for(spec, self.settings.value_bytes))
-        tell(
+        send(
             self.store.on_commit,
             SUBMISSIONS,
             never_accepted_conditions(spec.id),
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -46,9 +46,12 @@
         self.cancellations = CancellationRequests(self, store, self.view, self.lookup, agents)
         self.routes = FrontRoutes(agents, self.submissions, self.lookup, self.cancellations)
 
-    def on_changed(self, changes: list[Change], revision: int, whole: bool) -> None:
-        """Handles `changed(changes, revision, whole)` from the store: follows committed jobs."""
-        self.view.apply(changes, whole)
+    def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
+
+        Follows committed jobs.
+        """
+        self.view.apply(changes, is_snapshot)
 
     def on_memory_pressure(self, short: bool) -> None:
         """Handles `memory_pressure(short)` from the memory guard.
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..jobs import wire as jobs_wire
 from ..jobs.wire import Outcome, final_key, job_key, waiting_key
 from ..state import FINAL_PREFIX, LIVE_PREFIX, Store
@@ -20,7 +20,7 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-MAX_RETRIES = 8  # of one cancellation, whose record was written by its holder in between
+MAX_RETRIES = 8  # of one cancellation, whose record was written by its owner in between
 
 
 class CancellationRequests(ActorPart):
@@ -51,7 +51,7 @@
         elif final is not None:
             reply(200, wire.write_state(final))
         else:
-            tell(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
+            send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
 
     def on_cancel_synced(
         self, job_id: str, reply: Reply, retries: int, revision: int | None
@@ -69,15 +69,15 @@
         elif job is None:
             self.lookup.answer_question(job_id, reply)
         elif jobs_wire.is_cancelled(job.record):
-            tell(self.agents.on_confirm_cancellation, job_id)
+            send(self.agents.on_confirm_cancellation, job_id)
             reply(200, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
         else:
             self.cancel_live(job_id, job, reply, retries)
 
     def cancel_live(self, job_id: str, job: LiveJob, reply: Reply, retries: int) -> None:
-        """Marks a live job as cancelled; its holder stops its tasks."""
+        """Marks a live job as cancelled; its owner stops its tasks."""
         key = LIVE_PREFIX + job_key(job_id)
-        tell(
+        send(
             self.store.on_commit,
             DECISIONS,
             [(key, job.mod_revision)],
@@ -90,7 +90,7 @@
         waiting = self.view.graph.waiting[job_id]
         key = LIVE_PREFIX + waiting_key(job_id)
         final_record = jobs_wire.final_record(Outcome.CANCELLED, waiting.spec.tasks, done=0)
-        tell(
+        send(
             self.store.on_commit,
             DECISIONS,
             [(key, waiting.mod_revision)],
@@ -116,9 +116,9 @@
             # Nothing is told that this controller's own replica does not show: others conclude
             # from its revision that they miss nothing, and its halts go to every machine that the
             # replica names.
-            tell(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
+            send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
         elif status == 409 and retries < MAX_RETRIES:
-            # Its holder wrote in between.
+            # Its owner wrote in between.
             self.on_cancel(job_id, reply, retries + 1)
         else:
             STORE_SILENT.send(reply)
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -46,9 +46,9 @@
         self.machine_types: dict[str, MachineType] = {}
         self.format_raised = False
 
-    def apply(self, changes: Iterable[Change], whole: bool) -> None:
-        """Takes in changes of the replica; `whole`: they are all keys."""
-        if whole:
+    def apply(self, changes: Iterable[Change], is_snapshot: bool) -> None:
+        """Takes in changes of the replica; `is_snapshot`: they are all keys."""
+        if is_snapshot:
             self.live_jobs = {}
         for key, data, mod_revision in changes:
             if jobs_wire.is_job_key(key):
@@ -59,7 +59,7 @@
                 self.machine_types = read_machine_types(data)
             elif key == FORMAT_KEY:
                 self.format_raised = self.format_raised or is_raised(data)
-        self.graph.apply(changes, whole)
+        self.graph.apply(changes, is_snapshot)
 
     def _apply_job(self, job_id: str, record: dict[str, Any] | None, mod_revision: int) -> None:
         if record is None:
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..jobs.dependencies import DependencyGraph
 from ..jobs.wire import final_key, read_final
 from ..state import FINAL_PREFIX, Store
@@ -52,7 +52,7 @@
                 self.reads[dependency].append(request)
                 continue
             self.reads[dependency] = [request]
-            tell(
+            send(
                 self.store.on_read,
                 DECISIONS,
                 FINAL_PREFIX + final_key(dependency),
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..actors import ActorPart, callback, tell
+from ..actors import ActorPart, callback, send
 from ..config import Settings
 from ..jobs import wire as jobs_wire
 from ..jobs.chunking import waiting_record_with_segments
@@ -80,7 +80,7 @@
     def submit(self, request: wire.Submission, reply: Reply) -> None:
         """Accepts a job that awaits others; the submission counts as open already."""
         submission = DependentSubmission(request.spec, request.dependencies, reply)
-        tell(self.store.on_sync, callback(self.on_dependencies_synced, submission))
+        send(self.store.on_sync, callback(self.on_dependencies_synced, submission))
 
     # --- checks
 
@@ -172,7 +172,7 @@
         limit = min(self.settings.txn_ops, max(1, TRANSACTION_BYTES // self.settings.value_bytes))
         chosen = submission.segments[-limit:]
         submission.segments = submission.segments[:-limit]
-        tell(
+        send(
             self.store.on_commit,
             SUBMISSIONS,
             [(LIVE_PREFIX + key, 0) for key, _ in chosen],
@@ -200,7 +200,7 @@
             assert first_mod_revision is not None
             first_segment = segment_key(job_id, record.list_id, 0)
             conditions.append((LIVE_PREFIX + first_segment, first_mod_revision))
-        tell(
+        send(
             self.store.on_commit,
             SUBMISSIONS,
             conditions,
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..actors import Actor, ActorPart, callback, tell
+from ..actors import Actor, ActorPart, callback, send
 from ..config import Settings
 from ..jobs import wire as jobs_wire
 from ..jobs.wire import final_key
@@ -123,7 +123,7 @@
             then(LookupFailure.UNAVAILABLE)
             return
         self.open_lookups += 1
-        tell(self.store.on_sync, callback(self.on_lookup_synced, job_id, then))
+        send(self.store.on_sync, callback(self.on_lookup_synced, job_id, then))
 
     def on_lookup_synced(
         self, job_id: str, then: Callable[[LookupResult], None], revision: int | None
@@ -140,7 +140,7 @@
             self.look_up_waiting(job_id, then)
         else:
             # Not live at the sync: over, or never accepted. Final states are never removed.
-            tell(
+            send(
                 self.store.on_read,
                 DECISIONS,
                 FINAL_PREFIX + final_key(job_id),
--- a/emberglade/user_api/routes.py
+++ b/emberglade/user_api/routes.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from ..actors import tell_inline
+from ..actors import send_inline
 from . import wire
 from .answers import NO_SUCH_PATH, Reply, malformed, try_later, wrong_method
 from .cancellations import CancellationRequests
@@ -69,7 +69,7 @@
         handler = self.cancellations.on_cancel if target.cancel else self.lookup.on_poll
 
         def handle(body: bytes, reply: Reply) -> None:
-            tell_inline(handler, target.job_id, reply)
+            send_inline(handler, target.job_id, reply)
 
         return Route(POST if target.cancel else GET, handle)
 
@@ -79,7 +79,7 @@
         except ValueError:
             MALFORMED_HEARTBEAT.send(reply)
             return
-        tell_inline(self.agents.on_heartbeat, data, reply)
+        send_inline(self.agents.on_heartbeat, data, reply)
 
     def _ready(self, body: bytes, reply: Reply) -> None:
         def answer(ready: bool) -> None:
@@ -88,7 +88,7 @@
             else:
                 NOT_READY.send(reply)
 
-        tell_inline(self.agents.on_ready, answer)
+        send_inline(self.agents.on_ready, answer)
 
     def _submit(self, body: bytes, reply: Reply) -> None:
-        tell_inline(self.submissions.on_submit, body, reply)
+        send_inline(self.submissions.on_submit, body, reply)
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -45,7 +45,7 @@
         data = None
         try:
             data = wire.read_json(body)
-            submission = wire.read_submission(data, self.system.wall())
+            submission = wire.read_submission(data, self.system.wall_time())
             self._check_size(submission.spec)
         except wire.MalformedSubmissionError as error:
             self._answer_malformed(data, malformed(str(error)), reply)
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -1,12 +1,12 @@
 """Broken builds of which controllers are alive and who fails over."""
 
-from emberglade.actors import tell
+from emberglade.actors import send
 from emberglade.failure_detection import FailureDomains, PeerMonitor, ShardPlanner
 from emberglade.failure_detection.detector import PeerDetector
 from emberglade.failure_detection.local_health import LocalHealth
 from emberglade.failure_detection.messages import Incarnation, PeerState
 from emberglade.failure_detection.peer import Peer
-from emberglade.membership import NOBODY
+from emberglade.membership import NO_OWNER
 
 
 def suspicion_is_death(patch):
@@ -81,16 +81,16 @@
     patch.setattr(Peer, "failback_delay_s", lambda self, now: 0.0)
     original = ShardPlanner._is_failback_due
 
-    def is_failback_due(self, shard, holder, view):
-        return original(self, shard, holder, view._replace(may_fail_back=True))
+    def is_failback_due(self, shard, owner, view):
+        return original(self, shard, owner, view._replace(may_fail_back=True))
 
     patch.setattr(ShardPlanner, "_is_failback_due", is_failback_due)
 
 
 def never_fails_over(patch):
-    """A shard that loses its holder waits for its home."""
+    """A shard that loses its owner waits for its home."""
     patch.setattr(
-        ShardPlanner, "_is_due", lambda self, shard, holder, successors, view, now: holder == NOBODY
+        ShardPlanner, "_is_due", lambda self, shard, owner, successors, view, now: owner == NO_OWNER
     )
 
 
@@ -98,14 +98,14 @@
     """Claims follow the view of the last turn, also one that is older than the replica."""
     on_changed = PeerMonitor.on_changed
 
-    def change_without_view(self, events, revision, whole):
+    def change_without_view(self, events, revision, is_snapshot):
         with patch.context() as quiet:
             quiet.setattr(PeerMonitor, "publish", lambda self, view: None)
-            on_changed(self, events, revision, whole)
+            on_changed(self, events, revision, is_snapshot)
 
     def publish(self, view):
         for listener in self.listeners:
-            tell(listener.on_liveness, view._replace(revision=2**60))
+            send(listener.on_liveness, view._replace(revision=2**60))
 
     patch.setattr(PeerMonitor, "publish", publish)
     patch.setattr(PeerMonitor, "on_changed", change_without_view)
@@ -116,8 +116,8 @@
     """Slow controllers are offered others' work like any other."""
     original = ShardPlanner.shards_to_take
 
-    def shards_to_take(self, incarnation, holders, view, now):
-        return original(self, incarnation, holders, view._replace(slow=frozenset()), now)
+    def shards_to_take(self, incarnation, owners, view, now):
+        return original(self, incarnation, owners, view._replace(slow=frozenset()), now)
 
     patch.setattr(ShardPlanner, "shards_to_take", shards_to_take)
 
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from emberglade.actors import callback, tell
+from emberglade.actors import callback, send
 from emberglade.jobs.commit_settlement import CommitSettlement
 from emberglade.jobs.dependencies import DependencyGraph
 from emberglade.jobs.job import Job
@@ -17,7 +17,7 @@
 
     def on_tick(self):
         for job in list(self.jobs.values()):
-            if self.view.holders.holds(job):
+            if self.view.owners.owns(job):
                 for task, binding in list(job.bindings()):
                     machine = self.view.cluster.machines.get(binding.machine)
                     if machine is not None and not machine.schedulable:
@@ -67,7 +67,7 @@
     patch.setattr(
         CommitSettlement,
         "on_fence",
-        lambda self, in_flight: tell(self._store.on_sync, callback(self.on_synced, in_flight)),
+        lambda self, in_flight: send(self._store.on_sync, callback(self.on_synced, in_flight)),
     )
 
 
@@ -81,8 +81,8 @@
     """Jobs are released whatever became of those that they need."""
     original = DependencyGraph.apply
 
-    def apply(self, events, whole):
-        original(self, events, whole)
+    def apply(self, events, is_snapshot):
+        original(self, events, is_snapshot)
         self.ready.update(self.waiting)
 
     patch.setattr(DependencyGraph, "apply", apply)
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from emberglade.actors import tell_after
+from emberglade.actors import send_after
 from emberglade.user_api import wire
 from emberglade.user_api.answers import Answer
 from emberglade.user_api.cancellations import CancellationRequests
@@ -60,7 +60,7 @@
     def on_cancel_synced(self, job_id, reply, retries, revision):
         if self.view.live_jobs.get(job_id) is not None:
             reply(200, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
-            tell_after(5.0, self.on_cancel_late, job_id)
+            send_after(5.0, self.on_cancel_late, job_id)
         else:
             original(self, job_id, reply, retries, revision)
 
--- a/tests/scenario_kinds/actors.py
+++ b/tests/scenario_kinds/actors.py
@@ -13,16 +13,16 @@
     ActorPart,
     ThreadSystem,
     callback,
-    tell,
-    tell_after,
-    tell_inline,
+    send,
+    send_after,
+    send_inline,
 )
 
 from .scenario import Scenario
 
 TIMEOUT_S = 10
 FIRST_TIMER_S, LAST_TIMER_S = 0.01, 0.02
-TELL_EVERY = 3  # of so many messages one is told, the others are handed over in place
+SEND_EVERY = 3  # of so many messages one is sent, the others are sent inline
 
 
 class Counter(Actor):
@@ -78,7 +78,7 @@
 
     def on_begin(self) -> None:
         """Greets the other actor."""
-        tell(self.other.on_greet)
+        send(self.other.on_greet)
 
 
 class ActorsScenario(Scenario):
@@ -104,8 +104,8 @@
 
     def do_part_told(self) -> None:
         """The part is told in each of the ways that make a message run on the actor's thread."""
-        tell(self.part.on_note_thread)
-        tell_after(FIRST_TIMER_S, self.part.on_note_thread)
+        send(self.part.on_note_thread)
+        send_after(FIRST_TIMER_S, self.part.on_note_thread)
         callback(self.part.on_note_thread)()
 
     @staticmethod
@@ -117,15 +117,15 @@
         Some go into the actor's mailbox, some are handed over in place.
         """
 
-        def send() -> None:
+        def send_all() -> None:
             for number in range(message_count):
                 handler = handlers[number % len(handlers)]
-                if number % TELL_EVERY == 0:
-                    tell(handler)
+                if number % SEND_EVERY == 0:
+                    send(handler)
                 else:
-                    tell_inline(handler)
+                    send_inline(handler)
 
-        senders = [threading.Thread(target=send) for _ in range(thread_count)]
+        senders = [threading.Thread(target=send_all) for _ in range(thread_count)]
         for sender in senders:
             sender.start()
         for sender in senders:
@@ -145,11 +145,11 @@
         A timer of the part fires before this one, which is told later and due later.
         """
         answer: queue.SimpleQueue = queue.SimpleQueue()
-        tell_after(LAST_TIMER_S, self.part.on_ask_threads, answer.put)
+        send_after(LAST_TIMER_S, self.part.on_ask_threads, answer.put)
         assert answer.get(timeout=TIMEOUT_S) == list(names)
 
     def ask(self, field: str) -> int:
         """A field of the counter, asked by a message."""
         answer: queue.SimpleQueue = queue.SimpleQueue()
-        tell(self.counter.on_ask, field, answer.put)
+        send(self.counter.on_ask, field, answer.put)
         return answer.get(timeout=TIMEOUT_S)
--- a/tests/scenario_kinds/cluster_faults.py
+++ b/tests/scenario_kinds/cluster_faults.py
@@ -72,7 +72,7 @@
 
     def do_memory(self, word: str, state: str) -> None:
         """A controller's memory is `low`, or `normal` again."""
-        self.cluster.controllers[self.played.controller(word)].tell_memory_pressure(state == LOW)
+        self.cluster.controllers[self.played.controller(word)].notify_memory_pressure(state == LOW)
 
     # --- the network
 
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -146,7 +146,7 @@
     def leader(self) -> str | None:
         """Who leads, as the state service has it."""
         row = self.state.keys.get(state_wire.LEADER_KEY)
-        return None if row is None else state_wire.read_holder(row.data)
+        return None if row is None else state_wire.read_owner(row.data)
 
     def crash_leader(self, seconds: float) -> None:
         """Ends the controller that leads, if one does."""
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -24,7 +24,7 @@
 
     at: float
     role: str
-    holder: str | None
+    owner: str | None
     before: str | None
 
 
@@ -35,7 +35,7 @@
         changes: All changes of roles, in their order.
         served_at: When the state service last served a controller.
         first_served_at: When it served a process first.
-        unowned_since: Since when the holder of a role is no more.
+        unowned_since: Since when the owner of a role is no more.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -67,15 +67,15 @@
 
     def audit(self, transaction: Transaction, source: str) -> Callable[[], None]:
         """Looks at a transaction before it is carried out."""
-        before = {role: self.holder(role) for role in self.claimed_roles(transaction)}
+        before = {role: self.owner(role) for role in self.claimed_roles(transaction)}
         existing = {key for key in self.job_keys(transaction) if key in self.state.keys}
-        holders = {role: self.holder(role) for role in self.shards_conditioned_on(transaction)}
+        owners = {role: self.owner(role) for role in self.shards_conditioned_on(transaction)}
 
         def committed() -> None:
-            self.check_epochs(transaction, source, holders)
+            self.check_epochs(transaction, source, owners)
             self.check_records(transaction, source, existing)
             for role, former in before.items():
-                self.note_change(role, former, self.holder(role))
+                self.note_change(role, former, self.owner(role))
 
         return committed
 
@@ -98,29 +98,27 @@
         keys = [write.key for write in transaction.writes]
         return [key for key in keys if key.startswith(state_wire.JOB_PREFIXES)]
 
-    def holder(self, role: str) -> str | None:
+    def owner(self, role: str) -> str | None:
         """Who holds a role now."""
         row = self.state.keys.get(LIVE_PREFIX + role)
-        return None if row is None else state_wire.read_holder(row.data)
+        return None if row is None else state_wire.read_owner(row.data)
 
     def check_epochs(
-        self, transaction: Transaction, source: str, holders: dict[str, str | None]
+        self, transaction: Transaction, source: str, owners: dict[str, str | None]
     ) -> None:
         """Who commits on a shard's epoch holds the shard, or claims it just then.
 
         Args:
             transaction: What was committed.
             source: Who committed it.
-            holders: Who held the shards on whose epochs it hangs.
+            owners: Who held the shards on whose epochs it hangs.
         """
         claimed = self.claimed_roles(transaction)
         former = {
-            role: holder
-            for role, holder in holders.items()
-            if holder != source and role not in claimed
+            role: owner for role, owner in owners.items() if owner != source and role not in claimed
         }
         if former:
-            self.observer.record("stale_holder_write", f"{source} commits on the epoch of {former}")
+            self.observer.record("stale_owner_write", f"{source} commits on the epoch of {former}")
 
     def check_records(self, transaction: Transaction, source: str, existing: set[str]) -> None:
         """What a job's record already held is changed on a shard's epoch, or cancelled.
@@ -142,19 +140,19 @@
         )
         if changed and not self.shards_conditioned_on(transaction) and not cancels_all:
             self.observer.record(
-                "stale_holder_write", f"{source} changes {existing} on no shard's epoch"
+                "stale_owner_write", f"{source} changes {existing} on no shard's epoch"
             )
 
-    def note_change(self, role: str, before: str | None, holder: str | None) -> None:
-        """A role was claimed, perhaps by its holder."""
-        self.changes.append(Change(self.world.now, role, holder, before))
-        if not self.watching or before is None or before == holder:
+    def note_change(self, role: str, before: str | None, owner: str | None) -> None:
+        """A role was claimed, perhaps by its owner."""
+        self.changes.append(Change(self.world.now, role, owner, before))
+        if not self.watching or before is None or before == owner:
             return
-        if role != LEADER and holder == self.home(role):
+        if role != LEADER and owner == self.home(role):
             return
         if self.is_able(before):
             self.observer.record(
-                "false_failover", f"{holder} takes {role} from {before}, which could work"
+                "false_failover", f"{owner} takes {role} from {before}, which could work"
             )
         lately = [
             change
@@ -192,19 +190,19 @@
         return controller is not None and self.cluster.processes[controller].alive
 
     def check_unowned(self) -> None:
-        """What is held by a process that is no more must find another holder in time."""
+        """What is held by a process that is no more must find another owner in time."""
         self.world.at(CHECK_INTERVAL_S, self.check_unowned)
         now = self.world.now
         somebody_able = any(map(self.is_able, self.cluster.names))
         for role in [LEADER, *self.shards()]:
-            holder = self.holder(role)
-            if self.is_alive(holder) or not somebody_able or now < STARTUP_S:
+            owner = self.owner(role)
+            if self.is_alive(owner) or not somebody_able or now < STARTUP_S:
                 self.unowned_since.pop(role, None)
                 continue
             since = self.unowned_since.setdefault(role, now)
             if now - since > UNOWNED_SHARE * self.cluster.deployment.lease_s:
                 self.observer.record(
-                    "left_unowned", f"{role} is {holder}'s, which is no more, since {since}"
+                    "left_unowned", f"{role} is {owner}'s, which is no more, since {since}"
                 )
 
     def shards(self) -> list[str]:
@@ -214,11 +212,11 @@
     # --- what scenarios ask
 
     def handovers(self, since: float) -> list[Change]:
-        """The changes from one holder to another, from a moment on."""
+        """The changes from one owner to another, from a moment on."""
         return [
             change
             for change in self.changes
-            if change.at >= since and change.before is not None and change.before != change.holder
+            if change.at >= since and change.before is not None and change.before != change.owner
         ]
 
     def losses(self, controller: str, since: float) -> list[Change]:
@@ -227,7 +225,7 @@
             change
             for change in self.handovers(since)
             if change.before == controller
-            and (change.role == LEADER or change.holder != self.home(change.role))
+            and (change.role == LEADER or change.owner != self.home(change.role))
         ]
 
     def held_at(self, controller: str, moment: float) -> set[str]:
@@ -235,15 +233,15 @@
         held: dict[str, str | None] = {}
         for change in self.changes:
             if change.at <= moment:
-                held[change.role] = change.holder
-        return {role for role, holder in held.items() if holder == controller}
+                held[change.role] = change.owner
+        return {role for role, owner in held.items() if owner == controller}
 
     def failover_s(self, controller: str, moment: float) -> float:
         """How long it took until all that a controller held was others'; infinite if it isn't."""
         waiting = self.held_at(controller, moment)
         assert waiting, f"{controller} held nothing at {moment}"
         for change in self.changes:
-            if change.at > moment and change.holder != controller:
+            if change.at > moment and change.owner != controller:
                 waiting.discard(change.role)
                 if not waiting:
                     return change.at - moment
@@ -256,7 +254,7 @@
         for change in self.changes:
             if change.role == LEADER:
                 continue
-            if change.holder == controller:
+            if change.owner == controller:
                 held.add(change.role)
             else:
                 held.discard(change.role)
@@ -265,9 +263,9 @@
         return maximum
 
     def away_from_home(self) -> dict[str, str | None]:
-        """The shards whose holder is not their home now."""
+        """The shards whose owner is not their home now."""
         return {
-            shard: self.holder(shard)
+            shard: self.owner(shard)
             for shard in self.shards()
-            if self.holder(shard) != self.home(shard)
+            if self.owner(shard) != self.home(shard)
         }
--- a/tests/stand_ins/previous_version.py
+++ b/tests/stand_ins/previous_version.py
@@ -63,13 +63,13 @@
     original = actor.on_changed
     chunk_sizes: dict[str, int] = {}
 
-    def on_changed(_: Actor, events: list[tuple], revision: int, whole: bool) -> None:
-        if whole:
+    def on_changed(_: Actor, events: list[tuple], revision: int, is_snapshot: bool) -> None:
+        if is_snapshot:
             chunk_sizes.clear()
         known = [event for event in events if is_known(event[0])]
         for key, data, _ in known:
             check_readable(key, data, chunk_sizes)
-        original(known, revision, whole)
+        original(known, revision, is_snapshot)
 
     actor.on_changed = types.MethodType(on_changed, actor)
 
--- a/tests/stand_ins/simulated_process.py
+++ b/tests/stand_ins/simulated_process.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from emberglade.actors import Actor, tell
+from emberglade.actors import Actor, send
 
 from .world import Reply, World
 
@@ -36,7 +36,7 @@
         """The process's steady clock, in seconds."""
         return self.offset + self.world.now * self.rate
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The wall clock, in seconds since the epoch."""
         return WALL_CLOCK_START_S + self.world.now
 
@@ -46,7 +46,7 @@
         actor._post = lambda delay, handler, args: self.world.at(
             delay / self.rate, self.deliver, handler, args
         )
-        tell(actor.on_begin)
+        send(actor.on_begin)
 
     def pause(self, until: float) -> None:
         """Stands still until a moment of the world's time."""
--- a/tests/stand_ins/state_wire.py
+++ b/tests/stand_ins/state_wire.py
@@ -138,7 +138,7 @@
     return "/".join(key.split("/")[:KIND_DEPTH])
 
 
-def read_holder(data: dict[str, Any]) -> str:
+def read_owner(data: dict[str, Any]) -> str:
     """The controller that a shard's or the leader's key names."""
     return data["node"]
 
