--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -7,7 +7,7 @@
 from .. import peer_paths
 from ..actors import Actor, callback, send, send_after
 from ..jobs.binding import StopMode
-from ..jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate, UpdateKey
+from ..jobs.task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate, UpdateKey
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -80,7 +80,7 @@
             # Its epoch is over, or its start can't be accepted any more: it will never run.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
         if stop == StopMode.KEEP and heartbeat.spot_notice_s is not None:
-            return StopWanted(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
+            return StopRequested(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
         return None
 
     def forward(self, update: TaskUpdate) -> None:
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -5,13 +5,13 @@
 from dataclasses import astuple
 from typing import Any, NamedTuple
 
-from ...jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+from ...jobs.task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate
 from .agents import AgentHeartbeat
 
 UPDATE_TYPES: dict[str, type[TaskUpdate]] = {
     "exited": TaskExited,
     "gone": TaskGone,
-    "stop": StopWanted,
+    "stop": StopRequested,
 }
 NO_REPLICA = -1  # as a replica's revision: the controller has none yet
 MAX_CONTACT_AGE_S = 1e6  # stands for never, which JSON can't say
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -191,7 +191,7 @@
             or self.outcomes.get(job_id) is Outcome.CANCELLED
         )
 
-    def unresolved_before(self, job_id: str) -> set[str]:
+    def unresolved_dependencies_of(self, job_id: str) -> set[str]:
         """The unresolved dependencies of a waiting job and of the waiting jobs that it needs."""
         if not self.unresolved:
             return set()
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -22,7 +22,7 @@
 from .scheduler import Scheduler
 from .segment_collection import SegmentCollection
 from .task_lifecycle import TaskLifecycle
-from .task_updates import StopWanted, TaskUpdate
+from .task_updates import StopRequested, TaskUpdate
 from .underused_machine import find_underused_machine
 from .view import View
 
@@ -159,7 +159,7 @@
         """Has a round of placing played soon."""
         self.scheduler.schedule_round()
 
-    def request_stop(self, update: StopWanted) -> None:
+    def request_stop(self, update: StopRequested) -> None:
         """Has the owner of another's task asked to stop it."""
         send(self.agents.on_ask_stop, update)
 
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -32,15 +32,15 @@
         placement_round: placement.PlacementRound,
         starving: set[str],
         now: float,
-        wall: float,
+        wall_time: float,
     ) -> None:
         settings = view.settings
         self._jobs, self._cluster, self._owners = view.jobs, view.cluster, view.owners
         self._commits, self._round, self._starving = commits, placement_round, starving
-        self._teams, self._now, self._wall = settings.teams, now, wall
+        self._teams, self._now, self._wall_time = settings.teams, now, wall_time
         # (a job, tasks like it that are expected soon): capacity is kept free for them.
         self._buffer = placement.capacity_buffer(
-            view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall
+            view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall_time
         )
         self._tasks_left = (
             settings.txn_ops * COMMITS_A_ROUND * chunk_size(settings.value_bytes)
@@ -121,7 +121,7 @@
             "placing %d tasks of %s after %.1f s on %s%s",
             len(machines),
             job.id,
-            self._wall - job.spec.submitted_at,
+            self._wall_time - job.spec.submitted_at,
             " ".join(sorted(set(machines))),
             f", image {job.spec.image} not cached for {missing}" if missing else "",
         )
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -8,7 +8,7 @@
 from .binding import Binding, StopMode
 from .job import Job
 from .task_lifecycle import TaskLifecycle
-from .task_updates import StopWanted
+from .task_updates import StopRequested
 from .view import View
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 class Preemption(ActorPart):
     """Stops tasks for others, within a round of placing.
 
-    `request_stop` is called with a StopWanted for a task of a job that another controller holds.
+    `request_stop` is called with a StopRequested for a task of a job that another controller holds.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         actor: "JobManager",
         view: View,
         tasks: TaskLifecycle,
-        request_stop: Callable[[StopWanted], None],
+        request_stop: Callable[[StopRequested], None],
     ) -> None:
         super().__init__(actor)
         self._settings = view.settings
@@ -230,4 +230,4 @@
             self._tasks.stop(job, task, StopMode.SAVE, reason)
         else:
             self._requested[(job.id, task, binding.attempt)] = now
-            self._request_stop(StopWanted(job.id, task, binding.attempt, StopMode.SAVE, reason))
+            self._request_stop(StopRequested(job.id, task, binding.attempt, StopMode.SAVE, reason))
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -92,12 +92,12 @@
         Every owner plays the round through for all jobs, in the same order: capacity that a free
         machine offers is not fought over by several controllers.
         """
-        wall = self.system.wall_time()
-        starving = {job.id for job in pending if self.is_starving(job, wall)}
-        self._sort(pending, starving, wall)
+        wall_time = self.system.wall_time()
+        starving = {job.id for job in pending if self.is_starving(job, wall_time)}
+        self._sort(pending, starving, wall_time)
         self._update_guaranteed(now)
         placement_pass = PlacementPass(
-            self._view, self._commits, placement_round, starving, now, wall
+            self._view, self._commits, placement_round, starving, now, wall_time
         )
         placement_pass.play(pending)
         self._preemption.preempt(now, pending, self._guaranteed, placement_round)
@@ -107,12 +107,12 @@
             PAUSE_ROUNDS * (self.now() - now), self._settings.agent_heartbeat_s / MIN_PAUSES
         )
 
-    def _sort(self, pending: list[Job], starving: set[str], wall: float) -> None:
+    def _sort(self, pending: list[Job], starving: set[str], wall_time: float) -> None:
         objectives = self._settings.objectives
         pending.sort(
             key=lambda job: (
                 job.id not in starving,
-                placement.placement_order(job.spec, objectives, wall),
+                placement.placement_order(job.spec, objectives, wall_time),
             )
         )
 
@@ -125,7 +125,7 @@
                 self._settings.teams,
             )
 
-    def is_starving(self, job: Job, wall: float) -> bool:
+    def is_starving(self, job: Job, wall_time: float) -> bool:
         """Whether a job that has not begun at all has waited so long that it goes first.
 
         An order by priority and due time alone leaves the largest and least urgent jobs pending for
@@ -133,7 +133,7 @@
         """
         limit_s = STARVATION_LEASES * self._settings.lease_s
         return (
-            wall - job.spec.submitted_at > limit_s
+            wall_time - job.spec.submitted_at > limit_s
             and not job.has_progress()
             and self.now() - job.last_bound_at > limit_s
         )
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -9,7 +9,7 @@
 from .commits import Commits
 from .failure_backoff import DONE, FailureBackoff
 from .job import Job, task_name
-from .task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+from .task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate
 from .view import View
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
             case TaskGone():
                 self.release(job, update.task, update.attempt, update.machine)
                 self._commits.mark_if_over(job)
-            case StopWanted():
+            case StopRequested():
                 if (
                     binding is not None
                     and binding.attempt == update.attempt
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopWanted:
+class StopRequested:
     """The attempt is to be stopped: a spot notice, or capacity for other work."""
 
     job_id: str
@@ -64,4 +64,4 @@
         return UpdateKey("stop", self.job_id, self.task)
 
 
-TaskUpdate = TaskExited | TaskGone | StopWanted
+TaskUpdate = TaskExited | TaskGone | StopRequested
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -226,7 +226,7 @@
         if any(graph.is_cancelled(dependency) for dependency in dependencies):
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
         elif any(
-            dependency in graph.unresolved or graph.unresolved_before(dependency)
+            dependency in graph.unresolved or graph.unresolved_dependencies_of(dependency)
             for dependency in dependencies
         ):
             # Another controller may have told that one of these is cancelled.
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -177,7 +177,7 @@
         if graph.waiting[job_id].cancelled:
             then(JobState(job_id, JobStatus.CANCELLED, 0, 0))
             return
-        unresolved = graph.unresolved_before(job_id)
+        unresolved = graph.unresolved_dependencies_of(job_id)
         if unresolved:
             self.dependency_outcomes.read(
                 unresolved, lambda read: self._dependencies_read(job_id, then, read)
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -47,7 +47,7 @@
 
 def no_aging(patch):
     """What has waited for long gets no turn of its own."""
-    patch.setattr(Scheduler, "is_starving", lambda self, job, wall: False)
+    patch.setattr(Scheduler, "is_starving", lambda self, job, wall_time: False)
 
 
 def accepts_any_attempt(patch):
@@ -95,4 +95,4 @@
 
 def trusts_own_replica(patch):
     """A need that the replica does not show counts as one that still goes on."""
-    patch.setattr(DependencyGraph, "unresolved_before", lambda self, job_id: set())
+    patch.setattr(DependencyGraph, "unresolved_dependencies_of", lambda self, job_id: set())
