--- a/emberglade/jobs/__init__.py
+++ b/emberglade/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: their records, the life of their tasks, completion and cancellation."""
+"""Jobs: their records, the lifecycle of their tasks, placement, completion and cancellation."""
 
 from .job import Job
 from .manager import JobManager
--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -1,11 +1,11 @@
-"""The committed decision that an attempt of a task belongs on a machine."""
+"""A binding: the decision that an attempt of a task runs on a machine."""
 
 import enum
 from dataclasses import dataclass
 
 
 class StopMode(enum.IntEnum):
-    """How a bound task is to be stopped. The values are stored and sent."""
+    """How a bound task is to be stopped. The values are stored and sent to agents and peers."""
 
     KEEP = 0  # not at all
     STOP = 1  # at once
@@ -14,15 +14,17 @@
 
 @dataclass
 class Binding:
-    """A task that may be on a machine.
+    """A task that is bound to a machine and may run there.
 
-    An attempt belongs to one agent epoch: started again in a later one, a heartbeat of the earlier
-    that comes late would pass for its exit while it runs.
+    An attempt belongs to one agent epoch. If it were started again in a later epoch, a delayed
+    heartbeat of the earlier epoch would be taken for its exit while it runs.
 
     Attributes:
-        agent_epoch: The machine's, for which the attempt was bound.
-        stop: How it is to be stopped.
-        since: When this controller first saw it, on its steady clock; not stored.
+        attempt: The number of the attempt.
+        machine: The machine's name.
+        agent_epoch: The machine's agent epoch for which the attempt was bound.
+        stop: How the task is to be stopped, if at all.
+        since: When this controller first saw the binding, on its steady clock; not stored.
     """
 
     attempt: int
@@ -32,5 +34,5 @@
     since: float = 0.0
 
     def is_attempt(self, attempt: int, machine: str) -> bool:
-        """Whether it binds this attempt to this machine."""
+        """Whether this binds the given attempt to the given machine."""
         return self.attempt == attempt and self.machine == machine
--- a/emberglade/jobs/chunk.py
+++ b/emberglade/jobs/chunk.py
@@ -1,4 +1,4 @@
-"""A chunk of a job's tasks: what one key holds of them."""
+"""A chunk: the state of a range of a job's tasks that is stored in one key."""
 
 from dataclasses import dataclass, field
 
@@ -7,16 +7,18 @@
 
 @dataclass
 class Chunk:
-    """The tasks of one chunk that are done, bound, or were tried before.
+    """The tasks of one chunk that are done, bound, or have been attempted before.
 
-    Pending tasks that never ran take no space, and finished ones are stored as ranges, so 100,000
-    tasks fit the value limit chunk by chunk.
+    Pending tasks that were never attempted take no space, and done tasks are stored as ranges, so
+    that the chunks of 100,000 tasks fit the store's limit on the size of a value.
 
     Attributes:
         done: Tasks that have completed.
-        bindings: The bound tasks.
-        last_attempts: The last attempt of tasks that were tried, and are neither bound nor done.
-        mod_revision: Of the chunk's key, as last seen or written; 0: none; -1: not known.
+        bindings: task -> Binding of the bound tasks.
+        last_attempts: task -> last attempt of the tasks that were attempted and are neither bound
+            nor done.
+        mod_revision: Mod revision of the chunk's key, as last seen or written; 0: the key does not
+            exist; -1: unknown.
     """
 
     done: set[int] = field(default_factory=set)
--- a/emberglade/jobs/chunking.py
+++ b/emberglade/jobs/chunking.py
@@ -1,4 +1,4 @@
-"""How a job's tasks are split into chunks, so that each fits the values that the store takes."""
+"""Splits a job's tasks into chunks that fit the store's limit on the size of a value."""
 
 from collections.abc import Sequence
 
@@ -10,31 +10,32 @@
 from .job_spec import JobSpec
 from .waiting_job import WaitingJobRecord, split_ids
 
-BINDING_BYTES = 48  # upper bound of one bound task in a record
-RECORD_BYTES = 128  # upper bound of a record's field names, flags and generation
+MAX_BINDING_BYTES = 48  # upper bound of one bound task in a record
+MAX_RECORD_OVERHEAD_BYTES = 128  # upper bound of a record's field names, flags and generation
 
 
 def chunk_size(value_bytes: int) -> int:
-    """Tasks of a chunk: three quarters of a value for tasks, the rest for the description."""
-    return max(1, value_bytes * 3 // 4 // BINDING_BYTES)
+    """Tasks per chunk: tasks get three quarters of a value, the description gets the rest."""
+    return max(1, value_bytes * 3 // 4 // MAX_BINDING_BYTES)
 
 
 def chunk_size_for(spec: JobSpec, value_bytes: int) -> int:
-    """Tasks of a chunk of this job, such that its first chunk fits a value.
+    """Tasks per chunk of this job, such that its record with the first chunk fits a value.
 
-    0 if not even the description does.
+    Returns 0 if not even the description fits.
     """
-    free = value_bytes - len(orjson.dumps(wire.write_spec(spec))) - RECORD_BYTES
-    return max(0, min(chunk_size(value_bytes), free // BINDING_BYTES))
+    free = value_bytes - len(orjson.dumps(wire.write_spec(spec))) - MAX_RECORD_OVERHEAD_BYTES
+    return max(0, min(chunk_size(value_bytes), free // MAX_BINDING_BYTES))
 
 
 class ChunkLimits:
-    """Which jobs have chunks that may be too large to be written.
+    """Determines which jobs have chunks that may be too large to be written.
 
-    Records written under larger limits stay readable, but their next version might be refused.
+    Records written under a larger limit stay readable, but the store might refuse their next
+    version.
 
     Attributes:
-        format_raised: Whether every controller reads records of the new format.
+        format_raised: Whether all controllers can read records of the new format.
     """
 
     def __init__(self, value_bytes: int) -> None:
@@ -42,7 +43,7 @@
         self.format_raised = False
 
     def chunk_size_for(self, spec: JobSpec) -> int:
-        """Tasks of a chunk of this job that fits a value; 0 if not even its description does."""
+        """Tasks per chunk of this job; 0 if not even its description fits a value."""
         return chunk_size_for(spec, self._value_bytes)
 
     def needs_rechunking(self, job: Job) -> bool:
@@ -55,7 +56,7 @@
 
 
 def rechunk(job: Job, size: int) -> dict[int, Chunk]:
-    """{number: Chunk} of the job's tasks in chunks of another size; empty ones are left out."""
+    """{number: Chunk} of the job's tasks in chunks of `size` tasks, without empty chunks."""
     chunks: dict[int, Chunk] = {}
 
     def chunk_of(task: int) -> Chunk:
@@ -74,9 +75,9 @@
 def waiting_record_with_segments(
     spec: JobSpec, dependencies: Sequence[str], list_id: str, value_bytes: int
 ) -> tuple[WaitingJobRecord, list[list[str]]]:
-    """(the WaitingJobRecord of a job, the segments of its dependencies): each fits a value."""
+    """A job's WaitingJobRecord and the segments of its dependencies, each of which fits a value."""
     record = WaitingJobRecord(spec, tuple(dependencies))
-    if len(orjson.dumps(wire.waiting_record(record))) + RECORD_BYTES <= value_bytes:
+    if len(orjson.dumps(wire.waiting_record(record))) + MAX_RECORD_OVERHEAD_BYTES <= value_bytes:
         return record, []
-    segments = split_ids(dependencies, value_bytes - RECORD_BYTES)
+    segments = split_ids(dependencies, value_bytes - MAX_RECORD_OVERHEAD_BYTES)
     return WaitingJobRecord(spec, (), list_id, len(segments)), segments
--- a/emberglade/jobs/cluster_view.py
+++ b/emberglade/jobs/cluster_view.py
@@ -1,4 +1,4 @@
-"""What a controller's placing knows of the machines."""
+"""A controller's view of the machines, for placement."""
 
 from collections.abc import Collection, Mapping
 from typing import TYPE_CHECKING, Any
@@ -13,14 +13,15 @@
 
 
 class ClusterView:
-    """The machines, their taints, and what is free on them.
+    """The machines, their taints, and their free capacity.
 
     Attributes:
-        machines: machine -> placement.Machine, as the agent manager told them last.
-        schedulable_machines: The names of those that may be given tasks, taints apart.
+        machines: name -> placement.Machine, as last received from the agent manager.
+        schedulable_machines: The names of the schedulable machines, regardless of taints.
+        taints: The leader's taints on machines.
         machine_types: name -> MachineType, as committed.
-        capacity: What bound tasks take, per machine and team.
-        images: Which images machines are expected to have cached.
+        capacity: The capacity that bound tasks use, per machine and per team.
+        images: The images that machines are expected to have cached.
     """
 
     def __init__(self, settings: "Settings") -> None:
@@ -32,7 +33,7 @@
         self.images = placement.ImageCaches()
 
     def update_machines(self, machines: Mapping[str, placement.Machine]) -> None:
-        """Takes in the machines that are there now."""
+        """Replaces the machines by the current ones."""
         self.machines = machines
         self.schedulable_machines = {
             name for name, machine in machines.items() if machine.schedulable
@@ -41,23 +42,23 @@
         self.images.keep_only(machines)
 
     def update_machine_types(self, record: dict[str, Any]) -> None:
-        """Takes in the record of the machine types."""
+        """Applies the record of the machine types."""
         self.machine_types = placement.read_machine_types(record)
 
     def untainted_machines(self) -> set[str]:
-        """The names of the machines that may be given tasks."""
+        """The names of the machines on which tasks may be placed."""
         return self.schedulable_machines.difference(self.taints.by_machine)
 
     def tasks_on(self, machine: str) -> dict[tuple[str, int], placement.BoundTask]:
-        """{(job id, task): BoundTask} of all that is bound to a machine."""
+        """{(job id, task): BoundTask} of all tasks bound to a machine."""
         return self.capacity.bound_tasks.get(machine, {})
 
     def bound_machines(self) -> Collection[str]:
-        """The machines that any task is bound to."""
+        """The machines with at least one bound task."""
         return self.capacity.bound_tasks
 
     def bind(self, job: Job, task: int, binding: Binding) -> None:
-        """Counts a task as bound."""
+        """Adds a bound task to the used capacity, and its image to the machine's cache."""
         self.capacity.add(job, task, binding)
         machine = self.machines.get(binding.machine)
         if machine is not None:
@@ -66,5 +67,5 @@
             )
 
     def unbind(self, job: Job, task: int, binding: Binding) -> None:
-        """Counts a task as gone from its machine."""
+        """Removes a task that is no longer bound from the used capacity."""
         self.capacity.remove(job, task, binding)
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -1,6 +1,7 @@
-"""Finds out what became of a commit that got no answer, or was refused.
+"""Determines the outcome of a commit that got no answer or was refused.
 
-It either has been carried out or never will be; then what it was to write is read again.
+First it is made certain that the commit has been executed or never will be; then its keys are read
+from an up-to-date replica.
 """
 
 from collections.abc import Callable
@@ -23,8 +24,8 @@
 class CommitSettlement(ActorPart):
     """Settles a commit of unknown outcome.
 
-    `settled` is the handler that is told {key: (record, mod revision), or None if it is absent}, as
-    the replica shows the commit's keys in the end.
+    `settled` is the handler that receives the replica's final state of the commit's keys:
+    {key: (record, mod revision), or None if absent}.
     """
 
     def __init__(
@@ -38,22 +39,22 @@
         self._settings, self._store, self._owners = view.settings, store, view.owners
         self._settled = settled
 
-    def settle(self, in_flight: CommitInFlight, decided: bool) -> None:
-        """Has a commit settled.
+    def settle(self, in_flight: CommitInFlight, outcome_final: bool) -> None:
+        """Starts settling a commit.
 
-        `decided`: it is known that the commit has been carried out, or never will be.
+        `outcome_final`: whether the commit is known to have been executed or never to be executed.
         """
-        if decided:
+        if outcome_final:
             self.on_sync(in_flight)
         else:
             self.on_fence(in_flight)
 
     def on_fence(self, in_flight: CommitInFlight) -> None:
-        """Handles `fence`, sent to itself: sees that a commit is applied by now or never will be.
+        """Handles `fence`, sent to itself: makes sure that the commit is not executed later.
 
-        Once broken: it was applied late, when the capacity and the quota that it counted on had
-        been given to others (protocol_rules/late_commit.txt). All that it hangs on are the epochs
-        of its shards, so these are written anew.
+        The commit is conditional on the epochs of its shards, so the shards' keys are written
+        again. Without this the commit may be executed late, when the capacity and the quota that it
+        relies on have been given to other jobs (protocol_rules/late_commit.txt).
         """
         epochs = sorted(self._owners.owned_among(in_flight.shards))
         if not epochs:
@@ -71,19 +72,20 @@
     def on_fenced(
         self, in_flight: CommitInFlight, status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to the epochs' being written anew."""
+        """Handles the store's answer to the write of new epochs."""
         if status in (200, 409):
-            # With 409 the epochs are others' already, or ours from a try that got no answer.
+            # 409: the epochs have changed already, by another owner or by an earlier attempt of
+            # this controller that got no answer.
             self.on_sync(in_flight)
         else:
             send_after(self._settings.agent_heartbeat_s / 3, self.on_fence, in_flight)
 
     def on_sync(self, in_flight: CommitInFlight) -> None:
-        """Handles `sync`, sent to itself after one that failed: brings the replica up to date."""
+        """Handles `sync`, sent to itself to retry a failed sync: brings the replica up to date."""
         send(self._store.on_sync, callback(self.on_synced, in_flight))
 
     def on_synced(self, in_flight: CommitInFlight, revision: int | None) -> None:
-        """Handles the sync after which the replica shows what became of the commit."""
+        """Handles the sync's answer, after which the replica shows the commit's outcome."""
         if revision is None:
             send_after(SYNC_RETRY_S, self.on_sync, in_flight)
             return
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -1,4 +1,4 @@
-"""The job manager's writes: what changed is committed together, one commit at a time."""
+"""Writes the job manager's decisions: changed records are committed in batches, one at a time."""
 
 import logging
 from typing import TYPE_CHECKING, Any, Protocol
@@ -12,7 +12,7 @@
 from .garbage_collection import GarbageCollection
 from .job import Job
 from .pending_writes import WRITE_DELAY_S, PendingWrites
-from .transaction import CommitInFlight, JobEnd, Transaction
+from .transaction import CommitInFlight, FinishedJob, Transaction
 from .view import View
 
 if TYPE_CHECKING:
@@ -21,34 +21,34 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-# The store refuses for now, and has carried nothing out.
+# Statuses with which the store refuses a commit for now, without having executed any of it.
 NOT_EXECUTED = (429, 503)
 TOO_MANY_REQUESTS = 429
 MAX_KEYS_LOGGED = 8
 
 
 class CommitListener(Protocol):
-    """What the commits need of the rest of the job manager."""
+    """The calls from `Commits` to the rest of the job manager."""
 
     def before_commit(self) -> None:
-        """A commit is about to be put together: what is due to be decided goes into it."""
+        """Called before a commit is assembled: decisions that are due now become part of it."""
 
     def apply_event(self, key: str, record: Any, mod_revision: int) -> None:
-        """Takes in a change of the replica."""
+        """Applies a change of the replica."""
 
     def after_reset(self) -> None:
-        """Decisions that were not committed were taken back."""
+        """Called after uncommitted decisions were discarded."""
 
     def schedule_placement(self) -> None:
-        """The next round of placing is to come soon."""
+        """Schedules a placement round."""
 
 
 class Commits(ActorPart):
-    """Commits decisions. Nothing is written while the outcome of a commit is unknown.
+    """Commits decisions; nothing else is written while the outcome of a commit is unknown.
 
     Attributes:
-        pending: The records that changed and are not written yet.
-        in_flight: The commit whose outcome is not known yet, or None.
+        pending: The changed records that are not written yet.
+        in_flight: The commit whose outcome is unknown, or None.
     """
 
     def __init__(
@@ -69,40 +69,45 @@
         self.in_flight: CommitInFlight | None = None
         self._settlement = CommitSettlement(actor, store, view, self.on_settled)
 
-    # --- what is to be written
+    # --- marking records for writing
 
-    def mark_changed(self, job: Job, task: int, soon: bool = True) -> None:
-        """Notes that a task's chunk has changed; `soon`: it does not wait for other changes."""
-        self._mark(wire.key_of_chunk(job, task // job.chunk_size), soon)
+    def mark_changed(self, job: Job, task: int, immediate: bool = True) -> None:
+        """Marks a task's chunk as changed.
 
-    def mark_if_over(self, job: Job) -> None:
-        """Notes an own job for its end when nothing more is to come of it."""
-        if job.is_over() and self._owners.owns(job):
-            self._mark(wire.job_key(job.id), soon=True)
+        With `immediate` it is written at the next flush, else it waits to be batched with others.
+        """
+        self._mark(wire.key_of_chunk(job, task // job.chunk_size), immediate)
+
+    def mark_if_finished(self, job: Job) -> None:
+        """Marks an own job for writing if it is finished: its final state is written."""
+        if job.is_finished() and self._owners.owns(job):
+            self._mark(wire.job_key(job.id), immediate=True)
 
-    def _mark(self, key: str, soon: bool) -> None:
-        self._flush_in(self.pending.add(key, self.now(), soon))
+    def _mark(self, key: str, immediate: bool) -> None:
+        self._schedule_flush(self.pending.add(key, self.now(), immediate))
 
-    def _flush_in(self, delay_s: float) -> None:
+    def _schedule_flush(self, delay_s: float) -> None:
         at = self.now() + delay_s
         if self.in_flight is None and at < self._flush_at:
             self._flush_at = at
             send_after(delay_s, self.on_flush)
 
-    def _flush_rest(self) -> None:
-        """Sees to what is pending still, but for jobs that have to be rechunked first."""
+    def _schedule_next_flush(self) -> None:
+        """Schedules a flush of the pending records, except for jobs to be rechunked first."""
         due = [due for key, due in self.pending.due.items() if not self._waits_for_rechunking(key)]
         if due:
-            self._flush_in(max(WRITE_DELAY_S, min(due) - self.now()))
+            self._schedule_flush(max(WRITE_DELAY_S, min(due) - self.now()))
 
     def _waits_for_rechunking(self, key: str) -> bool:
         job = self._jobs.get(wire.job_id_of(key))
-        return job is not None and not job.is_over() and self._chunk_limits.needs_rechunking(job)
+        return (
+            job is not None and not job.is_finished() and self._chunk_limits.needs_rechunking(job)
+        )
 
     # --- one commit
 
     def on_flush(self) -> None:
-        """Handles `flush`, sent to itself: commits what is due, unless a commit is in flight."""
+        """Handles `flush`, sent to itself: commits due records, unless a commit is in flight."""
         self._flush_at = float("inf")
         if self.in_flight is not None or not self.pending:
             return
@@ -110,7 +115,7 @@
         now = self.now()
         transaction = self._transaction_of_due(now)
         if not transaction.writes:
-            self._flush_rest()
+            self._schedule_next_flush()
             return
         self._budget.count_writes(now, len(transaction.writes))
         self.in_flight = transaction.in_flight()
@@ -119,148 +124,148 @@
             DECISIONS,
             list(transaction.conditions.items()),
             transaction.writes,
-            callback(self.on_flushed, transaction.ends),
+            callback(self.on_flushed, transaction.finished_jobs),
         )
 
     def _transaction_of_due(self, now: float) -> Transaction:
-        """As many of the records that are due as one transaction takes."""
+        """A transaction of as many due records as it may hold."""
         transaction = Transaction(self._budget.max_writes)
-        for key in self.pending.in_turn(now):
+        for key in self.pending.due_keys(now):
             job = self._jobs.get(wire.job_id_of(key))
             if job is None or not self._owners.owns(job):
                 self.pending.discard(key)
                 continue
-            over = job.is_over()
-            if not over and self._chunk_limits.needs_rechunking(job):
-                continue  # its chunks may be too large to be written; it is rechunked first
-            if over and wire.is_chunk_key(key):
-                self.pending.discard(key)  # the end says all that is still of use
+            finished = job.is_finished()
+            if not finished and self._chunk_limits.needs_rechunking(job):
+                continue  # its chunks may exceed the size limit; it is rechunked first
+            if finished and wire.is_chunk_key(key):
+                self.pending.discard(key)  # the final state replaces the chunks
                 continue
-            if not transaction.has_space(over):
+            if not transaction.has_space(finished):
                 break
             shard, epoch = self._owners.shard_of(job.spec), self._owners.epoch_condition(job.spec)
-            if over:
-                transaction.add_end(job, shard, epoch)
+            if finished:
+                transaction.add_final_state(job, shard, epoch)
             else:
                 transaction.add_record(key, job, shard, epoch)
             self.pending.discard(key)
         return transaction
 
     def on_flushed(
-        self, ends: list[JobEnd], status: int, revision: int | None, failed: Any
+        self, finished_jobs: list[FinishedJob], status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to a commit; `ends` are the jobs that it ends."""
+        """Handles the store's answer to a commit that writes `finished_jobs`' final states."""
         if status == 200 and revision is not None:
-            self._carried_out(ends, revision)
+            self._apply_success(finished_jobs, revision)
         elif status in NOT_EXECUTED:
-            self._not_executed(status)
+            self._retry_refused(status)
         else:
             self._log_failure(status, failed)
-            self.settle(decided=status in (400, 409))
+            self.settle(outcome_final=status in (400, 409))
 
-    def _carried_out(self, ends: list[JobEnd], revision: int) -> None:
-        in_flight = self._end_flight()
+    def _apply_success(self, finished_jobs: list[FinishedJob], revision: int) -> None:
+        in_flight = self._take_in_flight()
         self._budget.grow()
         for chunk in in_flight.chunks.values():
             chunk.mod_revision = revision
-        for end in ends:
-            self._end_job(end)
-        # Others' starts follow from the replica; it is asked for at once.
+        for finished in finished_jobs:
+            self._remove_finished_job(finished)
+        # Tasks are started when the replica shows their bindings, so it is updated at once.
         send(self._store.on_sync, lambda revision: None)
         self._apply_deferred(in_flight, revision)
         self._garbage.collect()
-        self._flush_rest()
+        self._schedule_next_flush()
         self._listener.schedule_placement()
 
-    def _end_job(self, end: JobEnd) -> None:
-        job = self._jobs.get(end.job_id)
+    def _remove_finished_job(self, finished: FinishedJob) -> None:
+        job = self._jobs.get(finished.job_id)
         log.info(
-            "%s is %s after %.1f s",
-            end.job_id,
-            end.outcome.name.lower(),
+            "job %s is %s, %.1f s after its submission",
+            finished.job_id,
+            finished.outcome.name.lower(),
             self.system.wall_time() - job.spec.submitted_at if job else 0,
         )
         if job is not None:
-            self._jobs.remove(end.job_id)
+            self._jobs.remove(finished.job_id)
             self._garbage.add_chunks_of(job)
 
-    def _not_executed(self, status: int) -> None:
-        """The same is written again a little later.
+    def _retry_refused(self, status: int) -> None:
+        """Queues the records of a refused commit for a retry.
 
-        In smaller commits if there were too many writes for the moment.
+        The retry uses smaller commits if the store refused because of its write rate.
         """
         if status == TOO_MANY_REQUESTS:
             self._budget.shrink()
-        in_flight = self._end_flight()
-        self.pending.add_again(list(in_flight.chunks), self.now())
+        in_flight = self._take_in_flight()
+        self.pending.requeue(list(in_flight.chunks), self.now())
         self._apply_deferred(in_flight, -1)
-        self._flush_in(self._settings.agent_heartbeat_s / 8)
+        self._schedule_flush(self._settings.agent_heartbeat_s / 8)
 
     def _log_failure(self, status: int, failed: Any) -> None:
-        keys = self._flight().chunks
+        keys = self._require_in_flight().chunks
         log.info(
-            "a commit of %d keys got %s (%s); they are read again",
+            "commit of %d keys failed: %s (%s); resetting them to the state in the replica",
             len(keys),
             status_text(status),
             failed,
         )
         if status == 400:
             log.error(
-                "the state service refuses a commit (%s); "
-                "what it was to write is worked out anew: %s",
+                "the state service rejected a commit as invalid (%s); its decisions are discarded "
+                "and made again; keys: %s",
                 failed,
                 " ".join(sorted(keys)[:MAX_KEYS_LOGGED]),
             )
 
-    # --- commits of others that write a job's own key: nothing else is written meanwhile
+    # --- commits sent by other parts that write a job's own key: nothing else is written meanwhile
 
-    def begin_flight(self, in_flight: CommitInFlight) -> None:
-        """A commit has been sent, whose outcome is to be known before anything else is written."""
+    def set_in_flight(self, in_flight: CommitInFlight) -> None:
+        """Registers a commit sent by another part; nothing else is written until its outcome."""
         self.in_flight = in_flight
 
-    def abandon_flight(self) -> None:
-        """The commit was not executed."""
-        self._apply_deferred(self._end_flight(), -1)
+    def discard_in_flight(self) -> None:
+        """Drops the commit in flight, which was not executed."""
+        self._apply_deferred(self._take_in_flight(), -1)
 
-    def _flight(self) -> CommitInFlight:
+    def _require_in_flight(self) -> CommitInFlight:
         assert self.in_flight is not None, "no commit is in flight"
         return self.in_flight
 
-    def _end_flight(self) -> CommitInFlight:
-        in_flight = self._flight()
+    def _take_in_flight(self) -> CommitInFlight:
+        in_flight = self._require_in_flight()
         self.in_flight = None
         return in_flight
 
     def _apply_deferred(self, in_flight: CommitInFlight, revision: int) -> None:
-        """Takes in the changes that came while the commit was in flight, if they are newer."""
-        for event in in_flight.later_events(revision):
+        """Applies the changes received while the commit was in flight, if they are newer."""
+        for event in in_flight.events_after(revision):
             self._listener.apply_event(*event)
 
     def defer(self, event: Change) -> bool:
-        """Keeps a change of a key that a commit in flight writes; False if none does."""
+        """Defers a change of a key that the commit in flight writes; False for other keys."""
         return self.in_flight is not None and self.in_flight.defer(event)
 
-    # --- commits that were not carried out, or of which it is unknown
+    # --- commits that failed or whose outcome is unknown
 
-    def settle(self, decided: bool) -> None:
-        """Has the view fall back to what became of the commit in flight.
+    def settle(self, outcome_final: bool) -> None:
+        """Determines the outcome of the commit in flight and resets the view to it.
 
-        `decided`: it is known that the commit has been carried out, or never will be.
+        `outcome_final`: whether the commit is known to have been executed or never to be executed.
         """
-        self._settlement.settle(self._flight(), decided)
+        self._settlement.settle(self._require_in_flight(), outcome_final)
 
     def on_settled(self, found: dict[str, Any]) -> None:
-        """Handles what the replica shows of the commit's keys: that is the state from now on."""
-        for chunk in self._end_flight().chunks.values():
+        """Handles the replica's state of the commit's keys, after its outcome became final."""
+        for chunk in self._take_in_flight().chunks.values():
             chunk.mod_revision = -1
         self.reset_to_committed(found)
         self._listener.after_reset()
-        self._flush_rest()
+        self._schedule_next_flush()
 
     def reset_to_committed(self, found: dict[str, Any]) -> None:
-        """Takes back all decisions on these keys that are not committed.
+        """Discards all uncommitted decisions on these keys.
 
-        `found` is {key: (record, mod revision), or None if it is absent}, as the replica shows it.
+        `found` is {key: (record, mod revision), or None if absent}, as read from the replica.
         """
         for key in found:
             self.pending.discard(key)
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -1,4 +1,4 @@
-"""Keeps the job table in step with the replica."""
+"""Keeps the job manager's view up to date with the replica."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,13 +13,11 @@
 from .unattached_chunks import ChunkVersion
 from .view import View
 
-# Keys of the leader: taints, and the machine types.
-
 
 class CommittedState:
-    """Takes in what the replica shows: jobs, chunks, owners, taints, machine types, the format.
+    """Applies the replica's changes: jobs, chunks, owners, taints, machine types, the format.
 
-    What was decided here and is not committed yet gives way to what others have committed.
+    Uncommitted decisions of this controller are replaced by what others have committed.
     """
 
     def __init__(
@@ -31,8 +29,8 @@
         self._commits, self._garbage, self._clock = commits, garbage, clock
         self._changed_taints: set[str] = set()
 
-    def begin_anew(self, keys: set[str]) -> None:
-        """All is about to be told anew, and these are all keys that are there."""
+    def reset_for_snapshot(self, keys: set[str]) -> None:
+        """Prepares for a snapshot of the replica; `keys` are all keys in it."""
         for job_id in [job_id for job_id in self._jobs.jobs if wire.job_key(job_id) not in keys]:
             self._jobs.remove(job_id)
         self._cluster.taints.forget()
@@ -43,7 +41,7 @@
         return machines
 
     def apply(self, key: str, record: Any, mod_revision: int) -> None:
-        """Takes in one change: the key's record, None if it was removed."""
+        """Applies one change: the key's record, None if it was removed."""
         if wire.is_job_key(key):
             self._apply_job(key, record, mod_revision)
         elif wire.is_chunk_key(key):
@@ -74,7 +72,7 @@
         job.cancelled = wire.is_cancelled(record)
         self._commits.pending.discard(key)
         self._jobs.update_chunk(job, 0, wire.first_chunk(record), mod_revision)
-        self._commits.mark_if_over(job)
+        self._commits.mark_if_finished(job)
 
     def _add_job(self, job_id: str, record: wire.Record) -> Job:
         job = self._jobs.jobs[job_id] = wire.read_job(job_id, record)
@@ -83,12 +81,12 @@
         return job
 
     def _attach_chunks(self, job: Job) -> None:
-        """Takes in the job's chunks that were seen before its record named them."""
+        """Adds the job's chunks that the replica showed before the job's record named them."""
         for number, chunk in self._unattached.take(job.id, job.generation):
             self._jobs.update_chunk(job, number, chunk.record, chunk.mod_revision)
 
     def _change_generation(self, job: Job, record: wire.Record) -> None:
-        """The job's record names other chunks, which were written before it."""
+        """Switches a rechunked job to the chunks of its new generation."""
         since = {task: binding.since for task, binding in job.bindings()}
         for task in since:
             self._jobs.unbind(job, task)
@@ -117,7 +115,7 @@
         elif number not in job.chunks or job.chunks[number].mod_revision < mod_revision:
             self._commits.pending.discard(key)
             self._jobs.update_chunk(job, number, record, mod_revision)
-            self._commits.mark_if_over(job)
+            self._commits.mark_if_finished(job)
 
     def _apply_unattached(
         self, key: str, chunk_key: wire.ChunkKey, record: wire.Record | None, mod_revision: int
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -1,8 +1,9 @@
-"""Which jobs wait for which, and what follows from it; derived from the replica alone.
+"""The graph of waiting jobs and their dependencies, derived from the replica alone.
 
-Every controller works out the same from the same replica: who may be released, who is cancelled
-with a job that it needs, and how urgent a job is for those that need it. Nothing of it is stored.
-Walks along the graph use a stack of their own: chains may be long.
+From the same replica every controller derives the same result: which jobs may be released, which
+are cancelled because a dependency was cancelled, and which urgency a job inherits from its
+dependents. None of it is stored. Traversals use an explicit stack instead of recursion, because
+chains of dependencies may be long.
 """
 
 from collections import OrderedDict
@@ -14,23 +15,23 @@
 from .waiting_job import WaitingJob, WaitingJobRecord
 from .wire import Outcome
 
-# Jobs that are over whose outcome is kept in memory; others are read when needed.
+# Finished jobs whose outcome is kept in memory; the outcomes of others are read on demand.
 MAX_OUTCOMES = 20_000
 
 
 class DependencyGraph:
-    """The waiting jobs of the replica and what they wait for.
+    """The waiting jobs in the replica and their dependencies.
 
     Attributes:
-        waiting: job -> WaitingJob.
-        dependents: job -> the waiting jobs that need it.
-        live: live job -> whether it is cancelled.
-        outcomes: Jobs that are over -> Outcome.
-        segments: (job, list id) -> {number: (job ids, mod revision)}.
+        waiting: job id -> WaitingJob.
+        dependents: job id -> ids of the waiting jobs that depend on it.
+        live: live job's id -> whether it is cancelled.
+        outcomes: finished job's id -> Outcome.
+        segments: (job id, list id) -> {number: (job ids, mod revision)}.
         ready: Waiting jobs all of whose dependencies are done.
-        cancelled: Waiting jobs that are cancelled with a dependency.
-        unresolved: Dependencies of which the replica does not tell how they ended.
-        urgency: What each job inherits from those that need it.
+        cancelled: Waiting jobs that are cancelled because a dependency was cancelled.
+        unresolved: Finished dependencies whose outcome is not known from the replica.
+        urgency: The urgency that each job inherits from its dependents.
     """
 
     def __init__(self) -> None:
@@ -44,13 +45,13 @@
         self.unresolved: set[str] = set()
         self.urgency = InheritedUrgency(self.waiting, self.dependents)
 
-    # --- following the replica
+    # --- applying changes of the replica
 
     def apply(self, events: Iterable[Change], is_snapshot: bool) -> None:
-        """Takes in changes of the replica, in their order; `is_snapshot`: they are all of it."""
+        """Applies changes of the replica in order; `is_snapshot`: they are the complete replica."""
         if is_snapshot:
-            self._forget()
-        # The order of keys puts a job before the segments of its list.
+            self._clear()
+        # Segments are applied first, because in the order of keys a job precedes its segments.
         for key, record, mod_revision in events:
             if key.startswith(wire.SEGMENT_PREFIX):
                 self._apply_segment(key, record, mod_revision)
@@ -61,11 +62,11 @@
             elif key.startswith(wire.WAITING_PREFIX):
                 self._apply_waiting(wire.job_id_of(key), record, mod_revision, touched)
         for job_id in touched:
-            self._note_if_unresolved(job_id)
+            self._update_unresolved(job_id)
 
-    def _forget(self) -> None:
-        """Before everything is read anew. Outcomes never change."""
-        self.urgency.forget()
+    def _clear(self) -> None:
+        """Clears all but the outcomes, which never change, before a snapshot is applied."""
+        self.urgency.clear()
         self.waiting.clear()
         self.dependents.clear()
         self.live, self.segments = {}, {}
@@ -96,8 +97,8 @@
         if cancelled_before is None or is_snapshot:
             touched.add(job_id)
             return
-        # The end of a job is written on condition of its record, so the last record seen tells how
-        # it ended.
+        # The transaction that ends a job is conditional on its record, so the last record seen
+        # determines the outcome.
         self.resolve(job_id, Outcome.CANCELLED if cancelled_before else Outcome.DONE)
 
     def _apply_waiting(
@@ -118,10 +119,10 @@
         job = WaitingJob(record.spec, dependencies, mod_revision, record.list_id)
         self.waiting[job_id] = job
         cancelled = False
-        for needed in dependencies:
-            self.dependents.setdefault(needed, set()).add(job_id)
-            job.open_dependencies += self.outcomes.get(needed) is not Outcome.DONE
-            cancelled = cancelled or self.is_cancelled(needed)
+        for dependency in dependencies:
+            self.dependents.setdefault(dependency, set()).add(job_id)
+            job.open_dependencies += self.outcomes.get(dependency) is not Outcome.DONE
+            cancelled = cancelled or self.is_cancelled(dependency)
         self.urgency.propagate(job_id)
         if cancelled:
             self._cancel([job_id])
@@ -132,7 +133,9 @@
         if not record.segments:
             return record.dependencies
         segments = self.segments.get((job_id, record.list_id), {})
-        return tuple(needed for number in sorted(segments) for needed in segments[number][0])
+        return tuple(
+            dependency for number in sorted(segments) for dependency in segments[number][0]
+        )
 
     def _remove(self, job_id: str) -> WaitingJob | None:
         job = self.waiting.pop(job_id, None)
@@ -140,19 +143,19 @@
             return None
         self.ready.discard(job_id)
         self.cancelled.discard(job_id)
-        for needed in job.dependencies:
-            others = self.dependents.get(needed)
+        for dependency in job.dependencies:
+            others = self.dependents.get(dependency)
             if others is None:
                 continue
             others.discard(job_id)
             if not others:
-                del self.dependents[needed]
-                self.unresolved.discard(needed)
+                del self.dependents[dependency]
+                self.unresolved.discard(dependency)
         self.urgency.recompute(job.dependencies)
         return job
 
-    def _note_if_unresolved(self, job_id: str) -> None:
-        """A dependency that is neither live nor waiting is over; its final key tells how."""
+    def _update_unresolved(self, job_id: str) -> None:
+        """Updates `unresolved` for a job: a finished dependency whose outcome is not known."""
         if (
             job_id in self.live
             or job_id in self.waiting
@@ -163,10 +166,10 @@
         else:
             self.unresolved.add(job_id)
 
-    # --- what follows
+    # --- outcomes and cancellation
 
     def resolve(self, job_id: str, outcome: Outcome) -> None:
-        """A job has ended; its final key says so, or its last record did."""
+        """Records the outcome of a job, known from its final key or from its last record."""
         if job_id in self.outcomes:
             return
         self.outcomes[job_id] = outcome
@@ -183,7 +186,7 @@
                 self.ready.add(dependent)
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether the replica shows a job cancelled, by its user or with a job that it needs."""
+        """Whether a job is cancelled according to the replica, by its user or with a dependency."""
         waiting = self.waiting.get(job_id)
         return bool(
             self.live.get(job_id)
@@ -192,26 +195,26 @@
         )
 
     def unresolved_dependencies_of(self, job_id: str) -> set[str]:
-        """The unresolved dependencies of a waiting job and of the waiting jobs that it needs."""
+        """The unresolved dependencies of a waiting job, direct or through other waiting jobs."""
         if not self.unresolved:
             return set()
         unresolved: set[str] = set()
         seen, stack = {job_id}, [job_id]
         while stack:
             job = self.waiting.get(stack.pop())
-            for needed in job.dependencies if job is not None else ():
-                if needed in self.unresolved:
-                    unresolved.add(needed)
-                if needed not in seen:
-                    seen.add(needed)
-                    stack.append(needed)
+            for dependency in job.dependencies if job is not None else ():
+                if dependency in self.unresolved:
+                    unresolved.add(dependency)
+                if dependency not in seen:
+                    seen.add(dependency)
+                    stack.append(dependency)
         return unresolved
 
     def _cancel_dependents(self, job_id: str) -> None:
         self._cancel(list(self.dependents.get(job_id, ())))
 
     def _cancel(self, stack: list[str]) -> None:
-        """These waiting jobs are cancelled, and so are all that need them."""
+        """Marks waiting jobs and all that depend on them, directly or not, as cancelled."""
         while stack:
             job_id = stack.pop()
             job = self.waiting[job_id]
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -1,8 +1,8 @@
-"""Releases waiting jobs whose dependencies are done, ends those cancelled with a dependency.
+"""Releases waiting jobs whose dependencies are done; cancels those with a cancelled dependency.
 
-Each is one transaction, conditional on the shard's epoch and on the waiting job's own key: it
-becomes a live job or gets its final state at once, and only one of the two. Applied late or twice,
-it changes nothing.
+In one transaction a waiting job either becomes a live job or gets its final state. The transaction
+is conditional on the shard's epoch and on the waiting job's own key, so that it changes nothing if
+it is executed late or twice.
 """
 
 import logging
@@ -26,136 +26,147 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-WRITES_OF_ONE = 2  # changes that a release or an end takes
-MAX_READS = 16  # final keys of dependencies that are read at the same time
+WRITES_PER_JOB = 2  # the new key is written, the waiting job's key is removed
+MAX_CONCURRENT_READS = 16  # of final keys of dependencies
 
 
 class DependencyRelease(ActorPart):
-    """Releases and ends the waiting jobs of the shards that this controller holds."""
+    """Releases or cancels the waiting jobs of the shards that this controller owns."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._graph, self._owners = view.graph, view.owners
         self._chunk_limits = view.chunk_limits
-        self._busy = False  # a transaction is on its way, or its outcome not seen yet
+        # Whether a transaction was sent whose outcome the replica does not show yet.
+        self._transaction_in_flight = False
         self._being_read: set[str] = set()  # dependencies whose final key is being read
 
     def advance(self) -> None:
-        """Reads how dependencies ended, and releases or ends what can be, if nothing is on its way.
+        """Reads missing outcomes; releases or cancels jobs unless a transaction is in flight.
 
-        Nothing before this process's incarnation is known.
+        Does nothing until this process's incarnation is known.
         """
         if self._owners.incarnation is None:
             return
         if self._graph.unresolved:
             self._read_unresolved()
-        if not self._busy and (self._graph.ready or self._graph.cancelled):
+        if not self._transaction_in_flight and (self._graph.ready or self._graph.cancelled):
             self._commit_some()
 
-    def _own(self, job_ids: Iterable[str]) -> list[str]:
-        """Those of these waiting jobs whose shards this controller holds."""
+    def _owned(self, job_ids: Iterable[str]) -> list[str]:
+        """Those of these waiting jobs whose shards this controller owns."""
         waiting = self._graph.waiting
         return [job_id for job_id in job_ids if self._owners.owns(waiting[job_id])]
 
-    # --- how dependencies ended, where the replica doesn't tell
+    # --- reading outcomes that the replica does not show
 
     def _read_unresolved(self) -> None:
-        for needed in self._graph.unresolved - self._being_read:
-            if len(self._being_read) >= MAX_READS:
+        for dependency in self._graph.unresolved - self._being_read:
+            if len(self._being_read) >= MAX_CONCURRENT_READS:
                 return
-            if self._own(self._graph.dependents.get(needed, ())):
-                self._being_read.add(needed)
+            if self._owned(self._graph.dependents.get(dependency, ())):
+                self._being_read.add(dependency)
                 send(
                     self._store.on_read,
                     DECISIONS,
-                    FINAL_PREFIX + wire.final_key(needed),
-                    callback(self.on_final_read, needed),
+                    FINAL_PREFIX + wire.final_key(dependency),
+                    callback(self.on_final_read, dependency),
                 )
 
-    def on_final_read(self, needed: str, status: int, record: Any, mod_revision: int) -> None:
+    def on_final_read(self, dependency: str, status: int, record: Any, mod_revision: int) -> None:
         """Handles the store's answer to a read of a dependency's final key."""
-        self._being_read.discard(needed)
+        self._being_read.discard(dependency)
         final = wire.read_final(status, record)
         if final is not None:
-            self._graph.resolve(needed, final.outcome)
+            self._graph.resolve(dependency, final.outcome)
             self.advance()
 
-    # --- releases and ends
+    # --- releases and cancellations
 
     def _commit_some(self) -> None:
-        """As many as one transaction takes; releases first, the most urgent of them first."""
+        """Commits as many as one transaction may hold: releases by urgency, then cancellations."""
         graph = self._graph
         ready = sorted(
-            self._own(graph.ready),
+            self._owned(graph.ready),
             key=lambda job_id: (graph.urgency.of_waiting(job_id).priority, job_id),
         )
-        limit = max(1, self._budget.max_writes // WRITES_OF_ONE)
+        limit = max(1, self._budget.max_writes // WRITES_PER_JOB)
         releases = ready[:limit]
-        ends = sorted(self._own(graph.cancelled))[: limit - len(releases)]
-        if not releases and not ends:
+        cancelled = sorted(self._owned(graph.cancelled))[: limit - len(releases)]
+        if not releases and not cancelled:
             return
         conditions, writes = set(), []
-        for job_id in releases + ends:
+        for job_id in releases + cancelled:
             job = graph.waiting[job_id]
             conditions.add(self._owners.epoch_condition(job.spec))
             conditions.add((LIVE_PREFIX + wire.waiting_key(job_id), job.mod_revision))
-            writes.append(self._release(job) if job_id in graph.ready else self._end(job))
+            writes.append(
+                self._live_job_write(job) if job_id in graph.ready else self._final_state_write(job)
+            )
             writes.append(state_wire.remove(LIVE_PREFIX + wire.waiting_key(job_id)))
-        self._busy = True
+        self._transaction_in_flight = True
         self._budget.count_writes(self.now(), len(writes))
         send(
             self._store.on_commit,
             DECISIONS,
             sorted(conditions),
             writes,
-            callback(self.on_committed, releases, ends),
+            callback(self.on_committed, releases, cancelled),
         )
 
-    def _release(self, job: WaitingJob) -> dict[str, Any]:
-        """The write that makes a waiting job a live one."""
+    def _live_job_write(self, job: WaitingJob) -> dict[str, Any]:
+        """The write that makes a waiting job live."""
         spec = released_spec(job.spec, self.system.wall_time())
         live_job = Job(spec, max(1, self._chunk_limits.chunk_size_for(spec)))
         return state_wire.put(LIVE_PREFIX + wire.job_key(spec.id), wire.job_record(live_job))
 
     @staticmethod
-    def _end(job: WaitingJob) -> dict[str, Any]:
-        """The write of the final state of a waiting job that is cancelled."""
+    def _final_state_write(job: WaitingJob) -> dict[str, Any]:
+        """The write of a cancelled waiting job's final state."""
         record = wire.final_record(Outcome.CANCELLED, job.spec.tasks, 0)
         return state_wire.put(FINAL_PREFIX + wire.final_key(job.spec.id), record)
 
     def on_committed(
         self,
         releases: list[str],
-        ends: list[str],
+        cancelled: list[str],
         status: int,
         revision: int | None,
         failed: Any,
     ) -> None:
-        """Handles the store's answer to a transaction of releases and ends (job ids)."""
+        """Handles the store's answer to a transaction that released and cancelled these job ids."""
         if status == 200:
             if releases:
-                log.info("released, all that they need is done: %s", " ".join(releases))
-            if ends:
-                log.info("cancelled with a job that they need: %s", " ".join(ends))
+                log.info("released jobs whose dependencies are all done: %s", " ".join(releases))
+            if cancelled:
+                log.info(
+                    "cancelled waiting jobs because a dependency was cancelled: %s",
+                    " ".join(cancelled),
+                )
         elif status in NOT_EXECUTED:
             send_after(self._settings.agent_heartbeat_s / 8, self.on_advance_again)
             return
         elif status == 400:
-            job_ids = " ".join(releases + ends)
-            log.error("the state service refuses to release %s (%s)", job_ids, failed)
+            job_ids = " ".join(releases + cancelled)
+            log.error(
+                "the state service rejected the release or cancellation of waiting jobs %s as "
+                "invalid (%s); retrying",
+                job_ids,
+                failed,
+            )
             send_after(self._settings.agent_heartbeat_s, self.on_advance_again)
             return
         send(self._store.on_sync, callback(self.on_synced))
 
     def on_synced(self, revision: int | None) -> None:
-        """Handles the sync after which the replica shows what became of a transaction."""
+        """Handles the sync's answer, after which the replica shows the transaction's outcome."""
         if revision is None:
             send_after(self._settings.agent_heartbeat_s / 3, self.on_advance_again)
             return
         self.on_advance_again()
 
     def on_advance_again(self) -> None:
-        """Handles `advance_again`, sent to itself: the next transaction may be tried."""
-        self._busy = False
+        """Handles `advance_again`, sent to itself: the next transaction may be sent."""
+        self._transaction_in_flight = False
         self.advance()
--- a/emberglade/jobs/failure_backoff.py
+++ b/emberglade/jobs/failure_backoff.py
@@ -1,4 +1,4 @@
-"""What rests after a task has failed: the machine, or the task."""
+"""Backoff after a task has failed, of the machine or of the task."""
 
 import logging
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,22 +11,23 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-# Agent leases that a machine rests after errors, or a job that fails everywhere: nobody may wait
-# beside free capacity for much longer than a minute.
+# Maximum backoff in agent leases, of a machine after errors or of a job that fails everywhere: no
+# task may wait for much longer than a minute while there is free capacity.
 MAX_BACKOFF_LEASES = 4
-# A job whose tasks ended in error on so many machines is at fault, and not they.
-MACHINES_OF_FAILING_JOB = 3
+# If a job's tasks ended in error on so many machines, the job is considered faulty, not the
+# machines.
+MIN_FAILED_MACHINES_OF_FAULTY_JOB = 3
 
-# Why an attempt ended, as agents say it.
+# Exit reasons reported by agents.
 ERROR = "error"
-MACHINE_IS_FULL = ("full", "busy")
-GANG_IS_INCOMPLETE = ("incomplete", "mates_gone")
-IMAGE_IS_UNKNOWN = "no_such"
+MACHINE_FULL_REASONS = ("full", "busy")
+GANG_INCOMPLETE_REASONS = ("incomplete", "mates_gone")
+UNKNOWN_IMAGE = "no_such"
 DONE = "done"
 
 
 class MachineBackoff(NamedTuple):
-    """A machine that nothing is placed on until then, and how many errors it had."""
+    """Until when no task is placed on a machine, and how many errors it has had."""
 
     until: float
     errors: int
@@ -43,35 +44,40 @@
         self._machines: dict[str, MachineBackoff] = {}
 
     def machines(self, now: float) -> list[str]:
-        """The machines that nothing is placed on for the moment."""
+        """The machines that are backed off at the time `now`."""
         return [name for name, backoff in self._machines.items() if backoff.until > now]
 
-    def note_exit(self, job: Job, update: TaskExited, now: float) -> None:
-        """Notes that an attempt has ended and its task is not done."""
+    def record_exit(self, job: Job, update: TaskExited, now: float) -> None:
+        """Records the exit of an attempt whose task is not done, and backs off what caused it."""
         task, machine, reason = update.task, update.machine, update.reason
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
         if reason == ERROR:
-            self._note_error(job, task, machine, now)
-        elif reason in MACHINE_IS_FULL:
+            self._record_error(job, task, machine, now)
+        elif reason in MACHINE_FULL_REASONS:
             errors = self._machines.get(machine, NO_BACKOFF).errors
             self._machines[machine] = MachineBackoff(now + heartbeat_s * 2, errors)
-        elif reason in GANG_IS_INCOMPLETE or reason == DONE:
+        elif reason in GANG_INCOMPLETE_REASONS or reason == DONE:
             job.retry_at[task] = now + heartbeat_s
-        elif reason == IMAGE_IS_UNKNOWN:
+        elif reason == UNKNOWN_IMAGE:
             job.retry_at[task] = now + lease_s / 2
 
-    def _note_error(self, job: Job, task: int, machine: str, now: float) -> None:
-        """Mostly the machine is faulty, so it rests; a job that fails everywhere is slowed."""
+    def _record_error(self, job: Job, task: int, machine: str, now: float) -> None:
+        """Backs off the machine, or the task if its job has failed on several machines."""
         lease_s = self._settings.lease_s
         job.failed_machines.add(machine)
         failed_on = len(job.failed_machines)
-        if failed_on >= MACHINES_OF_FAILING_JOB:
+        if failed_on >= MIN_FAILED_MACHINES_OF_FAULTY_JOB:
             job.retry_at[task] = now + lease_s * min(failed_on, MAX_BACKOFF_LEASES)
-            follows = "the job fails everywhere and is slowed"
+            consequence = "the job fails on every machine, so the task is backed off"
         else:
             errors = self._machines.get(machine, NO_BACKOFF).errors
             until = now + lease_s * min(2**errors, MAX_BACKOFF_LEASES)
             self._machines[machine] = MachineBackoff(until, errors + 1)
             job.retry_at[task] = now
-            follows = "the machine rests"
-        log.info("%s ended in error on %s; %s", task_name(job.id, task), machine, follows)
+            consequence = "the machine is backed off"
+        log.info(
+            "task %s ended in error on machine %s; %s",
+            task_name(job.id, task),
+            machine,
+            consequence,
+        )
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job that is not over yet, and its tasks."""
+"""A live job, that is one that is not finished, and its tasks."""
 
 import zlib
 from collections.abc import Iterator, Mapping
@@ -12,19 +12,23 @@
 
 
 class Job:
-    """A job that is not over yet.
+    """A live job.
 
     Its tasks are kept in chunks: chunk number N holds the tasks
-    [N * chunk_size, (N + 1) * chunk_size). The first one is stored in the job's own key.
+    [N * chunk_size, (N + 1) * chunk_size). The first chunk is stored in the job's own key.
 
     Attributes:
-        stored_spec: The description as it was accepted and is stored.
-        spec: The same, with the priority and the deadline inherited from the jobs that need it.
-        generation: Of its chunks' keys; changed when the job is rechunked.
-        fitting_chunk_size: Tasks of a chunk that fits a value, once that was worked out.
-        last_bound_at: When this controller last saw a task of it bound; not stored.
-        retry_at: task -> when it may be tried again, on the steady clock; not stored.
-        failed_machines: Those on which a task of it ended in error; not stored.
+        stored_spec: The description as accepted and stored.
+        spec: The same with the priority and the deadline inherited from dependents.
+        chunk_size: Tasks per chunk.
+        generation: Part of its chunks' keys; changes when the job is rechunked.
+        fitting_chunk_size: Tasks per chunk that fit a value; None until computed.
+        cancelled: Whether its user has cancelled it.
+        chunks: number -> Chunk; all tasks of a missing chunk are pending and were never attempted.
+        last_bound_at: When this controller last saw a task of the job bound, on the steady clock;
+            not stored.
+        retry_at: task -> when it may be placed again, on the steady clock; not stored.
+        failed_machines: Machines on which a task of the job ended in error; not stored.
     """
 
     def __init__(
@@ -47,9 +51,9 @@
         return self.spec.id
 
     def inherit_urgency(self, urgency: Urgency | None) -> None:
-        """Takes the higher priority and the earlier due time of the jobs that need this one.
+        """Updates `spec` with the urgency inherited from dependents; None: no job depends on it.
 
-        `urgency` is what they pass on; None: no job needs it.
+        The higher priority and the earlier due time apply.
         """
         own = self.stored_spec
         if urgency is None:
@@ -65,7 +69,7 @@
         )
 
     def chunk_of(self, task: int) -> Chunk:
-        """The chunk that holds a task; a new one if none of its tasks was bound so far."""
+        """The chunk of a task; it is created if missing."""
         number = task // self.chunk_size
         chunk = self.chunks.get(number)
         if chunk is None:
@@ -74,7 +78,7 @@
 
     @property
     def mod_revision(self) -> int:
-        """The mod revision of the job's own key; 0 if it was not seen yet."""
+        """The mod revision of the job's own key; 0 if the key was not seen yet."""
         return self.chunks[0].mod_revision if 0 in self.chunks else 0
 
     def bindings(self) -> Iterator[tuple[int, Binding]]:
@@ -83,21 +87,21 @@
             yield from chunk.bindings.items()
 
     def binding_count(self) -> int:
-        """How many tasks are bound."""
+        """The number of bound tasks."""
         count = 0
         for chunk in self.chunks.values():
             count += len(chunk.bindings)
         return count
 
     def done_count(self) -> int:
-        """How many tasks are done."""
+        """The number of tasks that are done."""
         count = 0
         for chunk in self.chunks.values():
             count += len(chunk.done)
         return count
 
     def pending_count(self) -> int:
-        """How many tasks are neither bound nor done."""
+        """The number of tasks that are neither bound nor done."""
         count = self.spec.tasks
         for chunk in self.chunks.values():
             count -= len(chunk.done) + len(chunk.bindings)
@@ -110,16 +114,16 @@
     def is_done(self) -> bool:
         """Whether all tasks are done.
 
-        A cancelled job stays cancelled, also if its last tasks complete before they are stopped.
+        A cancelled job stays cancelled even if its last tasks complete before they are stopped.
         """
         return not self.spec.service and not self.cancelled and self.done_count() == self.spec.tasks
 
-    def is_over(self) -> bool:
-        """Whether it is done, or cancelled with nothing left on any machine."""
+    def is_finished(self) -> bool:
+        """Whether the job is done, or cancelled with no task bound any more."""
         return self.is_done() or (self.cancelled and not self.binding_count())
 
     def pending_tasks(self, now: float, limit: int) -> list[int]:
-        """Up to `limit` tasks that are neither bound, done nor backed off, lowest first."""
+        """Up to `limit` tasks that are not bound, done or backed off, in ascending order."""
         pending: list[int] = []
         for first in range(0, self.spec.tasks, self.chunk_size):
             chunk = self.chunks.get(first // self.chunk_size)
@@ -138,9 +142,9 @@
 
 
 def shard_of(spec: JobSpec, teams: Mapping[str, Any], shards: int) -> int:
-    """The shard of a job, of `shards` in all.
+    """The shard of a job, out of `shards` shards.
 
-    The jobs of a team with a quota share a shard, so that one owner alone enforces the quota.
+    All jobs of a team with a quota belong to one shard, so that a single owner enforces the quota.
     """
     team = teams.get(spec.team)
     name = "team " + spec.team if team is not None and team.limited else spec.id
@@ -148,5 +152,5 @@
 
 
 def task_name(job_id: str, task: int) -> str:
-    """A task's name as agents know it."""
+    """The name of a task in messages to agents and in logs."""
     return f"{job_id}/{task}"
--- a/emberglade/jobs/job_spec.py
+++ b/emberglade/jobs/job_spec.py
@@ -1,4 +1,4 @@
-"""The description of a job: what its user asked for, in this project's own words."""
+"""The description of a job, as requested by its user."""
 
 from dataclasses import dataclass
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True)
 class JobSpec:
-    """What the user asked for.
+    """The description of a job. Resources are per task.
 
     Attributes:
-        service: Its tasks are replicas that run until the job is cancelled.
+        service: Whether its tasks are replicas of a service, which run until the job is cancelled.
         priority: Index into PRIORITIES; 0 is the most urgent.
-        allowed_types: The machine types that may run it; None: all of them.
-        zone: The zone that it must run in; None: any.
-        single_zone: All its tasks must run in one zone, whichever that is.
-        zone_spread: No zone may hold more than half of its tasks.
-        spot: It may run on spot machines.
-        deadline_s: Seconds from `submitted_at` within which it should be done, or None.
-        submitted_at: Time of day, in seconds.
-        gang: Its tasks run only all at once.
+        allowed_types: The machine types that may run it; None: all types.
+        zone: The zone that it must run in; None: any zone.
+        single_zone: Whether all its tasks must run in the same zone.
+        zone_spread: Whether no zone may run more than half of its tasks.
+        spot: Whether it may run on spot machines.
+        deadline_s: Seconds from `submitted_at` within which it should be done; None: no deadline.
+        submitted_at: Time of day in seconds.
+        gang: Whether its tasks may only run all at once.
     """
 
     id: str
--- a/emberglade/jobs/job_table.py
+++ b/emberglade/jobs/job_table.py
@@ -1,4 +1,4 @@
-"""All live jobs as this controller sees them, own decisions included that are not committed yet."""
+"""This controller's table of all live jobs, including its uncommitted decisions."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class JobTable:
-    """The live jobs. All bindings are made and ended here, so capacity is always right.
+    """The live jobs. All bindings are added and removed here, which keeps used capacity correct.
 
     Attributes:
         jobs: job id -> Job.
@@ -21,7 +21,7 @@
         self.jobs: dict[str, Job] = {}
 
     def get(self, job_id: str) -> Job | None:
-        """The live job of this id, or None."""
+        """The live job with this id, or None."""
         return self.jobs.get(job_id)
 
     def bind(self, job: Job, task: int, binding: Binding) -> None:
@@ -31,19 +31,19 @@
         self._cluster.bind(job, task, binding)
 
     def unbind(self, job: Job, task: int) -> None:
-        """Ends a task's binding."""
+        """Removes a task's binding."""
         binding = job.chunk_of(task).bindings.pop(task)
         self._cluster.unbind(job, task, binding)
 
     def remove(self, job_id: str) -> None:
-        """Removes a job that is live no longer, with all its bindings."""
+        """Removes a job that is no longer live, with all its bindings."""
         job = self.jobs.pop(job_id, None)
         if job is not None:
             for task, _ in list(job.bindings()):
                 self.unbind(job, task)
 
     def update_chunk(self, job: Job, number: int, record: wire.Record, mod_revision: int) -> None:
-        """Makes one chunk what was committed; only differences cost anything."""
+        """Updates a chunk to its committed record; only changed bindings are touched."""
         chunk = job.chunk_of(number * job.chunk_size)
         rows = wire.binding_rows(record)
         for task in [task for task in chunk.bindings if task not in rows]:
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -1,7 +1,7 @@
-"""The job manager: every controller's view of all live jobs, and the decisions on own ones.
+"""The job manager: a view of all live jobs, and the decisions on the jobs of owned shards.
 
-What is decided here only counts once the commit has succeeded; nothing leaves for an agent from
-here. Agents are commanded by `emberglade/agents`, out of the replica.
+A decision takes effect only once its commit has succeeded. The job manager sends nothing to agents:
+`emberglade/agents` sends their commands, based on the replica.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,17 +35,19 @@
 
 
 class JobManager(ReplicaSubscriber):
-    """Every controller's view of all live jobs, and the decisions on those that it holds.
+    """Keeps a view of all live jobs and decides on the jobs whose shards this controller owns.
 
-    Its parts do the work, each in this actor's turn:
+    The work is done by its parts, which all run in this actor's turn:
 
-    - `committed` keeps the view in step with the replica.
-    - `tasks` changes bindings by what agents report; `scheduler` places, `preemption` stops others.
-    - `commits` writes what was decided; `rechunking` and `garbage` look after chunks.
-    - `release` turns waiting jobs into live ones.
+    - `committed` applies changes of the replica to the view.
+    - `tasks` updates bindings from agents' reports and machine taints.
+    - `scheduler` places pending tasks; `preemption` stops running tasks to free capacity.
+    - `commits` writes the decisions to the store.
+    - `rechunking` rewrites jobs in smaller chunks; `garbage` removes unused chunks.
+    - `release` turns waiting jobs into live ones; `segments` removes unused dependency lists.
 
     Attributes:
-        agents: The agent manager; set when the controller is put together.
+        agents: The agent manager; set when the controller is assembled.
     """
 
     agents: "AgentManager"
@@ -66,52 +68,54 @@
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """Job id -> Job, of all live jobs."""
+        """Job id -> Job, for all live jobs."""
         return self.view.jobs.jobs
 
     @property
     def owners(self) -> dict[int, Owner]:
-        """Shard -> Owner, as the replica shows them."""
+        """Shard -> Owner, according to the replica."""
         return self.view.owners.owners
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes to the store, and ticks."""
+        """Handles `begin` from the actor system: subscribes to the store and starts ticking."""
         super().on_begin()
         send_after(TICK_S, self.on_tick)
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: which process this is."""
+        """Handles `identity(incarnation)` from the member: this process's incarnation."""
         super().on_identity(incarnation)
         self.view.owners.incarnation = incarnation
 
-    # --- what agents and the store tell
+    # --- updates from agents and from the store
 
     def on_inventory(self, machines: Mapping[str, placement.Machine]) -> None:
-        """Handles `inventory(machines)` from the agent manager: what machines there are now."""
+        """Handles `inventory(machines)` from the agent manager: the current machines."""
         self.view.cluster.update_machines(machines)
         self.schedule_placement()
 
     def on_task_update(self, update: TaskUpdate) -> None:
-        """Handles `task_update(update)` from the agent manager, or from a peer's."""
+        """Handles `task_update(update)` from the agent manager, or from that of a peer."""
         self.tasks.apply(update)
 
     def on_changed(self, events: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(events, revision, is_snapshot)` from the store: the replica has changed.
 
-        Changes of what is being written just now wait for the outcome.
+        Changes of keys that the commit in flight writes are deferred until its outcome is known.
         """
         if is_snapshot:
-            self.committed.begin_anew({key for key, record, _ in events if record is not None})
+            self.committed.reset_for_snapshot(
+                {key for key, record, _ in events if record is not None}
+            )
         for event in events:
             if not self.commits.defer(event):
                 self.committed.apply(*event)
-        self._follow_dependencies(events, is_snapshot)
+        self._update_dependencies(events, is_snapshot)
         machines = self.committed.take_changed_taints()
         if machines:
             self.tasks.apply_taints(machines)
         self.schedule_placement()
 
-    def _follow_dependencies(self, events: list[Change], is_snapshot: bool) -> None:
+    def _update_dependencies(self, events: list[Change], is_snapshot: bool) -> None:
         self.view.graph.apply(events, is_snapshot)
         for job_id in self.view.graph.urgency.take_changes():
             job = self.view.jobs.get(job_id)
@@ -120,12 +124,12 @@
         self.release.advance()
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every TICK_S: looks after what no message brings about."""
+        """Handles `tick`, sent to itself every TICK_S: work that no other message triggers."""
         send_after(TICK_S, self.on_tick)
         for job in list(self.jobs.values()):
-            self.commits.mark_if_over(job)
-        # Once broken: the stops for a drained machine went with a commit that was not carried out,
-        # and nobody asked for them again; its tasks neither ran nor moved
+            self.commits.mark_if_finished(job)
+        # Taints are applied again because the commit with a drained machine's stops may have
+        # failed; without a retry its tasks neither run nor move
         # (protocol_rules/random_combined_faults_small_values.txt, 39).
         self.tasks.apply_taints(self.tasks.tainted_machines())
         self.garbage.sweep_orphans()
@@ -137,42 +141,43 @@
         self.rechunking.start_next()
         self.schedule_placement()
 
-    # --- what the parts need of each other
+    # --- calls between the parts
 
     def before_commit(self) -> None:
-        """A commit is about to be put together.
+        """Runs the scheduled placement round, if it is due, before a commit is assembled.
 
-        What has just become free or unbound is placed first: one write a job instead of two.
+        Tasks that have just become unbound are bound again in the same commit, so that a job is
+        written once instead of twice.
         """
-        self.scheduler.play_if_due()
+        self.scheduler.run_if_due()
 
     def apply_event(self, key: str, record: Any, mod_revision: int) -> None:
-        """Takes in a change of the replica that had to wait for a commit."""
+        """Applies a change of the replica that was deferred during a commit."""
         self.committed.apply(key, record, mod_revision)
 
     def after_reset(self) -> None:
-        """Decisions that were not committed were taken back: they are made anew."""
+        """Decides again, after uncommitted decisions were discarded."""
         self.rechunking.start_next()
         self.schedule_placement()
 
     def schedule_placement(self) -> None:
-        """Has a round of placing played soon."""
+        """Schedules a placement round."""
         self.scheduler.schedule_round()
 
     def request_stop(self, update: StopRequested) -> None:
-        """Has the owner of another's task asked to stop it."""
+        """Sends the request to stop a task to the owner of its job."""
         send(self.agents.on_ask_stop, update)
 
-    # --- questions of other actors
+    # --- queries from other actors
 
     def on_demand(
         self,
         reply: Callable[[dict[placement.Pool, float], dict[placement.ZonePool, float]], None],
     ) -> None:
-        """Handles `demand(reply)` from the agent manager: what own jobs request, in machines.
+        """Handles `demand(reply)` from the agent manager: the demand of own jobs, in machines.
 
-        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, and
-        what of it finds no capacity in the only zone where it can run.
+        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, and the part of it
+        that can run in one zone only and finds no capacity there.
         """
         settings, cluster = self.settings, self.view.cluster
         own = [
@@ -191,12 +196,12 @@
     def on_occupied(self, reply: Callable[[set[str]], None]) -> None:
         """Handles `occupied(reply)` from the autoscaler.
 
-        `reply(the machines that any task is bound to)`.
+        `reply(machines)`: those with at least one bound task.
         """
         reply(set(self.view.cluster.bound_machines()))
 
     def on_replicas(self, reply: Callable[[int], None]) -> None:
-        """Handles `replicas(reply)` from the autoscaler: `reply(how many replicas are bound)`."""
+        """Handles `replicas(reply)` from the autoscaler: `reply(number of bound replicas)`."""
         reply(sum(self.view.cluster.capacity.replicas.values()))
 
     def on_underused_machine(
@@ -204,8 +209,8 @@
     ) -> None:
         """Handles `underused_machine(type_name, limit, reply)` from the autoscaler.
 
-        `reply(machine, count)`: one that only holds up to `limit` replicas, which could all move to
-        other machines in use; `reply(None, 0)` if there is none.
+        `reply(machine, count)`: a machine whose tasks are at most `limit` service replicas, all of
+        which could move to other machines in use; `reply(None, 0)` if there is none.
         """
         found = find_underused_machine(self.view.cluster, type_name, limit)
         if found is None:
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -1,10 +1,10 @@
-"""The records that changed and are not written yet, and when each is due."""
+"""The changed records that are not written yet, and when each of them is due."""
 
 from . import wire
 from .view import View
 
-WRITE_DELAY_S = 0.02  # so that what changes in one turn is written together
-MIN_DELAY_SHARE = 0.1  # of an agent heartbeat: the least that a change waits for others
+WRITE_DELAY_S = 0.02  # changes that follow closely on each other are written together
+MIN_DELAY_HEARTBEATS = 0.1  # minimum time in agent heartbeats that a batched change waits
 
 
 class PendingWrites:
@@ -21,44 +21,45 @@
     def __bool__(self) -> bool:
         return bool(self.due)
 
-    def add(self, key: str, now: float, soon: bool) -> float:
-        """Notes that a key is to be written; returns the seconds until a commit should look.
+    def add(self, key: str, now: float, immediate: bool) -> float:
+        """Marks a key to be written, and returns the seconds until the next flush should run.
 
-        Exits wait for company, since each written key counts; starts, stops and ends (`soon`)
-        don't. They wait the less the fewer writes there are, since others see the free capacity
-        only then.
+        With `immediate` (starts, stops, finished jobs) the key is due at once. Exits wait to be
+        batched with other changes, since each written key counts towards the rate limit. The lower
+        the current write rate, the shorter they wait, since other controllers see the freed
+        capacity only after the write.
         """
-        if soon:
+        if immediate:
             delay, due = WRITE_DELAY_S, now
         else:
-            share = min(1.0, max(MIN_DELAY_SHARE, 2 * self._budget.used_share(now)))
+            share = min(1.0, max(MIN_DELAY_HEARTBEATS, 2 * self._budget.used_share(now)))
             delay = self._settings.agent_heartbeat_s * share
             due = now + delay
         if due < self.due.get(key, float("inf")):
             self.due[key] = due
         return delay
 
-    def add_again(self, keys: list[str], now: float) -> None:
-        """Notes that keys are to be written at once: their commit was not carried out."""
+    def requeue(self, keys: list[str], now: float) -> None:
+        """Marks keys whose commit was not executed as due at once."""
         self.due.update(dict.fromkeys(keys, now))
 
     def discard(self, key: str) -> None:
-        """Forgets a key that need not be written any more."""
+        """Removes a key that need not be written any more."""
         self.due.pop(key, None)
 
     def job_ids(self) -> set[str]:
-        """The jobs of all keys."""
+        """The ids of the jobs to which the keys belong."""
         return {wire.job_id_of(key) for key in self.due}
 
-    def in_turn(self, now: float) -> list[str]:
-        """The keys that are due, in the order in which they are written."""
-        return sorted((key for key, due in self.due.items() if due <= now), key=self._turn)
+    def due_keys(self, now: float) -> list[str]:
+        """The keys that are due, in the order in which they should be written."""
+        return sorted((key for key, due in self.due.items() if due <= now), key=self._write_order)
 
-    def _turn(self, key: str) -> tuple[float, str]:
-        """The place of a key in the order of writing.
+    def _write_order(self, key: str) -> tuple[float, str]:
+        """The sort key that determines when a key is written.
 
-        When a third of the machines is lost, nearly every job has to be written: higher priorities
-        go a little ahead, and nobody waits for ever.
+        When a third of the machines is lost, nearly every job has to be written. Each step of
+        priority counts as a quarter of a heartbeat, so that no key is postponed indefinitely.
         """
         job = self._jobs.get(wire.job_id_of(key))
         priority = job.spec.priority if job is not None else 0
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -1,4 +1,4 @@
-"""One round of placing: every pending job gets its turn, in order."""
+"""One placement round: places every pending job in order."""
 
 import logging
 import math
@@ -12,17 +12,19 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-MAX_TASKS_A_TURN = 256
-STARVING_JOB_SHARE = 1 / 8  # of a starving job's tasks goes first: enough to begin
-COMMITS_A_ROUND = 4  # full commits that a round may bind tasks for
-# What was tried so often, of a job that gets nothing done, its owner may well be holding back.
-MAX_HOPEFUL_ATTEMPTS = 3
+MAX_TASKS_PER_TURN = 256  # tasks of one job that are placed at a time
+STARVING_JOB_SHARE = 1 / 8  # share of a starving job's tasks that is placed first
+MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fill so many commits
+# Capacity is not reserved for another owner's task with more attempts than this, if its job has no
+# progress: the owner may have backed it off.
+MAX_ATTEMPTS_WITHOUT_PROGRESS = 3
 
 
 class PlacementPass:
-    """Takes capacity for the pending tasks of all jobs, and binds those of own ones.
+    """Reserves capacity for the pending tasks of all jobs, and binds the tasks of own jobs.
 
-    It lasts for one round. `placement_round` is undone after it; only bindings stay.
+    An instance serves one round. The reservations in `placement_round` are undone when the round
+    ends; only bindings remain.
     """
 
     def __init__(
@@ -38,29 +40,29 @@
         self._jobs, self._cluster, self._owners = view.jobs, view.cluster, view.owners
         self._commits, self._round, self._starving = commits, placement_round, starving
         self._teams, self._now, self._wall_time = settings.teams, now, wall_time
-        # (a job, tasks like it that are expected soon): capacity is kept free for them.
+        # Rows (job, number of similar tasks expected soon), for which capacity is kept free.
         self._buffer = placement.capacity_buffer(
             view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall_time
         )
         self._tasks_left = (
-            settings.txn_ops * COMMITS_A_ROUND * chunk_size(settings.value_bytes)
-        )  # that may be bound yet
-        self._reserved: dict[str, int] = {}  # others' jobs -> tasks that capacity was taken for
+            settings.txn_ops * MAX_COMMITS_PER_ROUND * chunk_size(settings.value_bytes)
+        )  # tasks that may still be bound in this round
+        self._reserved: dict[str, int] = {}  # id of another owner's job -> reserved tasks
 
-    def play(self, pending: list[Job]) -> None:
-        """Gives each of the pending jobs its turn, in this order.
+    def run(self, pending: list[Job]) -> None:
+        """Places the pending jobs in the given order.
 
-        First for what each team is guaranteed: that is not to wait for what others run beyond
-        theirs.
+        A first pass places only tasks within their team's guarantee, so that these do not wait for
+        jobs of teams that exceed theirs.
         """
         if any(team.guaranteed_cpus or team.guaranteed_gpus for team in self._teams.values()):
             for job in pending:
-                self._take_turn(job, within_guarantee=True)
+                self._place_or_reserve(job, within_guarantee=True)
         for job in pending:
-            self._take_turn(job, within_guarantee=False)
+            self._place_or_reserve(job, within_guarantee=False)
 
-    def _take_turn(self, job: Job, within_guarantee: bool) -> None:
-        self._fill_buffer_before(job)
+    def _place_or_reserve(self, job: Job, within_guarantee: bool) -> None:
+        self._reserve_buffer_ahead_of(job)
         limit = self._task_limit(job, within_guarantee)
         if limit <= 0:
             return
@@ -69,8 +71,8 @@
         elif self._tasks_left > 0:
             self._tasks_left -= self._place(job, job.pending_tasks(self._now, limit))
 
-    def _fill_buffer_before(self, job: Job) -> None:
-        """Takes the capacity that is kept free for expected work of a higher priority."""
+    def _reserve_buffer_ahead_of(self, job: Job) -> None:
+        """Reserves capacity for expected tasks of a higher priority than the job's."""
         ahead = [row for row in self._buffer if row.job.spec.priority < job.spec.priority]
         for row in ahead:
             self._buffer.remove(row)
@@ -78,34 +80,36 @@
             self._round.place(expected, math.ceil(tasks))
 
     def _task_limit(self, job: Job, within_guarantee: bool) -> int:
-        """How many tasks of a job may be placed in this turn, at most."""
-        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_A_TURN)
+        """The maximum number of a job's tasks to place in this turn."""
+        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_PER_TURN)
         if within_guarantee and job.spec.priority:
             limit = min(limit, self._cluster.capacity.tasks_within_guarantee(job.spec))
         if job.id in self._starving:
-            # Enough to begin; the rest takes its place in the ordinary order.
+            # Enough for the job to begin; its other tasks are placed in the usual order.
             limit = min(limit, math.ceil(job.spec.tasks * STARVING_JOB_SHARE))
         return limit
 
     def _reserve(self, job: Job, limit: int) -> None:
-        """Takes capacity for another owner's job, as its owner is expected to.
+        """Reserves the capacity that another controller is expected to use for its job.
 
-        What was often tried, of a job that gets nothing done, its owner may well be holding back.
-        Others are tried as often on a rough day; their capacity was given away, and made for them
-        again and again (protocol_rules/random_combined_faults_small_values.txt, 39).
+        Tasks with many attempts are left out if their job has no progress: its owner has probably
+        backed them off. Tasks of a job with progress may reach as many attempts when many machines
+        fail; without a reservation their capacity goes to other jobs, and tasks are preempted for
+        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, 39).
         """
         reserved = self._reserved.get(job.id, 0)
-        hopeful = job.has_progress()
+        has_progress = job.has_progress()
         tasks = [
             task
             for task in job.pending_tasks(self._now, limit + reserved)
-            if hopeful or job.chunk_of(task).last_attempts.get(task, 0) <= MAX_HOPEFUL_ATTEMPTS
+            if has_progress
+            or job.chunk_of(task).last_attempts.get(task, 0) <= MAX_ATTEMPTS_WITHOUT_PROGRESS
         ]
         filled = self._round.place(job, len(tasks) - reserved)
         self._reserved[job.id] = reserved + len(filled)
 
     def _place(self, job: Job, tasks: list[int]) -> int:
-        """Binds as many of the tasks as find capacity; returns how many."""
+        """Binds as many of the tasks as capacity allows, and returns their number."""
         machines = self._round.place(job, len(tasks))
         self._round.take_back(machines)
         incomplete_gang = (
@@ -118,12 +122,12 @@
             missing += not self._cluster.images.has(machine, job.spec.image)
             self._bind(job, task, machine)
         log.info(
-            "placing %d tasks of %s after %.1f s on %s%s",
+            "placing %d tasks of job %s %.1f s after its submission on machines %s%s",
             len(machines),
             job.id,
             self._wall_time - job.spec.submitted_at,
             " ".join(sorted(set(machines))),
-            f", image {job.spec.image} not cached for {missing}" if missing else "",
+            f"; {missing} tasks have to fetch image {job.spec.image} first" if missing else "",
         )
         return len(machines)
 
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -1,4 +1,4 @@
-"""Which running tasks are stopped so that pressing jobs find capacity."""
+"""Preemption: stops running tasks to free capacity for jobs that may preempt them."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -14,24 +14,25 @@
 if TYPE_CHECKING:
     from .manager import JobManager
 
-MAX_STOPS = 16  # in a round: each costs a look at all machines, and the next round comes soon
+MAX_STOPS_PER_ROUND = 16  # choosing victims checks all machines; the next round follows soon
 MAX_STOPS_FOR_JOB = 64
-# A start that is stopped sooner does not count as one for its user (PROTOCOL, "How aims are
+# A task stopped sooner than this does not count as started for its user (PROTOCOL, "How aims are
 # counted").
-FRESH_START_S = 30
+MIN_COUNTED_RUN_S = 30
 
-ROUNDS_IN_HEARTBEAT = 5  # rounds of stops in an agent heartbeat, at most
-REQUEST_HEARTBEATS = 2  # agent heartbeats after which a stop that was asked for is asked for again
-LATE_START_LEASES = 4  # agent leases for which the first sign of a job that waited long is left
-MAX_PRESSING_PRIORITY = 1  # index into PRIORITIES: jobs of lower priority are not pressing by age
+MAX_ROUNDS_PER_HEARTBEAT = 5  # preemption rounds per agent heartbeat
+STOP_REQUEST_TIMEOUT_HEARTBEATS = 2  # after which a stop request to another owner is repeated
+LATE_START_PROTECTION_LEASES = 4  # for which a task bound after a long wait is not preempted
+# Index into PRIORITIES; jobs of lower priorities do not preempt because of their age.
+LOWEST_PRIORITY_PREEMPTING_BY_AGE = 1
 
-STOP_REASON = "room for "  # for the log; sent to other owners, so it stays as it is
+STOP_REASON = "room for "  # a log text that is also sent to other owners, so it must not change
 
 
 class Preemption(ActorPart):
-    """Stops tasks for others, within a round of placing.
+    """Selects and stops victims within a placement round.
 
-    `request_stop` is called with a StopRequested for a task of a job that another controller holds.
+    `request_stop` is called with a StopRequested for each victim whose job another controller owns.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._owners, self._chunk_limits = view.owners, view.chunk_limits
         self._tasks, self._request_stop = tasks, request_stop
         self._last_round_at = float("-inf")
-        # (job, task, attempt) -> when its owner was asked to stop it
+        # (job id, task, attempt) -> when the stop was requested from the job's owner
         self._requested: dict[tuple[str, int, int], float] = {}
 
     def preempt(
@@ -57,28 +58,31 @@
         guaranteed: set[str],
         placement_round: placement.PlacementRound,
     ) -> None:
-        """Stops what the pressing ones among the pending jobs need to find capacity.
+        """Stops running tasks to free capacity for those pending jobs that may preempt.
 
-        `guaranteed` are the ids of the jobs within their team's guarantee.
+        `guaranteed` contains the ids of the jobs within their team's guarantee.
         """
         heartbeat_s = self._settings.agent_heartbeat_s
-        if now - self._last_round_at < heartbeat_s / ROUNDS_IN_HEARTBEAT:
+        if now - self._last_round_at < heartbeat_s / MAX_ROUNDS_PER_HEARTBEAT:
             return
-        pressing = self._jobs_worth_preempting_for(now, pending, guaranteed)
-        if not pressing:
+        preemptors = self._find_preemptors(now, pending, guaranteed)
+        if not preemptors:
             return
         self._last_round_at = now
         self._requested = {
             key: at
             for key, at in self._requested.items()
-            if now - at < REQUEST_HEARTBEATS * heartbeat_s
+            if now - at < STOP_REQUEST_TIMEOUT_HEARTBEATS * heartbeat_s
         }
         self._count_stopping_as_free(placement_round)
-        stoppable = self._stoppable_tasks(now, pressing)
-        self._preempt_for(now, pressing, stoppable, placement_round)
+        stoppable = self._stoppable_tasks(now, preemptors)
+        self._preempt_for(now, preemptors, stoppable, placement_round)
 
-    def _is_pressing(self, job: Job, guaranteed: set[str]) -> bool:
-        """Whether a pending job may have others stopped now: a deadline allows patience."""
+    def _may_preempt_now(self, job: Job, guaranteed: set[str]) -> bool:
+        """Whether a pending job is urgent enough to preempt others now.
+
+        A job with a deadline preempts only when little time is left until then.
+        """
         spec = job.spec
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
         age = self.system.wall_time() - spec.submitted_at
@@ -88,18 +92,18 @@
             return True
         if spec.deadline_s is not None:
             return spec.deadline_s - age < spec.estimated_run_s * 1.5 + lease_s
-        return spec.priority <= MAX_PRESSING_PRIORITY and age > lease_s
+        return spec.priority <= LOWEST_PRIORITY_PREEMPTING_BY_AGE and age > lease_s
 
-    def _jobs_worth_preempting_for(
-        self, now: float, pending: list[Job], guaranteed: set[str]
-    ) -> list[Job]:
-        """Own pressing jobs for which some running job may be stopped at all."""
-        pressing = [
+    def _find_preemptors(self, now: float, pending: list[Job], guaranteed: set[str]) -> list[Job]:
+        """Own pending jobs that may preempt now and for which a running job may be preempted."""
+        preemptors = [
             job
             for job in pending
-            if self._owners.owns(job) and job.pending_count() and self._is_pressing(job, guaranteed)
+            if self._owners.owns(job)
+            and job.pending_count()
+            and self._may_preempt_now(job, guaranteed)
         ]
-        if not pressing:
+        if not preemptors:
             return []
         rules = self._preemption_rules()
         running = {
@@ -109,7 +113,7 @@
         }
         return [
             job
-            for job in pressing
+            for job in preemptors
             if any(rules.may_preempt(job.spec, victim) for victim in running.values())
         ]
 
@@ -117,7 +121,7 @@
         return placement.PreemptionRules(self._cluster.capacity, self._settings.teams)
 
     def _count_stopping_as_free(self, placement_round: placement.PlacementRound) -> None:
-        """What is being stopped already will be free; it is not stopped for twice."""
+        """Counts tasks that are being stopped as free, so that no further victims replace them."""
         for job in self._jobs.jobs.values():
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
@@ -133,11 +137,11 @@
             placement_round.release(requested.spec, bound.machine)
 
     def _stoppable_tasks(
-        self, now: float, pressing: list[Job]
+        self, now: float, preemptors: list[Job]
     ) -> dict[str, list[placement.BoundTask]]:
-        """{machine: [BoundTask]} of what may be stopped there, the cheapest first."""
+        """{machine: [BoundTask]} of the tasks that may be stopped, those of least cost first."""
         rules = self._preemption_rules()
-        classes = {(job.spec.priority, job.spec.team): job.spec for job in pressing}
+        classes = {(job.spec.priority, job.spec.team): job.spec for job in preemptors}
         specs = list(classes.values())
         stoppable: dict[str, list[placement.BoundTask]] = {}
         for job in self._jobs.jobs.values():
@@ -157,36 +161,37 @@
                         placement.BoundTask(job, task, binding)
                     )
         for tasks in stoppable.values():
-            tasks.sort(key=lambda row: placement.victim_order(row, self._is_fresh(row, now)))
+            tasks.sort(key=lambda row: placement.victim_order(row, self._is_recent_start(row, now)))
         return stoppable
 
     def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
-        """Whether a task is the first sign of a job that waited long: it is left for a while.
+        """Whether a task has recently been bound after a long wait, and is protected for a while.
 
-        Once broken: what had its turn was stopped for a higher priority before it began, had its
-        turn again, and so on; neither ran (combined_faults/aging_and_preemption.txt).
+        Without this a starving job's tasks are preempted by a higher priority before they start,
+        are placed first again, and so on, and neither job runs
+        (combined_faults/aging_and_preemption.txt).
         """
         bound_s = now - binding.since
         age = self.system.wall_time() - job.spec.submitted_at - bound_s
-        return bound_s < LATE_START_LEASES * self._settings.lease_s < age / 2 and (
+        return bound_s < LATE_START_PROTECTION_LEASES * self._settings.lease_s < age / 2 and (
             not job.done_count()
         )
 
     @staticmethod
-    def _is_fresh(running: placement.BoundTask, now: float) -> bool:
-        """Whether a task has been bound too lately to count as a start once it is stopped."""
-        return now - running.binding.since < FRESH_START_S
+    def _is_recent_start(running: placement.BoundTask, now: float) -> bool:
+        """Whether a task was bound so recently that it would not count as started if stopped."""
+        return now - running.binding.since < MIN_COUNTED_RUN_S
 
     def _preempt_for(
         self,
         now: float,
-        pressing: list[Job],
+        preemptors: list[Job],
         stoppable: dict[str, list[placement.BoundTask]],
         placement_round: placement.PlacementRound,
     ) -> None:
-        """Picks victims for one task after the other, and asks for their stop."""
-        stops_left = MAX_STOPS
-        for job in pressing:
+        """Selects and stops victims, for one pending task after the other."""
+        stops_left = MAX_STOPS_PER_ROUND
+        for job in preemptors:
             for _ in range(min(job.pending_count(), MAX_STOPS_FOR_JOB)):
                 victims = self._victims_for(now, job, stoppable, placement_round)
                 if victims is None:
@@ -210,19 +215,23 @@
         stoppable: dict[str, list[placement.BoundTask]],
         placement_round: placement.PlacementRound,
     ) -> list[placement.BoundTask] | None:
-        """What to stop for one more task: nothing if there is capacity; None if nothing helps."""
+        """The victims for one more task: empty if it fits already; None if no victims suffice."""
         capacity, teams = self._cluster.capacity, self._settings.teams
 
-        def fresh(running: placement.BoundTask) -> bool:
-            return self._is_fresh(running, now)
+        def is_recent_start(running: placement.BoundTask) -> bool:
+            return self._is_recent_start(running, now)
 
         if not capacity.tasks_within_quota(job.spec):
-            victims = placement.victims_for_quota(job.spec, stoppable, capacity, teams, fresh)
+            victims = placement.victims_for_quota(
+                job.spec, stoppable, capacity, teams, is_recent_start
+            )
             helps = victims and placement.has_fit(job, victims, placement_round)
             return victims if helps else None
         if placement_round.place(job, 1):
             return []
-        return placement.victims_for_capacity(job, stoppable, placement_round, teams, fresh)
+        return placement.victims_for_capacity(
+            job, stoppable, placement_round, teams, is_recent_start
+        )
 
     def _stop(self, now: float, running: placement.BoundTask, reason: str) -> None:
         job, task, binding = running
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -1,9 +1,9 @@
-"""Rechunks jobs whose chunks may outgrow the values that the store takes.
+"""Rechunks jobs whose chunks may exceed the store's limit on the size of a value.
 
-Records written under larger limits stay readable, but their next version might be refused. The
-owner writes the new chunks first, under keys of a generation of their own that nobody reads, and
-then switches the job's record to them in one conditional transaction. Until then nothing is decided
-about the job: status updates of its tasks are repeated by heartbeats, so none is lost.
+Records written under a larger limit stay readable, but the store might refuse their next version.
+The owner first writes the new chunks under keys of a new generation, which are not read yet. Then
+it switches the job's record to them in one conditional transaction. Until then the job is not
+changed in any other way; status updates of its tasks are repeated by heartbeats, so none is lost.
 """
 
 import logging
@@ -31,12 +31,13 @@
 
 
 @dataclass
-class Rechunk:
-    """A job whose chunks are being written anew.
+class RechunkOperation:
+    """The rewrite of one job's chunks.
 
     Attributes:
-        generation: Of the new chunks.
-        mod_revision: Of the record that the new chunks were made from.
+        job_id: The job that is rechunked.
+        generation: The generation of the new chunks.
+        mod_revision: Mod revision of the job's record that the new chunks are derived from.
         record: The job's new record.
         chunks: (key, record) of the further chunks that are still to be written.
     """
@@ -57,8 +58,8 @@
         self._jobs, self._owners = view.jobs, view.owners
         self._chunk_limits = view.chunk_limits
         self._commits = commits
-        self._current: Rechunk | None = None
-        self._count = 0  # of those begun by this process
+        self._current: RechunkOperation | None = None
+        self._operations_started = 0  # by this process
 
     @property
     def job_id(self) -> str | None:
@@ -66,9 +67,9 @@
         return self._current.job_id if self._current is not None else None
 
     def start_next(self) -> None:
-        """Begins with the next job that needs it, if none is being rechunked.
+        """Starts rechunking the next job that needs it, unless one is being rechunked.
 
-        Those whose changes wait to be written go first.
+        Jobs with changes that wait to be written go first.
         """
         if (
             self._current is not None
@@ -79,8 +80,10 @@
         job = self._next_job()
         if job is None:
             return
-        self._count += 1
-        self._current = Rechunk(job.id, f"{self._owners.incarnation}-{self._count}")
+        self._operations_started += 1
+        self._current = RechunkOperation(
+            job.id, f"{self._owners.incarnation}-{self._operations_started}"
+        )
         keys = [wire.key_of_chunk(job, number) for number in {0, *job.chunks}]
         send(self._store.on_read_replica, keys, callback(self.on_chunks_read, self._current))
 
@@ -101,108 +104,115 @@
             default=None,
         )
 
-    def on_chunks_read(self, change: Rechunk, found: dict[str, Any]) -> None:
-        """Handles what the replica shows of the job's chunks: they are split anew from that."""
-        job = self._jobs.get(change.job_id)
+    def on_chunks_read(self, operation: RechunkOperation, found: dict[str, Any]) -> None:
+        """Handles the replica's state of the job's chunks, and splits the job from it."""
+        job = self._jobs.get(operation.job_id)
         if job is None or not self._owners.owns(job) or found.get(wire.job_key(job.id)) is None:
             self._current = None
             return
         for chunk in job.chunks.values():
             chunk.mod_revision = -1
         self._commits.reset_to_committed(found)
-        self._split(job, self._chunk_limits.chunk_size_for(job.stored_spec), change)
-        self._write(change)
+        self._split(job, self._chunk_limits.chunk_size_for(job.stored_spec), operation)
+        self._write(operation)
 
     @staticmethod
-    def _split(job: Job, size: int, change: Rechunk) -> None:
-        """Works out the job's new record and chunks, of `size` tasks each."""
+    def _split(job: Job, size: int, operation: RechunkOperation) -> None:
+        """Computes the job's new record and chunks, of `size` tasks each."""
         chunks = rechunk(job, size)
-        rechunked = Job(job.stored_spec, size, job.cancelled, change.generation)
+        rechunked = Job(job.stored_spec, size, job.cancelled, operation.generation)
         rechunked.chunks = {0: chunks.pop(0, Chunk())}
-        change.mod_revision, change.record = job.mod_revision, wire.job_record(rechunked)
-        change.chunks = [
-            (wire.chunk_key(job.id, number, change.generation), wire.chunk_record(chunk))
+        operation.mod_revision, operation.record = job.mod_revision, wire.job_record(rechunked)
+        operation.chunks = [
+            (wire.chunk_key(job.id, number, operation.generation), wire.chunk_record(chunk))
             for number, chunk in sorted(chunks.items())
         ]
 
-    def _write(self, change: Rechunk) -> None:
-        """Writes the next of the new chunks, or switches to them when all are there."""
-        job = self._jobs.get(change.job_id)
-        if job is None or not self._owners.owns(job) or job.mod_revision != change.mod_revision:
+    def _write(self, operation: RechunkOperation) -> None:
+        """Writes the next batch of new chunks, or switches to them if all are written."""
+        job = self._jobs.get(operation.job_id)
+        if job is None or not self._owners.owns(job) or job.mod_revision != operation.mod_revision:
             self._current = None
             return
-        if not change.chunks:
-            self._switch(job, change)
+        if not operation.chunks:
+            self._switch(job, operation)
             return
-        batch = change.chunks[: self._budget.max_writes]
+        batch = operation.chunks[: self._budget.max_writes]
         epoch = self._owners.epoch_condition(job.stored_spec)
         send(
             self._store.on_commit,
             DECISIONS,
             [epoch, *((LIVE_PREFIX + key, 0) for key, _ in batch)],
             [state_wire.put(LIVE_PREFIX + key, record) for key, record in batch],
-            callback(self.on_chunks_written, change, len(batch)),
+            callback(self.on_chunks_written, operation, len(batch)),
         )
 
     def on_chunks_written(
-        self, change: Rechunk, count: int, status: int, revision: int | None, failed: Any
+        self,
+        operation: RechunkOperation,
+        count: int,
+        status: int,
+        revision: int | None,
+        failed: Any,
     ) -> None:
         """Handles the store's answer to the first `count` of the new chunks."""
         if status == 200:
-            del change.chunks[:count]
-            self._write(change)
+            del operation.chunks[:count]
+            self._write(operation)
         elif status in NOT_EXECUTED:
-            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
+            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, operation)
         else:
-            # Perhaps carried out later; the next try uses keys of its own, and what is left over is
-            # removed.
-            self._log_refusal(change, status, failed)
+            # The commit may still be executed later. The next attempt uses keys of a new
+            # generation, and the garbage collection removes unused chunks.
+            self._log_failure(operation, status, failed)
             self._current = None
 
-    def on_write_again(self, change: Rechunk) -> None:
-        """Handles `write_again`, sent to itself: the store refused, or a commit was in flight."""
-        self._write(change)
+    def on_write_again(self, operation: RechunkOperation) -> None:
+        """Handles `write_again`, sent to itself: retries a refused or postponed write."""
+        self._write(operation)
 
-    def _switch(self, job: Job, change: Rechunk) -> None:
+    def _switch(self, job: Job, operation: RechunkOperation) -> None:
         """Switches the job's record to the new chunks.
 
-        That is a commit like any other: nothing else is written until its outcome is known.
+        Like for any other commit, nothing else is written until the outcome is known.
         """
         if self._commits.in_flight is not None:
-            send_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, change)
+            send_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, operation)
             return
         key, epoch = wire.job_key(job.id), self._owners.epoch_condition(job.stored_spec)
         shard = self._owners.shard_of(job.stored_spec)
-        self._commits.begin_flight(CommitInFlight({key: job.chunk_of(0)}, {shard}))
+        self._commits.set_in_flight(CommitInFlight({key: job.chunk_of(0)}, {shard}))
         send(
             self._store.on_commit,
             DECISIONS,
-            [epoch, (LIVE_PREFIX + key, change.mod_revision)],
-            [state_wire.put(LIVE_PREFIX + key, change.record)],
-            callback(self.on_switched, change),
+            [epoch, (LIVE_PREFIX + key, operation.mod_revision)],
+            [state_wire.put(LIVE_PREFIX + key, operation.record)],
+            callback(self.on_switched, operation),
         )
 
-    def on_switched(self, change: Rechunk, status: int, revision: int | None, failed: Any) -> None:
+    def on_switched(
+        self, operation: RechunkOperation, status: int, revision: int | None, failed: Any
+    ) -> None:
         """Handles the store's answer to the switch."""
         if status in NOT_EXECUTED:
-            self._commits.abandon_flight()
-            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, change)
+            self._commits.discard_in_flight()
+            send_after(self._settings.agent_heartbeat_s / 8, self.on_write_again, operation)
             return
         if status == 200:
-            size = wire.read_chunk_size(change.record)
-            log.info("%s is rechunked, in chunks of %d tasks", change.job_id, size)
+            size = wire.read_chunk_size(operation.record)
+            log.info("rechunked job %s into chunks of %d tasks", operation.job_id, size)
         else:
-            self._log_refusal(change, status, failed)
+            self._log_failure(operation, status, failed)
         self._current = None
-        self._commits.settle(decided=status in (200, 400, 409))
+        self._commits.settle(outcome_final=status in (200, 400, 409))
 
     @staticmethod
-    def _log_refusal(change: Rechunk, status: int, failed: Any) -> None:
+    def _log_failure(operation: RechunkOperation, status: int, failed: Any) -> None:
         level = logging.ERROR if status == 400 else logging.INFO
         log.log(
             level,
-            "rechunking %s got %s (%s); it is tried again",
-            change.job_id,
+            "rechunking job %s failed: %s (%s); retrying",
+            operation.job_id,
             status_text(status),
             failed,
         )
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -1,4 +1,4 @@
-"""When the job manager places tasks, and in which order; what it binds is committed later."""
+"""Runs placement rounds: when a round runs, and in which order it places jobs."""
 
 from typing import TYPE_CHECKING
 
@@ -14,18 +14,24 @@
 if TYPE_CHECKING:
     from .manager import JobManager
 
-# How many of each there are in an agent heartbeat.
-MIN_DELAYS = 50  # until the next round, so that what comes together is placed together
-MIN_PAUSES = 10  # after a round
-GUARANTEE_UPDATES = 5  # before the jobs within a guarantee are worked out anew
+# The minimum delay before a round, as a fraction (1/N) of an agent heartbeat: tasks that become
+# pending at nearly the same time are placed in one round.
+MIN_DELAYS_PER_HEARTBEAT = 50
+# The minimum pause between rounds, as a fraction (1/N) of an agent heartbeat.
+MIN_PAUSES_PER_HEARTBEAT = 10
+# How often the jobs within their team's guarantee are recomputed, at most.
+GUARANTEE_UPDATES_PER_HEARTBEAT = 5
 
-PAUSE_ROUNDS = 3  # so many times as long as a round took, the next one waits at least
+MIN_PAUSE_TO_ROUND_RATIO = 3  # minimum pause after a round, relative to the round's duration
 
-STARVATION_LEASES = 8  # agent leases after which a job that has not begun goes first
+STARVATION_LEASES = 8  # agent leases after which a job without progress is placed first
 
 
 class Scheduler(ActorPart):
-    """Plays rounds of placing, and leaves the bindings of own jobs."""
+    """Runs placement rounds and binds pending tasks of own jobs.
+
+    The bindings are committed later.
+    """
 
     def __init__(
         self,
@@ -46,22 +52,22 @@
         self._guaranteed_at = float("-inf")
 
     def schedule_round(self) -> None:
-        """Has a round played soon."""
+        """Schedules a round, unless one is scheduled already."""
         if not self._round_scheduled:
             self._round_scheduled = True
-            min_delay_s = self._settings.agent_heartbeat_s / MIN_DELAYS
+            min_delay_s = self._settings.agent_heartbeat_s / MIN_DELAYS_PER_HEARTBEAT
             delay_s = max(min_delay_s, self._next_round_at - self.now())
             send_after(delay_s, self.on_place)
 
-    def play_if_due(self) -> None:
-        """Plays the scheduled round at once, if the pause after the last one is over."""
+    def run_if_due(self) -> None:
+        """Runs the scheduled round now, if the pause after the last one has passed."""
         if self._round_scheduled and self.now() >= self._next_round_at:
             self.on_place()
 
     def on_place(self) -> None:
-        """Handles `place`, sent to itself: plays a round, if own tasks are pending."""
+        """Handles `place`, sent to itself: runs a round, if own tasks are pending."""
         if not self._round_scheduled:
-            return  # played already, before a commit
+            return  # it has already run, before a commit
         self._round_scheduled = False
         now = self.now()
         if not self._cluster.machine_types or self._commits.in_flight is not None:
@@ -73,7 +79,7 @@
         usable.difference_update(self._backoff.machines(now))
         cluster = self._cluster
         with placement.PlacementRound(cluster.capacity, usable, cluster.images) as placement_round:
-            self._play(now, pending, placement_round)
+            self._run_round(now, pending, placement_round)
 
     def _jobs_with_pending_tasks(self) -> list[Job]:
         return [
@@ -84,13 +90,13 @@
             and not self._chunk_limits.needs_rechunking(job)
         ]
 
-    def _play(
+    def _run_round(
         self, now: float, pending: list[Job], placement_round: placement.PlacementRound
     ) -> None:
-        """One round: takes capacity for everybody's pending tasks in order, and binds own ones.
+        """Reserves capacity for the pending tasks of all jobs in order, and binds own tasks.
 
-        Every owner plays the round through for all jobs, in the same order: capacity that a free
-        machine offers is not fought over by several controllers.
+        Every owner runs the round for all jobs and in the same order, so that controllers do not
+        compete for the same free capacity.
         """
         wall_time = self.system.wall_time()
         starving = {job.id for job in pending if self.is_starving(job, wall_time)}
@@ -99,12 +105,13 @@
         placement_pass = PlacementPass(
             self._view, self._commits, placement_round, starving, now, wall_time
         )
-        placement_pass.play(pending)
+        placement_pass.run(pending)
         self._preemption.preempt(now, pending, self._guaranteed, placement_round)
-        # A round costs more the more there is; so that rounds leave time for heartbeats, the next
-        # one comes no sooner than a few times what this one took.
+        # The cost of a round grows with the numbers of jobs and machines. A pause of several times
+        # its duration leaves the actor time to handle heartbeats.
         self._next_round_at = self.now() + max(
-            PAUSE_ROUNDS * (self.now() - now), self._settings.agent_heartbeat_s / MIN_PAUSES
+            MIN_PAUSE_TO_ROUND_RATIO * (self.now() - now),
+            self._settings.agent_heartbeat_s / MIN_PAUSES_PER_HEARTBEAT,
         )
 
     def _sort(self, pending: list[Job], starving: set[str], wall_time: float) -> None:
@@ -117,8 +124,11 @@
         )
 
     def _update_guaranteed(self, now: float) -> None:
-        """Works out a few times a heartbeat which jobs are within their team's guarantee."""
-        if now - self._guaranteed_at > self._settings.agent_heartbeat_s / GUARANTEE_UPDATES:
+        """Recomputes the jobs within their team's guarantee, if the last result is outdated."""
+        if (
+            now - self._guaranteed_at
+            > self._settings.agent_heartbeat_s / GUARANTEE_UPDATES_PER_HEARTBEAT
+        ):
             self._guaranteed_at = now
             self._guaranteed = placement.guaranteed_jobs(
                 (job for job in self._jobs.jobs.values() if not job.cancelled),
@@ -126,10 +136,10 @@
             )
 
     def is_starving(self, job: Job, wall_time: float) -> bool:
-        """Whether a job that has not begun at all has waited so long that it goes first.
+        """Whether a job without progress has waited so long that it is placed first.
 
-        An order by priority and due time alone leaves the largest and least urgent jobs pending for
-        ever when more keeps coming than can be served.
+        Under permanent overload, an order by priority and due time alone would keep the largest
+        and least urgent jobs pending indefinitely.
         """
         limit_s = STARVATION_LEASES * self._settings.lease_s
         return (
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -1,4 +1,4 @@
-"""Removes segments of dependency lists that no waiting job names."""
+"""Removes segments of dependency lists that no waiting job refers to."""
 
 from typing import TYPE_CHECKING
 
@@ -13,22 +13,23 @@
     from ..state import Store
     from .manager import JobManager
 
-UNUSED_LEASES = 2  # agent leases after which a list is taken for left behind
+UNUSED_LIST_RETENTION_LEASES = 2  # agent leases after which an unused list is removed
 
 
 class SegmentCollection(ActorPart):
-    """Removes lists of attempts that came to nothing, or of jobs that wait no more."""
+    """Removes lists of failed submissions and of jobs that are no longer waiting."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._graph, self._owners = view.graph, view.owners
-        self._unused_since: dict[tuple[str, str], float] = {}  # (job, list id) -> when first seen
+        self._unused_since: dict[tuple[str, str], float] = {}  # (job id, list id) -> first seen
 
     def sweep(self) -> None:
-        """One controller removes segments that no waiting job names for long, one list at a time.
+        """Removes the segments of lists that have been unused for long, one list at a time.
 
-        The first segment goes first, since a job's key hangs on it.
+        Only the owner of the first shard does this. The first segment is removed first, because the
+        write of a waiting job's key is conditional on it.
         """
         if not self._owners.owns_first_shard():
             self._unused_since = {}
@@ -38,7 +39,7 @@
             name: self._unused_since.get(name, now) for name in self._unused_lists()
         }
         for (job_id, list_id), since in self._unused_since.items():
-            if now - since > UNUSED_LEASES * self._settings.lease_s:
+            if now - since > UNUSED_LIST_RETENTION_LEASES * self._settings.lease_s:
                 self._remove(job_id, list_id)
                 return
 
--- a/emberglade/jobs/shard_owners.py
+++ b/emberglade/jobs/shard_owners.py
@@ -1,4 +1,4 @@
-"""Which controller holds which shard, and so decides on which jobs."""
+"""Which controller owns which shard and decides on the jobs of that shard."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -14,10 +14,10 @@
 
 
 class ShardOwners:
-    """The shards' owners, as the replica shows them.
+    """The shards' owners according to the replica.
 
     Attributes:
-        incarnation: This process's, once the member has told it.
+        incarnation: This process's incarnation; None until the member has sent it.
         owners: shard -> Owner.
     """
 
@@ -28,7 +28,7 @@
         self.owners: dict[int, Owner] = {}
 
     def apply(self, key: str, record: dict[str, Any] | None, mod_revision: int) -> None:
-        """Takes in a change of a shard's key."""
+        """Applies a change of a shard's key."""
         shard = membership_wire.read_shard_key(key)
         if record is None:
             self.owners.pop(shard, None)
@@ -48,19 +48,19 @@
         return shard_of(spec, self._settings.teams, self._shards)
 
     def owns(self, job: Job | WaitingJob) -> bool:
-        """Whether this process holds the job's shard."""
+        """Whether this process owns the job's shard."""
         return self.is_own(self.owners.get(self.shard_of(job.spec), NO_OWNER))
 
     def owns_first_shard(self) -> bool:
-        """Whether this process is the one that removes what others left behind."""
+        """Whether this process owns the first shard, and so removes orphaned records."""
         return self.is_own(self.owners.get(0, NO_OWNER))
 
     def own_record(self) -> membership_wire.Record:
-        """The record of a shard's key that this process holds."""
+        """The record of the key of a shard that this process owns."""
         return membership_wire.owner_record(self._settings.node, self.incarnation)
 
     def owned_among(self, shards: set[int]) -> set[tuple[int, int]]:
-        """{(shard, epoch)} of those of these shards that this process holds."""
+        """{(shard, epoch)} of those of the given shards that this process owns."""
         return {
             (shard, owner.mod_revision)
             for shard, owner in self.owners.items()
@@ -68,9 +68,9 @@
         }
 
     def epoch_condition(self, spec: JobSpec) -> tuple[str, int]:
-        """The condition of a write that this process still holds a job's shard.
+        """The condition of a write that this process still owns a job's shard.
 
-        (full key of the shard, its mod revision), which is the shard's epoch.
+        It is (full key of the shard, its mod revision); the mod revision is the shard's epoch.
         """
         shard = self.shard_of(spec)
         return full_shard_key(shard), self.owners[shard].mod_revision
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -1,4 +1,4 @@
-"""What becomes of bound tasks: they end, are stopped, or move off a lost machine."""
+"""The lifecycle of bound tasks: they exit, are stopped, or are released from a lost machine."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -17,15 +17,15 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-# Taints of the leader (emberglade/fleet/taints.py).
-LEASE_OVER = ("ended", "gone")  # its agent has proven to run nothing any more
-DRAIN = "drain"
+# Machine taints set by the leader (emberglade/fleet/taints.py).
+LEASE_EXPIRED_TAINTS = ("ended", "gone")  # it is proven that the machine runs no task any more
+DRAIN_TAINT = "drain"
 
 MAX_MACHINES_LOGGED = 4
 
 
 class TaskLifecycle(ActorPart):
-    """Changes the bindings of own jobs by what agents report and the leader's taints say."""
+    """Changes the bindings of own jobs according to agents' reports and the leader's taints."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         self._schedule_placement = schedule_placement
 
     def may_change(self, job: Job) -> bool:
-        """Whether this controller holds the job, and may change it now."""
+        """Whether this controller owns the job and may change it now."""
         return self._owners.owns(job) and not self._chunk_limits.needs_rechunking(job)
 
     def apply(self, update: TaskUpdate) -> None:
-        """Takes in what is proven of one attempt, or asked for it.
+        """Applies a status update of one attempt, or a request to stop it.
 
-        Updates on jobs that this controller does not hold, or may not change now, are left out:
-        agents' heartbeats repeat them.
+        Updates of jobs that this controller does not own, or may not change now, are ignored: the
+        agents' next heartbeats repeat them.
         """
         job = self._jobs.get(update.job_id)
         if job is None or not self.may_change(job) or not 0 <= update.task < job.spec.tasks:
@@ -60,7 +60,7 @@
                 self.task_exited(job, binding, update)
             case TaskGone():
                 self.release(job, update.task, update.attempt, update.machine)
-                self._commits.mark_if_over(job)
+                self._commits.mark_if_finished(job)
             case StopRequested():
                 if (
                     binding is not None
@@ -70,7 +70,7 @@
                     self.stop(job, update.task, update.mode, update.reason)
 
     def task_exited(self, job: Job, binding: Binding | None, update: TaskExited) -> None:
-        """Records the end of an attempt, unless another attempt is bound by now."""
+        """Records the exit of an attempt, unless another attempt is bound by now."""
         if binding is None or not binding.is_attempt(update.attempt, update.machine):
             return
         task, chunk = update.task, job.chunk_of(update.task)
@@ -79,13 +79,13 @@
             chunk.done.add(task)
         else:
             chunk.last_attempts[task] = update.attempt
-            self._backoff.note_exit(job, update, self.now())
-        self._commits.mark_changed(job, task, soon=False)
-        self._commits.mark_if_over(job)
+            self._backoff.record_exit(job, update, self.now())
+        self._commits.mark_changed(job, task, immediate=False)
+        self._commits.mark_if_finished(job)
         self._schedule_placement()
 
     def release(self, job: Job, task: int, attempt: int, machine: str) -> None:
-        """Ends the binding of an attempt that will never run again, if it is bound still."""
+        """Removes the binding of an attempt that will never run again, if it is still bound."""
         chunk = job.chunk_of(task)
         binding = chunk.bindings.get(task)
         if binding is not None and binding.is_attempt(attempt, machine):
@@ -94,47 +94,50 @@
             self._commits.mark_changed(job, task)
 
     def stop(self, job: Job, task: int, mode: int, reason: str) -> None:
-        """Has a bound task stopped; `mode` is a StopMode, `reason` is for the log."""
+        """Marks a bound task to be stopped; `mode` is a StopMode, `reason` is for the log."""
         binding = job.chunk_of(task).bindings[task]
-        log.info("stopping %s on %s: %s", task_name(job.id, task), binding.machine, reason)
+        log.info(
+            "stopping task %s on machine %s: %s", task_name(job.id, task), binding.machine, reason
+        )
         saves = mode == StopMode.SAVE and job.spec.checkpoint_interval_s > 0
         binding.stop = StopMode.SAVE if saves else StopMode.STOP
         self._commits.mark_changed(job, task)
 
     def tainted_machines(self) -> list[str]:
-        """The machines with tasks whose taint says what becomes of these."""
+        """The machines with bound tasks whose taint requires these to be released or stopped."""
         return [
             machine
             for machine, taint in self._cluster.taints.items()
-            if (taint in LEASE_OVER or taint == DRAIN) and machine in self._cluster.bound_machines()
+            if (taint in LEASE_EXPIRED_TAINTS or taint == DRAIN_TAINT)
+            and machine in self._cluster.bound_machines()
         ]
 
     def apply_taints(self, machines: Iterable[str]) -> None:
-        """Moves own tasks off machines whose leases are over, stops those on draining ones."""
+        """Releases own tasks of machines with expired leases, stops those on draining machines."""
         moved: dict[str, list[str]] = {}
         for machine in machines:
             taint = self._cluster.taints.get(machine)
             for job, task, binding in list(self._cluster.tasks_on(machine).values()):
                 if not self.may_change(job):
                     continue
-                if taint in LEASE_OVER:
+                if taint in LEASE_EXPIRED_TAINTS:
                     moved.setdefault(machine, []).append(task_name(job.id, task))
                     self.release(job, task, binding.attempt, machine)
-                    self._commits.mark_if_over(job)
-                elif taint == DRAIN and binding.stop == StopMode.KEEP:
+                    self._commits.mark_if_finished(job)
+                elif taint == DRAIN_TAINT and binding.stop == StopMode.KEEP:
                     self.stop(job, task, StopMode.SAVE, "its machine is drained")
         if moved:
             log_moved(moved)
 
 
 def log_moved(moved: dict[str, list[str]]) -> None:
-    """Logs which tasks move; `moved` is {machine: names of its tasks}."""
+    """Logs which tasks are rescheduled; `moved` is {machine: names of its tasks}."""
     shown = [
         f"{machine} ({' '.join(names)})"
         for machine, names in list(moved.items())[:MAX_MACHINES_LOGGED]
     ]
     log.info(
-        "%d tasks of %d machines move, whose leases are over: %s%s",
+        "rescheduling %d tasks of %d machines whose leases have expired: %s%s",
         sum(map(len, moved.values())),
         len(moved),
         ", ".join(shown),
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -1,7 +1,7 @@
-"""What one controller tells a job's owner about one attempt of a task.
+"""Updates about one attempt of a task that a controller sends to the owner of its job.
 
-Each is proven of one attempt on one machine, or asked for it: told late or twice, it changes
-nothing that it should not.
+An update states a proven fact about one attempt on one machine, or requests a stop of that attempt.
+Delivered late or twice, it has no wrong effect.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class UpdateKey(NamedTuple):
-    """What an update is about; a later one with the same key replaces an earlier one."""
+    """The subject of an update; a later update with the same key replaces an earlier one."""
 
     kind: str
     job_id: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskExited:
-    """The attempt has ended on its machine; `reason` is the agent's, such as `done` or `error`."""
+    """The attempt has ended on its machine; `reason` is the agent's, for example `done`."""
 
     job_id: str
     task: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The attempt is to be stopped: a spot notice, or capacity for other work."""
+    """A request to stop the attempt, because of a spot notice or for preemption."""
 
     job_id: str
     task: int
--- a/emberglade/jobs/transaction.py
+++ b/emberglade/jobs/transaction.py
@@ -1,4 +1,4 @@
-"""One transaction of changed job records, as it is put together, and while it is on its way."""
+"""A transaction of changed job records: how it is assembled, and its state while in flight."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -12,18 +12,18 @@
 
 Condition = tuple[str, int]  # (full key, its mod revision)
 
-# PROTOCOL allows 64 KiB a transaction; what a record adds is estimated, so that it need not be
-# encoded to be counted.
+# PROTOCOL allows 64 KiB per transaction. The size of a record is estimated, to avoid
+# encoding it only for that.
 MAX_TRANSACTION_BYTES = 40_000
 RECORD_ESTIMATE_BYTES = 400
 BINDING_ESTIMATE_BYTES = 48
 
-WRITES_OF_RECORD = 1
-WRITES_OF_END = 2  # the final key, and the job's own, which is removed
+WRITES_PER_RECORD = 1
+WRITES_PER_FINISHED_JOB = 2  # the final key is written, the job's own key is removed
 
 
-class JobEnd(NamedTuple):
-    """A job that a transaction ends."""
+class FinishedJob(NamedTuple):
+    """A job whose final state a transaction writes."""
 
     job_id: str
     outcome: Outcome
@@ -34,9 +34,9 @@
     """A commit whose outcome is not known yet.
 
     Attributes:
-        chunks: key -> the Chunk that it writes.
-        shards: The shards whose epochs it hangs on.
-        deferred: Changes of its keys in the replica that came meanwhile, by key.
+        chunks: key -> the Chunk that is written to it.
+        shards: The shards whose epochs the commit is conditional on.
+        deferred: key -> changes received from the replica while the commit is in flight.
     """
 
     chunks: dict[str, Chunk]
@@ -47,15 +47,15 @@
         self.deferred = {key: [] for key in self.chunks}
 
     def defer(self, event: Change) -> bool:
-        """Keeps a change of one of its keys for later; False if the key is not its own."""
+        """Keeps a change of one of the commit's keys for later; False for other keys."""
         events = self.deferred.get(event[0])
         if events is None:
             return False
         events.append(event)
         return True
 
-    def later_events(self, revision: int) -> list[Change]:
-        """The deferred changes that are newer than this revision."""
+    def events_after(self, revision: int) -> list[Change]:
+        """The deferred changes that are newer than `revision`."""
         return [
             event for events in self.deferred.values() for event in events if event[2] > revision
         ]
@@ -66,10 +66,10 @@
 
     Attributes:
         conditions: full key -> the mod revision that it must have.
-        writes: The changes, as the store takes them.
-        chunks: key -> the Chunk that it writes.
-        shards: The shards whose epochs it hangs on.
-        ends: The jobs that it ends.
+        writes: The changes, in the format of the store's commits.
+        chunks: key -> the Chunk that is written to it.
+        shards: The shards whose epochs the transaction is conditional on.
+        finished_jobs: The jobs whose final states are written.
     """
 
     def __init__(self, max_writes: int) -> None:
@@ -79,17 +79,17 @@
         self.writes: list[dict[str, Any]] = []
         self.chunks: dict[str, Chunk] = {}
         self.shards: set[int] = set()
-        self.ends: list[JobEnd] = []
+        self.finished_jobs: list[FinishedJob] = []
 
-    def has_space(self, ends_job: bool) -> bool:
-        """Whether one more record, or one more end, may be written; the first one always may."""
-        more = WRITES_OF_END if ends_job else WRITES_OF_RECORD
+    def has_space(self, finishes_job: bool) -> bool:
+        """Whether one more record or final state fits; the first one always does."""
+        more = WRITES_PER_FINISHED_JOB if finishes_job else WRITES_PER_RECORD
         return not self.writes or (
             len(self.writes) + more <= self._max_writes and self._bytes <= MAX_TRANSACTION_BYTES
         )
 
     def add_record(self, key: str, job: Job, shard: int, epoch: Condition) -> None:
-        """Writes the record of a job's own key or of a further chunk of it."""
+        """Adds the record of a job's own key, or of one of its further chunks."""
         chunk = chunk_at(job, key)
         self._add_conditions(key, chunk, shard, epoch)
         own_key = wire.is_job_key(key)
@@ -97,10 +97,10 @@
         self.writes.append(state_wire.put(LIVE_PREFIX + key, record))
         self._bytes += RECORD_ESTIMATE_BYTES + BINDING_ESTIMATE_BYTES * len(chunk.bindings)
 
-    def add_end(self, job: Job, shard: int, epoch: Condition) -> None:
-        """Ends a job: its final state is written, and its own key is removed.
+    def add_final_state(self, job: Job, shard: int, epoch: Condition) -> None:
+        """Adds the end of a job: its final state is written, and its own key is removed.
 
-        The final state outlives the job: polls and retries may come at any time.
+        The final state is kept because users may poll or retry at any later time.
         """
         key = wire.job_key(job.id)
         self._add_conditions(key, job.chunk_of(0), shard, epoch)
@@ -108,7 +108,7 @@
         final = wire.final_record(outcome, job.spec.tasks, job.done_count())
         self.writes.append(state_wire.put(FINAL_PREFIX + wire.final_key(job.id), final))
         self.writes.append(state_wire.remove(LIVE_PREFIX + key))
-        self.ends.append(JobEnd(job.id, outcome))
+        self.finished_jobs.append(FinishedJob(job.id, outcome))
 
     def _add_conditions(self, key: str, chunk: Chunk, shard: int, epoch: Condition) -> None:
         epoch_key, epoch_revision = epoch
@@ -118,12 +118,12 @@
         self.shards.add(shard)
 
     def in_flight(self) -> CommitInFlight:
-        """What is to be known of it while its outcome is not."""
+        """The state to keep until the outcome of this transaction is known."""
         return CommitInFlight(self.chunks, self.shards)
 
 
 def chunk_at(job: Job, key: str) -> Chunk:
-    """The chunk of a job that a key holds."""
+    """The chunk of a job that is stored under a key."""
     if wire.is_job_key(key):
         return job.chunk_of(0)
     return job.chunks[wire.read_chunk_key(key).number]
--- a/emberglade/jobs/underused_machine.py
+++ b/emberglade/jobs/underused_machine.py
@@ -1,15 +1,15 @@
-"""Which machine could be scaled in if its replicas moved elsewhere."""
+"""Finds a machine that could be scaled in if its service replicas moved to other machines."""
 
 from typing import NamedTuple
 
 from .. import placement
 from .cluster_view import ClusterView
 
-MAX_MACHINES_TRIED = 8  # each costs a look at all machines for each of its replicas
+MAX_MACHINES_TRIED = 8  # for each replica of a candidate all machines are checked
 
 
 class UnderusedMachine(NamedTuple):
-    """A machine that holds few replicas, and how many."""
+    """A machine that runs few replicas, and their number."""
 
     name: str
     replicas: int
@@ -18,9 +18,9 @@
 def find_underused_machine(
     cluster: ClusterView, type_name: str, limit: int
 ) -> UnderusedMachine | None:
-    """One that only holds up to `limit` replicas, which all find capacity on others in use.
+    """A machine that runs at most `limit` replicas, all of which fit on other machines in use.
 
-    Their images are there already.
+    These machines must have the replicas' images cached already.
     """
     usable = {
         name
@@ -36,7 +36,7 @@
 
 
 def _candidates(cluster: ClusterView, type_name: str, limit: int) -> list[tuple[int, str]]:
-    """(replicas, machine) of the machines of this type that hold only up to `limit` of them."""
+    """(replicas, machine) of the machines of this type that run at most `limit` replicas."""
     rows = []
     for name, machine in cluster.machines.items():
         tasks = cluster.tasks_on(name)
@@ -56,7 +56,7 @@
 
 
 def _could_move(cluster: ClusterView, machine: str, usable: set[str]) -> bool:
-    """Whether all tasks on a machine find capacity, with their image, on the usable ones."""
+    """Whether all tasks on a machine fit on the usable machines that have their images cached."""
     with placement.PlacementRound(cluster.capacity, usable, cluster.images) as placement_round:
         for job, _, _ in cluster.tasks_on(machine).values():
             found = placement_round.place(job, 1)
--- a/emberglade/jobs/urgency.py
+++ b/emberglade/jobs/urgency.py
@@ -1,6 +1,6 @@
-"""How urgent a job is for those that need it: what it inherits from them.
+"""Urgency inheritance: a job is at least as urgent as the jobs that depend on it.
 
-Walks along the dependencies use a stack of their own: chains may be long.
+Traversals use an explicit stack instead of recursion, because chains of dependencies may be long.
 """
 
 from collections.abc import Iterable
@@ -13,46 +13,46 @@
 
 @dataclass(frozen=True)
 class Urgency:
-    """What the jobs that need a job pass on to it.
+    """A priority and a due time, of a job itself or inherited from its dependents.
 
     Attributes:
-        priority: The highest of theirs, an index into PRIORITIES.
-        due: The earliest time of day by which it has to be done; infinity: none.
+        priority: Index into PRIORITIES; 0 is the most urgent.
+        due: The time of day by which the job has to be done; infinity: no due time.
     """
 
     priority: int
     due: float
 
-    def or_more_urgent(self, other: "Urgency | None") -> "Urgency":
-        """The more urgent of both, each by its own measure."""
+    def combined_with(self, other: "Urgency | None") -> "Urgency":
+        """The higher of both priorities and the earlier of both due times."""
         if other is None:
             return self
         return Urgency(min(self.priority, other.priority), min(self.due, other.due))
 
 
 class InheritedUrgency:
-    """What each job inherits from the waiting jobs that need it, directly or not.
+    """The urgency that each job inherits from the waiting jobs that depend on it, directly or not.
 
-    `waiting` ({job: WaitingJob}) and `dependents` ({job: the waiting jobs that need it}) are the
-    dependency graph's own, which changes them.
+    `waiting` ({job id: WaitingJob}) and `dependents` ({job id: ids of the waiting jobs that depend
+    on it}) belong to the dependency graph, which updates them.
     """
 
     def __init__(self, waiting: dict[str, "WaitingJob"], dependents: dict[str, set[str]]) -> None:
         self._waiting = waiting
         self._dependents = dependents
-        self._urgency: dict[str, Urgency] = {}  # needed job -> what it inherits
+        self._urgency: dict[str, Urgency] = {}  # job id -> inherited urgency
         self._changed: set[str] = set()
 
     def get(self, job_id: str) -> Urgency | None:
-        """What a job inherits; None if no job needs it."""
+        """The urgency that a job inherits; None if no job depends on it."""
         return self._urgency.get(job_id)
 
     def of_waiting(self, job_id: str) -> Urgency:
-        """How urgent a waiting job is, by itself or for those that need it."""
-        return self._waiting[job_id].own_urgency().or_more_urgent(self.get(job_id))
+        """The urgency of a waiting job, from its own description and from its dependents."""
+        return self._waiting[job_id].own_urgency().combined_with(self.get(job_id))
 
-    def forget(self) -> None:
-        """Forgets all, before the graph is read anew."""
+    def clear(self) -> None:
+        """Clears all inherited urgencies, before a snapshot is applied."""
         self._changed.update(self._urgency)
         self._urgency.clear()
 
@@ -62,37 +62,37 @@
         return changed
 
     def propagate(self, job_id: str) -> None:
-        """Passes the urgency of a waiting job that grew more urgent on to all that it needs."""
+        """Propagates the urgency of a new or more urgent waiting job to its dependencies."""
         stack = [job_id]
         while stack:
             dependent = stack.pop()
-            passed_on = self._passed_on_by(dependent)
-            for needed in self._waiting[dependent].dependencies:
-                before = self.get(needed)
-                after = passed_on.or_more_urgent(before)
+            passed_on = self._propagated_urgency(dependent)
+            for dependency in self._waiting[dependent].dependencies:
+                before = self.get(dependency)
+                after = passed_on.combined_with(before)
                 if after == before:
                     continue
-                self._set(needed, after)
-                if needed in self._waiting:
-                    stack.append(needed)
+                self._set(dependency, after)
+                if dependency in self._waiting:
+                    stack.append(dependency)
 
     def recompute(self, job_ids: Iterable[str]) -> None:
-        """Works out anew what jobs inherit, after one that needs them was cancelled or removed."""
+        """Recomputes what jobs inherit, after a dependent of theirs was cancelled or removed."""
         stack = list(job_ids)
         while stack:
-            needed = stack.pop()
+            dependency = stack.pop()
             urgency = None
-            for dependent in self._dependents.get(needed, ()):
+            for dependent in self._dependents.get(dependency, ()):
                 if not self._waiting[dependent].cancelled:
-                    urgency = self._passed_on_by(dependent).or_more_urgent(urgency)
-            if urgency == self.get(needed):
+                    urgency = self._propagated_urgency(dependent).combined_with(urgency)
+            if urgency == self.get(dependency):
                 continue
-            self._set(needed, urgency)
-            if needed in self._waiting:
-                stack.extend(self._waiting[needed].dependencies)
+            self._set(dependency, urgency)
+            if dependency in self._waiting:
+                stack.extend(self._waiting[dependency].dependencies)
 
-    def _passed_on_by(self, job_id: str) -> Urgency:
-        """What a waiting job passes on: time for its own tasks is to be left."""
+    def _propagated_urgency(self, job_id: str) -> Urgency:
+        """The urgency that a waiting job's dependencies inherit: due early enough for it to run."""
         urgency = self.of_waiting(job_id)
         return Urgency(urgency.priority, urgency.due - self._waiting[job_id].spec.estimated_run_s)
 
--- a/emberglade/jobs/view.py
+++ b/emberglade/jobs/view.py
@@ -1,4 +1,4 @@
-"""What the job manager's parts share: the settings, and what is known of jobs and machines."""
+"""The state shared by the job manager's parts: settings, jobs and machines."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -16,17 +16,17 @@
 
 
 class View:
-    """The view of the live and waiting jobs, own decisions included, and of the machines.
+    """A view of the live and waiting jobs, including uncommitted decisions, and of the machines.
 
     Attributes:
         settings: The platform's settings.
-        budget: How much is written to the store.
-        cluster: The machines, and what is free on them.
+        budget: The write rate, and the size limit of commits.
+        cluster: The machines and their free capacity.
         jobs: The live jobs.
-        unattached: Chunks that no job's record names.
-        graph: The waiting jobs and what they wait for.
-        owners: Who decides on which jobs.
-        chunk_limits: Which jobs have to be rechunked before anything is decided on them.
+        unattached: Chunks that no job's record refers to.
+        graph: The waiting jobs and their dependencies.
+        owners: Which controller owns which shard.
+        chunk_limits: Which jobs have to be rechunked before they may be changed.
     """
 
     def __init__(self, settings: "Settings", clock: Callable[[], float]) -> None:
--- a/emberglade/jobs/waiting_job.py
+++ b/emberglade/jobs/waiting_job.py
@@ -1,9 +1,9 @@
-"""A job that waits for others, until it is released.
+"""A waiting job: one that is not released until its dependencies are done.
 
-It is kept apart from live jobs, so whatever reads live jobs knows nothing of it: it takes no part
-of its team's quota or guarantee and asks for no machines. A list of dependencies that is too long
-for one value is kept in segments of its own, which are written before the job's key, the first of
-them last.
+Waiting jobs are stored under keys of their own, so that the code for live jobs does not see them:
+they use none of their team's quota or guarantee and create no demand for machines. A list of
+dependencies that is too long for one value is stored in segments. These are written before the
+job's key, the first segment last.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class WaitingJobRecord:
-    """What a waiting job's key holds: its dependencies, or in how many segments they are kept."""
+    """The record of a waiting job: its dependencies, or the number of segments that hold them."""
 
     spec: JobSpec
     dependencies: tuple[str, ...] = ()
@@ -27,12 +27,15 @@
 
 @dataclass
 class WaitingJob:
-    """A job that was accepted and waits for others.
+    """An accepted job that waits for its dependencies.
 
     Attributes:
-        list_id: Of the segments that its dependencies are kept in, if they are.
+        spec: The job's description.
+        dependencies: The ids of the jobs that it depends on.
+        mod_revision: The mod revision of the job's key.
+        list_id: The id of its segmented list of dependencies; empty if it has none.
         open_dependencies: How many of its dependencies are not known to be done.
-        cancelled: With a job that it needs.
+        cancelled: Whether it is cancelled because a dependency was cancelled.
     """
 
     spec: JobSpec
@@ -43,14 +46,14 @@
     cancelled: bool = False
 
     def own_urgency(self) -> Urgency:
-        """How urgent it is by itself."""
+        """The job's urgency without what it inherits from its dependents."""
         if self.spec.deadline_s is None:
             return Urgency(self.spec.priority, float("inf"))
         return Urgency(self.spec.priority, self.spec.submitted_at + self.spec.deadline_s)
 
 
 def split_ids(ids: Iterable[str], limit_bytes: int) -> list[list[str]]:
-    """Lists of job ids, none of which takes more than `limit_bytes`."""
+    """Splits job ids into lists that take at most `limit_bytes` each when encoded."""
     segments: list[list[str]] = []
     free = 0
     for job_id in ids:
@@ -64,9 +67,9 @@
 
 
 def released_spec(spec: JobSpec, now: float) -> JobSpec:
-    """The description of a job that may run from now (time of day) on.
+    """The description of a waiting job that is released at `now` (time of day).
 
-    Its times count from now; the time by which it is due stays what it was.
+    It counts as submitted at `now`; its due time does not change.
     """
     if spec.deadline_s is None:
         return replace(spec, submitted_at=round(now, 3))
--- a/emberglade/jobs/wire/__init__.py
+++ b/emberglade/jobs/wire/__init__.py
@@ -1,15 +1,15 @@
-"""The jobs' keys and records in the store: the one place that knows their names and fields.
+"""The jobs' keys and records in the store; only this package knows their names and fields.
 
-Keys are without LIVE_PREFIX (or FINAL_PREFIX), as the replica holds them:
+Keys are given without LIVE_PREFIX (or FINAL_PREFIX), as in the replica:
 
     j/JOB                   a live job: its description and its first chunk of tasks
     t/JOB/N                 a further chunk of its tasks
     t/JOB/GENERATION/N      the same of a job that was rechunked
-    w/JOB                   a job that waits for others
-    x/JOB/LIST/N            a segment of its list of dependencies, if that is long
-    JOB                     (under FINAL_PREFIX) how a job ended
+    w/JOB                   a waiting job
+    x/JOB/LIST/N            a segment of a waiting job's list of dependencies, if that is long
+    JOB                     (under FINAL_PREFIX) the final state of a job
 
-Records are JSON objects, a segment is a list of job ids.
+Records are JSON objects; a segment is a list of job ids.
 """
 
 from .keys import (
--- a/emberglade/jobs/wire/keys.py
+++ b/emberglade/jobs/wire/keys.py
@@ -11,7 +11,7 @@
 
 
 class ChunkKey(NamedTuple):
-    """The key of a further chunk; `generation` is empty unless the job was rechunked."""
+    """The parts of a further chunk's key; `generation` is empty unless the job was rechunked."""
 
     job_id: str
     generation: str
@@ -19,7 +19,7 @@
 
 
 class SegmentKey(NamedTuple):
-    """The key of a segment; `list_id` is unique to one attempt to submit the job."""
+    """The parts of a segment's key; `list_id` is unique to one attempt to submit the job."""
 
     job_id: str
     list_id: str
@@ -32,7 +32,7 @@
 
 
 def is_job_key(key: str) -> bool:
-    """Whether a key is a live job's."""
+    """Whether a key is that of a live job."""
     return key.startswith(JOB_PREFIX)
 
 
@@ -44,17 +44,17 @@
 
 
 def key_of_chunk(job: Job, number: int) -> str:
-    """The key that holds a chunk of a job: of the first one, the job's own."""
+    """The key of a chunk of a job; the first chunk is stored in the job's own key."""
     return chunk_key(job.id, number, job.generation) if number else job_key(job.id)
 
 
 def is_chunk_key(key: str) -> bool:
-    """Whether a key is a further chunk's."""
+    """Whether a key is that of a further chunk."""
     return key.startswith(CHUNK_PREFIX)
 
 
 def read_chunk_key(key: str) -> ChunkKey:
-    """The ChunkKey of a further chunk's key."""
+    """Parses the key of a further chunk."""
     _, job_id, *generation, number = key.split("/")
     return ChunkKey(job_id, "".join(generation), int(number))
 
@@ -70,7 +70,7 @@
 
 
 def read_segment_key(key: str) -> SegmentKey:
-    """The SegmentKey of a segment's key."""
+    """Parses the key of a segment."""
     _, job_id, list_id, number = key.split("/")
     return SegmentKey(job_id, list_id, int(number))
 
@@ -81,5 +81,5 @@
 
 
 def job_id_of(key: str) -> str:
-    """The id of the job that a key under any of the prefixes belongs to."""
+    """The id of the job to which a key under any of the prefixes belongs."""
     return key.split("/")[1]
--- a/emberglade/jobs/wire/records.py
+++ b/emberglade/jobs/wire/records.py
@@ -14,14 +14,14 @@
 
 
 class Outcome(enum.Enum):
-    """How a job ended. The values are stored, and told to users."""
+    """How a job ended. The values are stored and returned to users."""
 
     DONE = "done"
     CANCELLED = "withdrawn"
 
 
 class FinalState(NamedTuple):
-    """How a job ended, and how many of its tasks were done."""
+    """The outcome of a job, and how many of its tasks were done."""
 
     outcome: Outcome
     done: int
@@ -32,7 +32,7 @@
 
 
 def write_spec(spec: JobSpec) -> list[Any]:
-    """A description as it is stored: a row without the id, which is in the key."""
+    """A description in its stored form: a row without the id, which is part of the key."""
     return [
         spec.job_class,
         spec.team,
@@ -113,7 +113,7 @@
 
 
 def job_record(job: Job) -> Record:
-    """The record of a live job, its first chunk included."""
+    """The record of a live job, including its first chunk."""
     record: Record = {"s": write_spec(job.stored_spec), "z": job.chunk_size}
     if job.generation:
         record["g"] = job.generation
@@ -126,7 +126,7 @@
 
 
 def read_job(job_id: str, record: Record) -> Job:
-    """The job of a record, without its chunks."""
+    """The job described by a record, without its chunks."""
     return Job(
         read_spec(job_id, record),
         read_chunk_size(record),
@@ -141,12 +141,12 @@
 
 
 def is_cancelled(record: Record) -> bool:
-    """Whether the record of a live job shows it cancelled."""
+    """Whether a live job is cancelled according to its record."""
     return bool(record.get("w"))
 
 
 def read_chunk_size(record: Record) -> int:
-    """How many tasks a chunk of a live job holds."""
+    """The number of tasks per chunk of a live job."""
     return record["z"]
 
 
@@ -156,7 +156,7 @@
 
 
 def first_chunk(record: Record) -> Record:
-    """The record of the first chunk, out of that of a live job."""
+    """The record of the first chunk, from the record of a live job."""
     return record.get("p", {})
 
 
@@ -164,7 +164,7 @@
 
 
 def chunk_record(chunk: Chunk) -> Record:
-    """The record of a chunk; empty if all its tasks are pending and were never tried."""
+    """The record of a chunk; empty if all its tasks are pending and were never attempted."""
     record: Record = {}
     if chunk.done:
         record["d"] = write_ranges(chunk.done)
@@ -176,24 +176,24 @@
 
 
 def update_chunk(chunk: Chunk, record: Record, mod_revision: int) -> None:
-    """Makes a chunk what was committed, but for its bindings, which the caller compares."""
+    """Updates a chunk to its committed record, except for its bindings: the caller does that."""
     chunk.done = read_ranges(record.get("d", ()))
     chunk.last_attempts = {int(task): attempt for task, attempt in record.get("t", {}).items()}
     chunk.mod_revision = mod_revision
 
 
 def bound_count(record: Record) -> int:
-    """How many tasks a chunk's record shows bound."""
+    """The number of bound tasks in a chunk's record."""
     return len(record.get("b", ()))
 
 
 def done_count(record: Record) -> int:
-    """How many tasks a chunk's record shows done."""
+    """The number of done tasks in a chunk's record."""
     return sum(last - first + 1 for first, last in record.get("d", ()))
 
 
 def write_ranges(numbers: Iterable[int]) -> list[list[int]]:
-    """Numbers as a list of [first, last]."""
+    """Encodes numbers as a list of ranges [first, last]."""
     ranges: list[list[int]] = []
     for number in sorted(numbers):
         if ranges and ranges[-1][1] == number - 1:
@@ -204,23 +204,23 @@
 
 
 def read_ranges(ranges: Iterable[Iterable[int]]) -> set[int]:
-    """The set of numbers in a list of [first, last]."""
+    """Decodes a list of ranges [first, last] into a set of numbers."""
     numbers: set[int] = set()
     for first, last in ranges:
         numbers.update(range(first, last + 1))
     return numbers
 
 
-# --- bindings: rows [attempt, machine, agent epoch], and the StopMode if there is one
+# --- bindings: rows [attempt, machine, agent epoch], followed by the StopMode unless it is KEEP
 
 
 def binding_rows(record: Record) -> dict[int, list[Any]]:
-    """{task: its binding's row} of a chunk's record."""
+    """{task: row of its binding} of a chunk's record."""
     return {int(task): row for task, row in record.get("b", {}).items()}
 
 
 def binding_row(binding: Binding) -> list[Any]:
-    """The row that stores a binding."""
+    """The stored row of a binding."""
     row: list[Any] = [binding.attempt, binding.machine, binding.agent_epoch]
     if binding.stop:
         row.append(int(binding.stop))
@@ -228,13 +228,13 @@
 
 
 def read_binding(row: list[Any]) -> Binding:
-    """The binding that a row stores."""
+    """The binding stored in a row."""
     attempt, machine, agent_epoch = row[:3]
     return Binding(attempt, machine, agent_epoch, read_stop_mode(row))
 
 
 def read_stop_mode(row: list[Any]) -> StopMode:
-    """How a binding's row says that its task is to be stopped."""
+    """The stop mode stored in a binding's row."""
     return StopMode(row[3]) if len(row) > 3 else StopMode.KEEP
 
 
@@ -252,7 +252,7 @@
 
 
 def read_waiting_record(job_id: str, record: Record) -> WaitingJobRecord:
-    """The WaitingJobRecord of a waiting job's record."""
+    """Parses the record of a waiting job."""
     list_id, segments = record.get("x", ("", 0))
     spec = read_spec(job_id, record)
     return WaitingJobRecord(spec, tuple(record.get("a", ())), list_id, segments)
@@ -262,12 +262,12 @@
 
 
 def final_record(outcome: Outcome, tasks: int, done: int) -> Record:
-    """The record of how a job ended."""
+    """The record of a job's final state."""
     return {"glow": outcome.value, "n": tasks, "d": done}
 
 
 def read_final(status: int, record: Any) -> FinalState | None:
-    """The FinalState in the store's answer to a read of a final key; None if it has none."""
+    """The FinalState in the store's answer to a read of a final key; None if there is none."""
     if status != 200 or not isinstance(record, dict):
         return None
     try:
