--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -204,7 +204,7 @@
     def _log_failure(self, status: int, failed: Any) -> None:
         keys = self._require_in_flight().chunks
         log.info(
-            "commit of %d keys failed: %s (%s); resetting them to the state in the replica",
+            "commit of %d keys was not confirmed: %s (%s); resetting them to their committed state",
             len(keys),
             status_text(status),
             failed,
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -211,7 +211,7 @@
         level = logging.ERROR if status == 400 else logging.INFO
         log.log(
             level,
-            "rechunking job %s failed: %s (%s); retrying",
+            "rechunking of job %s was not confirmed: %s (%s); retrying",
             operation.job_id,
             status_text(status),
             failed,
