--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -5,13 +5,13 @@
 from dataclasses import astuple
 from typing import Any, NamedTuple
 
-from ...jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate
+from ...jobs.task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate
 from .agents import AgentHeartbeat
 
 UPDATE_TYPES: dict[str, type[TaskUpdate]] = {
     "exited": TaskExited,
     "gone": TaskGone,
-    "stop": StopWanted,
+    "stop": StopRequested,
 }
 NO_REPLICA = -1  # as a replica's revision: the controller has none yet
 MAX_CONTACT_AGE_S = 1e6  # stands for never, which JSON can't say
@@ -21,7 +21,7 @@
 
 
 def write_task_updates(updates: Iterable[TaskUpdate]) -> list[list]:
-    """The body that tells a holder of these updates: a list of [kind, job id, task, ...]."""
+    """The body that tells an owner of these updates: a list of [kind, job id, task, ...]."""
     return [[update.key.kind, *astuple(update)] for update in updates]
 
 
