--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -14,7 +14,7 @@
     Attributes:
         heartbeat: That message.
         tasks: Its tasks, once they were needed.
-        heard_at: When it came.
+        heartbeat_at: When it came.
         contact_at: When the machine was last heard or answered: its lease may have been renewed.
         settled: Its last heartbeat led to nothing and waited for nothing.
         unreachable: Our answers don't reach it, as far as can be seen.
@@ -24,7 +24,7 @@
     __slots__ = (
         "heartbeat",
         "tasks",
-        "heard_at",
+        "heartbeat_at",
         "contact_at",
         "settled",
         "unreachable",
@@ -34,7 +34,7 @@
     def __init__(self, heartbeat: AgentHeartbeat, now: float) -> None:
         self.heartbeat = heartbeat
         self.tasks: dict[TaskKey, TaskStatus] | None = None
-        self.heard_at = now
+        self.heartbeat_at = now
         self.contact_at = now
         self.settled = False
         self.unreachable = False
@@ -42,7 +42,7 @@
 
     def last_seen(self) -> LastSeen:
         """The same as evidence."""
-        age_s = self.heard_at - self.contact_at
+        age_s = self.heartbeat_at - self.contact_at
         values = machine_values(self.heartbeat, age_s, self.unreachable)
         return LastSeen(MachineStatus._make(values), self.contact_at)
 
@@ -77,7 +77,7 @@
         forget_after_s = FORGET_LEASES * self.settings.lease_s
         values = {}
         for name, record in records:
-            quiet_s = now - record.heard_at
+            quiet_s = now - record.heartbeat_at
             if quiet_s >= within_s:
                 if quiet_s >= forget_after_s:
                     continue
@@ -95,7 +95,7 @@
         old = [
             name
             for name, record in self.by_machine.items()
-            if now - record.heard_at > forget_after_s
+            if now - record.heartbeat_at > forget_after_s
         ]
         for name in old:
             del self.by_machine[name]
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -84,7 +84,7 @@
             or not status.addr
             or status.agent_epoch != agent_epoch
             or status.unreachable
-            or now - last_seen.heard_at > self.settings.lease_s / 2
+            or now - last_seen.contact_at > self.settings.lease_s / 2
         ):
             return
         self.agent_clients.call(
@@ -121,8 +121,8 @@
         if record is not None and record.heartbeat.age < heartbeat.age:
             record.heartbeat = heartbeat
             record.tasks = tasks
-            record.heard_at = self.now()
-            record.contact_at = record.heard_at
+            record.heartbeat_at = self.now()
+            record.contact_at = record.heartbeat_at
             record.settled = False
             self.evidence.last_seen[heartbeat.machine] = record.last_seen()
         self.updates.notify_owners(heartbeat, tasks)
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -79,7 +79,7 @@
         self.reachability.track(record, heartbeat, last_seen, now)
         before = record.heartbeat
         record.heartbeat = heartbeat
-        record.heard_at = now
+        record.heartbeat_at = now
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
         if self._brings_nothing_new(record, before):
@@ -208,7 +208,7 @@
 
     def _answer_after_sync(self, record: AgentRecord, reply: Reply) -> None:
         number = next(self.pending_numbers)
-        self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heard_at)
+        self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heartbeat_at)
         send(self.store.on_sync, callback(self.on_heartbeat_synced, number))
 
     def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -91,7 +91,7 @@
             recent_s += TABLE_INTERVAL_S
         machine_types = self.committed.machine_types
         self.machines = {
-            name: self._machine(name, last_seen, now - last_seen.heard_at < recent_s)
+            name: self._machine(name, last_seen, now - last_seen.contact_at < recent_s)
             for name, last_seen in self.evidence.last_seen.items()
             if last_seen.status.type in machine_types
         }
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -25,11 +25,11 @@
     """A machine as the newest message that any controller knows of shows it.
 
     Attributes:
-        heard_at: When it was last heard or answered, by our clock.
+        contact_at: When it was last heard or answered, by our clock.
     """
 
     status: MachineStatus
-    heard_at: float
+    contact_at: float
 
     @property
     def age(self) -> tuple[int, int]:
@@ -121,14 +121,14 @@
 
     # --- what the sources tell
 
-    def note_machine(self, machine: str, status: MachineStatus, heard_at: float) -> None:
+    def note_machine(self, machine: str, status: MachineStatus, contact_at: float) -> None:
         """Notes what a source tells of a machine, unless something newer is known."""
         known = self.last_seen.get(machine)
         age = status.agent_epoch, status.sequence
         if known is None or age > known.age:
-            self.last_seen[machine] = LastSeen(status, heard_at)
-        elif age == known.age and heard_at > known.heard_at:
-            known.heard_at = heard_at
+            self.last_seen[machine] = LastSeen(status, contact_at)
+        elif age == known.age and contact_at > known.contact_at:
+            known.contact_at = contact_at
 
     def add_answer(
         self,
@@ -203,7 +203,7 @@
     def forget_old(self, now: float) -> None:
         """Forgets machines that nobody has heard for FORGET_LEASES leases."""
         oldest = now - FORGET_LEASES * self.settings.lease_s
-        for name in [name for name, seen in self.last_seen.items() if seen.heard_at < oldest]:
+        for name in [name for name, seen in self.last_seen.items() if seen.contact_at < oldest]:
             del self.last_seen[name]
 
     # --- what follows from it
@@ -224,7 +224,7 @@
             for peer in self.settings.peers
         )
 
-    def proves_leases_over(
+    def proves_leases_expired(
         self,
         machine: str,
         own_contact_at: float,
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -11,16 +11,16 @@
     """One machine, as all controllers together know it.
 
     Attributes:
-        heard_at: When any controller last heard it; if none did, when this process began.
-        leases_over: Whether every lease that it may have is proven to be over.
+        contact_at: When any controller last heard it; if none did, when this process began.
+        leases_expired: Whether every lease that it may have is proven to be over.
         unreachable: Its heartbeats arrive, answers don't reach it.
-        ever_heard: Whether any controller has heard it.
+        heartbeat_received: Whether any controller has heard it.
     """
 
-    heard_at: float
-    leases_over: bool
+    contact_at: float
+    leases_expired: bool
     unreachable: bool
-    ever_heard: bool
+    heartbeat_received: bool
 
 
 class LivenessAnswers(AgentPart):
@@ -43,18 +43,20 @@
 
     def _liveness(self, machine: str, now: float) -> MachineLiveness:
         last_seen = self.evidence.last_seen.get(machine)
-        leases_over = machine in self.committed.taints.by_machine and self._leases_over(
+        leases_expired = machine in self.committed.taints.by_machine and self._leases_expired(
             machine, now
         )
         if last_seen is None:
-            return MachineLiveness(self.evidence.began_at, leases_over, False, False)
-        return MachineLiveness(last_seen.heard_at, leases_over, last_seen.status.unreachable, True)
+            return MachineLiveness(self.evidence.began_at, leases_expired, False, False)
+        return MachineLiveness(
+            last_seen.contact_at, leases_expired, last_seen.status.unreachable, True
+        )
 
-    def _leases_over(self, machine: str, now: float) -> bool:
+    def _leases_expired(self, machine: str, now: float) -> bool:
         """Whether every lease that a tainted machine may have is proven to be over."""
         _, taint_revision, taint_seen_at = self.committed.taints.by_machine[machine]
         record = self.records.get(machine)
         own_contact = record.contact_at if record is not None else self.evidence.began_at
-        return self.evidence.proves_leases_over(
+        return self.evidence.proves_leases_expired(
             machine, own_contact, taint_revision, taint_seen_at, now
         )
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -41,7 +41,7 @@
     ) -> None:
         lease_ended_early = (
             heartbeat.agent_epoch > last_seen.status.agent_epoch
-            and now - last_seen.heard_at
+            and now - last_seen.contact_at
             < self.settings.lease_s - 2 * self.settings.agent_heartbeat_s
         )
         if lease_ended_early or last_seen.status.unreachable:
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -114,18 +114,18 @@
 
     def _has_ended(self, name: str, taint: str, liveness: "MachineLiveness") -> bool:
         """Whether the tasks of a tainted machine may move: nothing runs there any more."""
-        return liveness.leases_over and taint in LOST_OR_DRAIN and name in self.machines.occupied
+        return liveness.leases_expired and taint in LOST_OR_DRAIN and name in self.machines.occupied
 
     def _is_back(self, name: str, taint: str, liveness: "MachineLiveness", now: float) -> bool:
         """Whether a machine loses its taint: it is in touch again, or is there no more."""
         if taint not in LOST_OR_ENDED:
             return False
-        quiet_s = now - liveness.heard_at
+        quiet_s = now - liveness.contact_at
         occupied = name in self.machines.occupied
         in_touch_s = HEARD_WITHIN_HEARTBEATS * self.settings.agent_heartbeat_s
         # Once broken: a new leader took its own birth for a sign of life of the machines behind a
         # cut (fleet/taint_kept_by_new_leader.txt).
-        if liveness.ever_heard and quiet_s < in_touch_s and not liveness.unreachable:
+        if liveness.heartbeat_received and quiet_s < in_touch_s and not liveness.unreachable:
             return taint == Taint.LOST or not occupied
         forgotten_s = FORGOTTEN_AFTER_LEASES * self.settings.lease_s
         return name not in self.machines.by_name and not occupied and quiet_s > forgotten_s
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -107,7 +107,7 @@
     def _place(self, job: Job, tasks: list[int]) -> int:
         """Binds as many of the tasks as find capacity; returns how many."""
         machines = self._round.place(job, len(tasks))
-        self._round.take_back(machines)
+        self._round.undo_place(machines)
         incomplete_gang = (
             job.spec.gang and not job.binding_count() and len(machines) < job.pending_count()
         )
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -123,7 +123,7 @@
             self._unplaceable.add(self._needs(spec))
         return machines
 
-    def take_back(self, machines: list[str]) -> None:
+    def undo_place(self, machines: list[str]) -> None:
         """Gives back at once what `place` has just reserved, given what it returned."""
         if machines:
             self._undo_change(self._changes.pop())
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -65,7 +65,7 @@
 
 def proves_lease_expiry_by_silence(patch):
     """A machine that the leader has not heard of is taken for one whose lease is over."""
-    patch.setattr(LeaseEvidence, "proves_leases_over", lambda self, *_: True)
+    patch.setattr(LeaseEvidence, "proves_leases_expired", lambda self, *_: True)
 
 
 def forgets_cancellations_of_dead_peers(patch):
