--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from .lease_evidence import FORGET_LEASES, LastSeen, LeaseEvidence
+from .lease_evidence import FORGET_AFTER_LEASES, LastSeen, LeaseEvidence
 from .wire.agents import AgentHeartbeat, TaskKey, TaskStatus
 from .wire.peers import MachineStatus, machine_values
 
@@ -74,15 +74,15 @@
                 (name, self.by_machine[name]) for name in machines if name in self.by_machine
             ]
         last_seen = self.evidence.last_seen
-        forget_after_s = FORGET_LEASES * self.settings.lease_s
+        forget_after_s = FORGET_AFTER_LEASES * self.settings.lease_s
         values = {}
         for name, record in records:
-            quiet_s = now - record.heartbeat_at
-            if quiet_s >= within_s:
-                if quiet_s >= forget_after_s:
+            heartbeat_age_s = now - record.heartbeat_at
+            if heartbeat_age_s >= within_s:
+                if heartbeat_age_s >= forget_after_s:
                     continue
                 seen = last_seen.get(name)
-                if seen is not None and seen.age > record.heartbeat.age:
+                if seen is not None and seen.version > record.heartbeat.version:
                     continue
             values[name] = machine_values(
                 record.heartbeat, now - record.contact_at, record.unreachable
@@ -90,8 +90,8 @@
         return values
 
     def forget_old(self, now: float) -> None:
-        """Forgets machines that were not heard here for FORGET_LEASES leases."""
-        forget_after_s = FORGET_LEASES * self.settings.lease_s
+        """Forgets machines that were not heard here for FORGET_AFTER_LEASES leases."""
+        forget_after_s = FORGET_AFTER_LEASES * self.settings.lease_s
         old = [
             name
             for name, record in self.by_machine.items()
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -19,13 +19,13 @@
 
     Attributes:
         stop: KEEP, STOP or SAVE.
-        stop_seen: The revision at which the stop was seen.
+        stop_revision: The revision at which the stop was seen.
         agent_epoch: Of the machine; in a later one the binding means nothing.
     """
 
     attempt: int
     stop: StopMode
-    stop_seen: int
+    stop_revision: int
     agent_epoch: int
 
 
@@ -99,7 +99,7 @@
     Attributes:
         jobs: {job: LiveJob}.
         by_machine: {machine: {(job, task): DesiredTask}}; no empty ones.
-        touched: Machines whose bindings or taint changed since their last heartbeat here.
+        changed_machines: Machines whose bindings or taint changed since their last heartbeat here.
         changed: The ChangedBindings of the replica's change that is being applied.
     """
 
@@ -107,7 +107,7 @@
         self.cancelled = cancelled
         self.jobs: dict[str, LiveJob] = {}
         self.by_machine: dict[str, dict[TaskKey, DesiredTask]] = {}
-        self.touched: set[str] = set()
+        self.changed_machines: set[str] = set()
         self.changed: list[ChangedBinding] = []
         self.early_chunks = EarlyChunks()
 
@@ -119,9 +119,9 @@
         """(how it is to be stopped; the revision at which that was seen) of a bound task."""
         cancellation = self.cancelled.by_job.get(key[0])
         if cancellation is None:
-            return desired.stop, desired.stop_seen
+            return desired.stop, desired.stop_revision
         if desired.stop != StopMode.KEEP:
-            return StopMode.STOP, min(desired.stop_seen, cancellation.revision)
+            return StopMode.STOP, min(desired.stop_revision, cancellation.revision)
         return StopMode.STOP, cancellation.revision
 
     def take_changed(self) -> list[ChangedBinding]:
@@ -142,7 +142,7 @@
         job = self.jobs.get(job_id)
         generation = jobs_wire.read_generation(record)
         if job is None:
-            job = self._add(job_id, record, generation)
+            job = self._add_job(job_id, record, generation)
         elif generation != job.generation:
             self._change_layout(job_id, job, generation, record, mod_revision)
         if jobs_wire.is_cancelled(record) and job_id not in self.cancelled.by_job:
@@ -162,7 +162,7 @@
 
     def note_cancelled(self, job_id: str, job: LiveJob, revision: int) -> None:
         """Notes that a job is cancelled, as seen at `revision`."""
-        self.touched.update(machine for _, (_, machine, *_) in job.bindings())
+        self.changed_machines.update(machine for _, (_, machine, *_) in job.bindings())
         self.cancelled.add(job_id, revision)
 
     def drop(self, job_id: str) -> None:
@@ -174,7 +174,7 @@
             for number in list(job.chunks):
                 self._put_chunk(job_id, job, number, {}, 0)
 
-    def _add(self, job_id: str, record: dict, generation: str) -> LiveJob:
+    def _add_job(self, job_id: str, record: dict, generation: str) -> LiveJob:
         job = self.jobs[job_id] = LiveJob(jobs_wire.read_spec(job_id, record), generation)
         if job_id in self.cancelled.announced:
             self.note_cancelled(job_id, job, self.cancelled.announced[job_id])
@@ -214,8 +214,10 @@
                 before = self._unbind((job_id, task), row)
                 if new_row is not None and new_row[ROW_ATTEMPT] == before.attempt:
                     # A stop counts from when it was first seen.
-                    stop_seen = before.stop_seen if before.stop != StopMode.KEEP else mod_revision
-                    self._bind((job_id, task), new_row, stop_seen)
+                    stop_revision = (
+                        before.stop_revision if before.stop != StopMode.KEEP else mod_revision
+                    )
+                    self._bind((job_id, task), new_row, stop_revision)
         for task, row in new.items():
             old_row = old.get(task)
             if old_row is None or old_row[ROW_ATTEMPT] != row[ROW_ATTEMPT]:
@@ -228,13 +230,13 @@
         before = bound.pop(key)
         if not bound:
             del self.by_machine[machine]
-        self.touched.add(machine)
+        self.changed_machines.add(machine)
         return before
 
-    def _bind(self, key: TaskKey, row: list, stop_seen: int) -> None:
+    def _bind(self, key: TaskKey, row: list, stop_revision: int) -> None:
         attempt, machine, agent_epoch = row[:3]
         stop = jobs_wire.read_stop_mode(row)
-        desired = DesiredTask(attempt, stop, stop_seen, agent_epoch)
+        desired = DesiredTask(attempt, stop, stop_revision, agent_epoch)
         self.by_machine.setdefault(machine, {})[key] = desired
-        self.touched.add(machine)
+        self.changed_machines.add(machine)
         self.changed.append((machine, key, desired))
--- a/emberglade/agents/cancelled_jobs.py
+++ b/emberglade/agents/cancelled_jobs.py
@@ -14,12 +14,12 @@
 
     Attributes:
         revision: At which the cancellation was seen.
-        halt_from: From when on this controller halts the job's tasks directly.
+        halt_due_at: From when on this controller halts the job's tasks directly.
         ended: (task, attempt) that its machine's own agent states ended.
     """
 
     revision: int
-    halt_from: float
+    halt_due_at: float
     ended: set[tuple[int, int]] = field(default_factory=set)
 
 
@@ -56,13 +56,15 @@
     def due(self, now: float) -> list[str]:
         """The jobs whose tasks this controller is to halt directly."""
         return [
-            job_id for job_id, cancellation in self.by_job.items() if cancellation.halt_from <= now
+            job_id
+            for job_id, cancellation in self.by_job.items()
+            if cancellation.halt_due_at <= now
         ]
 
     def advance_all(self, now: float) -> None:
         """All cancelled jobs' tasks are to be halted directly from now on, if not before."""
         for cancellation in self.by_job.values():
-            cancellation.halt_from = min(cancellation.halt_from, now)
+            cancellation.halt_due_at = min(cancellation.halt_due_at, now)
 
     def forget_announced(self, revision: int) -> None:
         """Forgets announcements that the replica shows, now that it is at `revision`."""
--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -104,7 +104,7 @@
             self.bindings.apply_chunk(key, data, mod_revision)
         elif key.startswith(fleet_wire.TAINT_PREFIX):
             changed = self.taints.apply(key, data, mod_revision, self.now())
-            self.bindings.touched.update(changed)
+            self.bindings.changed_machines.update(changed)
         elif key.startswith(records.SHARD_PREFIX):
             if data is not None:
                 shard = int(key[len(records.SHARD_PREFIX) :])
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -46,8 +46,8 @@
             if command is not None:
                 commands.setdefault((machine, changed.agent_epoch), []).append(command)
         now = self.now()
-        for (machine, agent_epoch), wanted in commands.items():
-            self._send_to(machine, agent_epoch, wanted, now)
+        for (machine, agent_epoch), commands_for_agent in commands.items():
+            self._send_to(machine, agent_epoch, commands_for_agent, now)
 
     def _command_for(self, machine: str, key: TaskKey, changed: DesiredTask) -> Command | None:
         """The command that a new binding or stop calls for, if it is this controller's to give.
@@ -98,9 +98,9 @@
 
     def on_command_answer(self, machine: str, status: int, body: Any) -> None:
         """Handles an agent's answer to direct commands."""
-        self.take_answer(machine, status, body)
+        self.apply_answer(machine, status, body)
 
-    def take_answer(
+    def apply_answer(
         self, machine: str, status: int, body: Any
     ) -> tuple[AgentHeartbeat, dict[TaskKey, TaskStatus]] | None:
         """Takes over the heartbeat in an agent's answer, newer than what is known here.
@@ -118,7 +118,7 @@
             return None
         record = self.records.get(heartbeat.machine)
         # Direct commands renew no lease, and where the agent turns to is not ours to say.
-        if record is not None and record.heartbeat.age < heartbeat.age:
+        if record is not None and record.heartbeat.version < heartbeat.version:
             record.heartbeat = heartbeat
             record.tasks = tasks
             record.heartbeat_at = self.now()
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -59,7 +59,7 @@
         cancellation = self.committed.cancelled.by_job.get(job_id)
         if cancellation is None:
             return
-        cancellation.halt_from = self.now()
+        cancellation.halt_due_at = self.now()
         for link in self.peers.values():
             link.call(
                 "POST",
@@ -70,7 +70,7 @@
             )
         self.halt_job(job_id)
 
-    def replace_dead_peer(self) -> None:
+    def take_over_halts(self) -> None:
         """Sends all halts that are due: a peer that has ended may not have sent its own."""
         self.committed.cancelled.advance_all(self.now())
         self._halt_due_jobs()
@@ -106,7 +106,7 @@
             just_halted = (
                 last.agent_epoch == agent_epoch
                 and now - last.sent_at < self.settings.agent_heartbeat_s
-                and cancellation.halt_from < last.sent_at
+                and cancellation.halt_due_at < last.sent_at
             )
             if not just_halted:
                 addr = last_seen.status.addr
@@ -165,7 +165,7 @@
     ) -> None:
         """Handles an agent's answer to a direct halt: notes what has ended, or tries again."""
         self.awaiting_answer.discard(machine)
-        answer = self.direct_commands.take_answer(machine, status, body)
+        answer = self.direct_commands.apply_answer(machine, status, body)
         if answer is None:
             return
         heartbeat, tasks = answer
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -23,7 +23,7 @@
 
 Reply = Callable[..., Any]  # reply(status, body), or reply(status, body, seconds to wait)
 
-RETRY_S = 1  # what an agent is asked to wait for that gets a 503
+RETRY_AFTER_S = 1  # what an agent is asked to wait for that gets a 503
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     record: AgentRecord
     heartbeat: AgentHeartbeat
     reply: Reply
-    since: float
+    received_at: float
 
 
 class HeartbeatHandler(AgentPart):
@@ -64,33 +64,33 @@
         try:
             heartbeat = agent_wire.read_heartbeat(data)
         except agent_wire.HeartbeatError as error:
-            reply(400, agent_wire.write_refusal(error))
+            reply(400, agent_wire.write_error(error))
             return
         now = self.now()
         connected_peer = self.routing.connected_peer(now)
-        if self._turn_away(heartbeat, connected_peer, now, reply):
+        if self._reject_or_redirect(heartbeat, connected_peer, now, reply):
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
-        if self._is_late(heartbeat, last_seen):
+        if self._is_outdated(heartbeat, last_seen):
             # The lease that its answer could renew is one that the newer message renewed already.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        record = self._record_of(heartbeat, now)
+        record = self._get_or_add_record(heartbeat, now)
         self.reachability.track(record, heartbeat, last_seen, now)
         before = record.heartbeat
         record.heartbeat = heartbeat
         record.heartbeat_at = now
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
-        if self._brings_nothing_new(record, before):
+        if self._is_unchanged(record, before):
             # Most heartbeats end here, and most of the processor's time is heartbeats.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        self._handle_news(record, before, connected_peer, reply)
+        self._handle_change(record, before, connected_peer, reply)
 
     # --- whether a heartbeat counts
 
-    def _turn_away(
+    def _reject_or_redirect(
         self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
     ) -> bool:
         """Answers an agent that this controller may not answer, or had better not; True if so."""
@@ -102,7 +102,7 @@
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
             # What this controller commands could be older than a cancellation, or the proof that
             # this machine's leases are over counts on its silence.
-            reply(503, agent_wire.write_refusal("no contact with the state service"), RETRY_S)
+            reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
         if peer is not None:
@@ -119,31 +119,31 @@
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
-    def _is_late(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
+    def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
         """Whether this is a copy that came late, perhaps of a machine that was returned.
 
         Such is no sign of life (docs/safety.md, 11).
         """
-        if last_seen is not None and last_seen.age >= heartbeat.age:
+        if last_seen is not None and last_seen.version >= heartbeat.version:
             return True
         return self.committed.taints.get(heartbeat.machine) == "gone"
 
-    def _record_of(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
+    def _get_or_add_record(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
         """The machine's record; a new one if it begins to send heartbeats here."""
         record = self.records.get(heartbeat.machine)
         if record is None:
             record = self.records.by_machine[heartbeat.machine] = AgentRecord(heartbeat, now)
-            self.inventory.newly_heard.append(heartbeat.machine)
-            self.inventory.update_soon()
+            self.inventory.new_machines.append(heartbeat.machine)
+            self.inventory.schedule_update()
         return record
 
-    def _brings_nothing_new(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
+    def _is_unchanged(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
         """Whether nothing that could lead to commands or updates changed since `before`."""
         heartbeat = record.heartbeat
         return (
             record.settled
             and record.tasks is not None
-            and heartbeat.machine not in self.committed.bindings.touched
+            and heartbeat.machine not in self.committed.bindings.changed_machines
             and heartbeat.raw_tasks == before.raw_tasks
             and heartbeat.agent_epoch == before.agent_epoch
             and heartbeat.spot_notice_s is None
@@ -152,7 +152,7 @@
 
     # --- what follows from it
 
-    def _handle_news(
+    def _handle_change(
         self,
         record: AgentRecord,
         before: AgentHeartbeat,
@@ -165,15 +165,15 @@
             tasks = record.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
         except agent_wire.HeartbeatError as error:
             record.tasks = None
-            reply(400, agent_wire.write_refusal(error))
+            reply(400, agent_wire.write_error(error))
             return
         if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
-            self.inventory.update_soon()
-        self.committed.bindings.touched.discard(heartbeat.machine)
+            self.inventory.schedule_update()
+        self.committed.bindings.changed_machines.discard(heartbeat.machine)
         updated = self.updates.notify_owners(heartbeat, tasks)
         result = self.reconciler.reconcile(record, synced=False)
         record.settled = not updated and self._is_settled(record, result)
-        self._answer_news(record, result, connected_peer, reply)
+        self._answer_change(record, result, connected_peer, reply)
 
     @staticmethod
     def _is_settled(record: AgentRecord, result: Reconciliation) -> bool:
@@ -187,7 +187,7 @@
             and not record.unreachable
         )
 
-    def _answer_news(
+    def _answer_change(
         self,
         record: AgentRecord,
         result: Reconciliation,
@@ -225,7 +225,7 @@
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
-            if now - pending.since > self.settings.agent_heartbeat_s:
+            if now - pending.received_at > self.settings.agent_heartbeat_s:
                 del self.pending[number]
                 self._answer(pending.record, pending.heartbeat, False, pending.reply)
 
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -14,9 +14,9 @@
 from .wire import peers as peer_wire
 from .wire.peers import MachineStatus, MachineView
 
-MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
-MAX_SYNCS = 400  # that are remembered
-FORGET_LEASES = 10  # after so many leases without a sign of life a machine is forgotten
+LEASE_MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
+MAX_REMEMBERED_SYNCS = 400  # that are remembered
+FORGET_AFTER_LEASES = 10  # after so many leases without a sign of life a machine is forgotten
 NEVER = float("-inf")  # as a moment
 
 
@@ -32,7 +32,7 @@
     contact_at: float
 
     @property
-    def age(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """(agent epoch, sequence) of that message."""
         return self.status.agent_epoch, self.status.sequence
 
@@ -45,7 +45,7 @@
     those of MachineView.
 
     Attributes:
-        machines_hearing: How many machines had sent it a heartbeat just before.
+        active_machines: How many machines had sent it a heartbeat just before.
     """
 
     asked_at: float
@@ -55,7 +55,7 @@
     revision: int | None
     machines: dict[str, MachineStatus]
     replica_revision: int = peer_wire.NO_REPLICA
-    machines_hearing: int = 0
+    active_machines: int = 0
 
     def last_answered(self, machine: str) -> float:
         """The latest moment at which that controller may have heard or answered the machine.
@@ -86,7 +86,7 @@
 AnswerBound = tuple[float, float]
 
 
-def silence_s(bound: AnswerBound) -> float:
+def unanswered_s(bound: AnswerBound) -> float:
     """For how long a controller is known not to have answered."""
     last_answered, known_until = bound
     return known_until - last_answered
@@ -99,7 +99,7 @@
 
     Attributes:
         began_at: When this process began, by its clock.
-        last_contact: When the last sync that was answered was sent.
+        last_sync_sent_at: When the last sync that was answered was sent.
         last_seen: {machine: LastSeen}, whoever heard it.
         direct_views: {peer: its newest answer about all machines}.
         partial_views: {peer: (the machines it was asked about, its answer about only them)}.
@@ -109,12 +109,12 @@
     def __init__(self, settings: Any) -> None:
         self.settings = settings
         self.began_at = 0.0
-        self.last_contact = NEVER
+        self.last_sync_sent_at = NEVER
         self.last_seen: dict[str, LastSeen] = {}
         self.direct_views: dict[str, PeerMachineView] = {}
         self.partial_views: dict[str, tuple[frozenset[str], PeerMachineView]] = {}
         self.table_views: dict[str, PeerMachineView] = {}
-        self.syncs: deque[Sync] = deque(maxlen=MAX_SYNCS)
+        self.syncs: deque[Sync] = deque(maxlen=MAX_REMEMBERED_SYNCS)
         self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
         # peer -> when it was last asked and then had no newer replica than ours
         self.caught_up_at: dict[str, float] = {}
@@ -124,10 +124,10 @@
     def note_machine(self, machine: str, status: MachineStatus, contact_at: float) -> None:
         """Notes what a source tells of a machine, unless something newer is known."""
         known = self.last_seen.get(machine)
-        age = status.agent_epoch, status.sequence
-        if known is None or age > known.age:
+        version = status.agent_epoch, status.sequence
+        if known is None or version > known.version:
             self.last_seen[machine] = LastSeen(status, contact_at)
-        elif age == known.age and contact_at > known.contact_at:
+        elif version == known.version and contact_at > known.contact_at:
             known.contact_at = contact_at
 
     def add_answer(
@@ -143,8 +143,8 @@
         if view is None:
             return False
         recent_s = 2 * self.settings.agent_heartbeat_s
-        hearing = sum(status.age_s < recent_s for status in view.machines.values())
-        answer = PeerMachineView(asked_at, received_at, *view, hearing)
+        active_machines = sum(status.age_s < recent_s for status in view.machines.values())
+        answer = PeerMachineView(asked_at, received_at, *view, active_machines)
         if asked_about is None:
             self.direct_views[peer] = answer
         else:
@@ -171,7 +171,7 @@
 
     def note_sync(self, sent_at: float, revision: int) -> None:
         """Notes that a sync sent then was answered and brought this revision."""
-        self.last_contact = max(self.last_contact, sent_at)
+        self.last_sync_sent_at = max(self.last_sync_sent_at, sent_at)
         if not self.syncs or revision > self.syncs[-1].revision:
             self.syncs.append(Sync(sent_at, revision))
 
@@ -201,8 +201,8 @@
                 self.caught_up_at[peer] = max(caught_up_at, view.asked_at)
 
     def forget_old(self, now: float) -> None:
-        """Forgets machines that nobody has heard for FORGET_LEASES leases."""
-        oldest = now - FORGET_LEASES * self.settings.lease_s
+        """Forgets machines that nobody has heard for FORGET_AFTER_LEASES leases."""
+        oldest = now - FORGET_AFTER_LEASES * self.settings.lease_s
         for name in [name for name, seen in self.last_seen.items() if seen.contact_at < oldest]:
             del self.last_seen[name]
 
@@ -215,12 +215,12 @@
             default=NEVER,
         )
 
-    def lacks_peer_answers(self, now: float) -> bool:
+    def lacks_recent_answers(self, now: float) -> bool:
         """Whether a peer has not answered lately, so that only its tables tell of its machines."""
-        lately_s = 4 * self.settings.agent_heartbeat_s
+        recent_s = 4 * self.settings.agent_heartbeat_s
         return any(
             peer.name not in self.direct_views
-            or now - self.direct_views[peer.name].asked_at > lately_s
+            or now - self.direct_views[peer.name].asked_at > recent_s
             for peer in self.settings.peers
         )
 
@@ -239,7 +239,7 @@
         in its replica, it does not answer this machine, and with an older replica it answers
         nobody for longer than `max_staleness_s` (docs/safety.md, 7).
         """
-        lease_s = self.settings.lease_s * CLOCK_DRIFT + MARGIN_S
+        lease_s = self.settings.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         last_answered, known_until = own_contact_at, now
         for peer in self.settings.peers:
             bound = self._tightest_bound(peer.name, machine, taint_revision, taint_seen_at)
@@ -271,5 +271,5 @@
             # (protocol_rules/isolated_controller.txt).
             both_seen_at = max(missing_since, taint_seen_at)
             last_answered = both_seen_at + self.settings.max_staleness_s * CLOCK_DRIFT
-            bounds.append((last_answered, self.last_contact))
-        return max(bounds, key=silence_s, default=None)
+            bounds.append((last_answered, self.last_sync_sent_at))
+        return max(bounds, key=unanswered_s, default=None)
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -35,7 +35,7 @@
         peer would answer; that is not the machines' silence. Nor is it a sign of life.
         """
         now = self.now()
-        slack_s = TABLE_INTERVAL_S if self.evidence.lacks_peer_answers(now) else 0.0
+        slack_s = TABLE_INTERVAL_S if self.evidence.lacks_recent_answers(now) else 0.0
         names = set(self.committed.taints)
         if not tainted_only:
             names.update(self.evidence.last_seen, self.committed.bindings.by_machine)
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -22,10 +22,10 @@
 from .update_forwarding import UpdateForwarding
 from .wire.peers import MachineQuestion
 
-FIRST_QUESTION_S = 0.3  # after the beginning
-FIRST_TICK_S = 0.5
-FIRST_TABLE_S = 1.0
-MAX_TICK_S = 1.0
+FIRST_QUESTION_DELAY_S = 0.3  # after the beginning
+FIRST_TICK_DELAY_S = 0.5
+FIRST_TABLE_DELAY_S = 1.0
+MAX_TICK_INTERVAL_S = 1.0
 
 
 class AgentManager(ReplicaSubscriber):
@@ -81,18 +81,18 @@
         """Handles `begin` from the actor system: subscribes to the store, starts the timers."""
         self.evidence.began_at = self.now()
         super().on_begin()
-        send_after(FIRST_QUESTION_S, self.peer_exchange.on_ask_peers)
-        send_after(FIRST_TICK_S, self.on_tick)
-        send_after(FIRST_TABLE_S, self.tables.on_write_table)
+        send_after(FIRST_QUESTION_DELAY_S, self.peer_exchange.on_ask_peers)
+        send_after(FIRST_TICK_DELAY_S, self.on_tick)
+        send_after(FIRST_TABLE_DELAY_S, self.tables.on_write_table)
         send_after(self.settings.agent_heartbeat_s, self.direct_halts.on_repeat_halts)
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every heartbeat interval, MAX_TICK_S at most."""
-        send_after(min(MAX_TICK_S, self.settings.agent_heartbeat_s), self.on_tick)
+        """Handles `tick`, sent to itself every heartbeat interval, MAX_TICK_INTERVAL_S at most."""
+        send_after(min(MAX_TICK_INTERVAL_S, self.settings.agent_heartbeat_s), self.on_tick)
         self.heartbeats.answer_overdue()
         self.updates.write_undelivered()
         self.tables.write_early()
-        self.inventory.update_regularly()
+        self.inventory.update_if_due()
 
     def on_identity(self, incarnation: int) -> None:
         """Handles `identity(incarnation)` from the member: tables are numbered by it."""
@@ -157,7 +157,7 @@
 
         Its halts may not have been sent: every survivor sends those that are due, at once.
         """
-        self.direct_halts.replace_dead_peer()
+        self.direct_halts.take_over_halts()
 
     def on_liveness(self, view: Any) -> None:
         """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("emberglade.agents")
 
-MAX_ASKED = 1000  # machines in one question, so that it stays well below 64 KiB
+MAX_MACHINES_PER_QUESTION = 1000  # machines in one question, so that it stays well below 64 KiB
 MAX_PROOF_INTERVAL_S = 1.0  # four questions in this time about machines whose tasks wait for proof
 
 
@@ -22,7 +22,7 @@
     """Asks peers for their views of the machines, and answers with this controller's.
 
     Attributes:
-        asked_by: {peer: when it last asked here, and so could get an answer}.
+        last_question_at: {peer: when it last asked here, and so could get an answer}.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         super().__init__(actor, shared)
         self.store = store
         self.peers = peers
-        self.asked_by: dict[str | None, float] = {}
+        self.last_question_at: dict[str | None, float] = {}
         self.awaiting_answer: dict[str, float] = {}  # peer -> when it was asked
-        self.asked_for_all_at = NEVER
-        self.next_lost = 0  # where among the lost machines the next question begins
+        self.last_full_question_at = NEVER
+        self.next_lost_index = 0  # where among the lost machines the next question begins
 
-    def lacks_peer(self, now: float) -> bool:
+    def lacks_peer_exchange(self, now: float) -> bool:
         """Whether a live peer and this controller don't hear each other."""
         lately = now - 2 * self.settings.agent_heartbeat_s
         direct_views = self.evidence.direct_views
         return any(
-            self.asked_by.get(name, NEVER) < lately
+            self.last_question_at.get(name, NEVER) < lately
             or name not in direct_views
             or direct_views[name].asked_at < lately
             for name in self.peers
@@ -64,11 +64,11 @@
         interval_s = self.settings.peer_exchange_s
         lost = self._lost_machines()
         send_after(proof_interval_s if lost else interval_s, self.on_ask_peers)
-        if now - self.asked_for_all_at >= interval_s - proof_interval_s / 2:
-            self.asked_for_all_at = now
+        if now - self.last_full_question_at >= interval_s - proof_interval_s / 2:
+            self.last_full_question_at = now
             self._ask(None, now)
         elif lost:
-            self._ask(self._next_asked(lost), now)
+            self._ask(self._next_lost_machines(lost), now)
 
     def _lost_machines(self) -> list[str]:
         """The machines whose tasks wait for proof that their leases are over."""
@@ -78,11 +78,11 @@
             if taint == "lost" and name in self.committed.bindings.by_machine
         ]
 
-    def _next_asked(self, lost: list[str]) -> list[str]:
+    def _next_lost_machines(self, lost: list[str]) -> list[str]:
         """The machines that the next question is about: all, or in turns if they are too many."""
-        first = self.next_lost if self.next_lost < len(lost) else 0
-        self.next_lost = first + MAX_ASKED
-        return lost[first : first + MAX_ASKED]
+        first = self.next_lost_index if self.next_lost_index < len(lost) else 0
+        self.next_lost_index = first + MAX_MACHINES_PER_QUESTION
+        return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
         """Asks all peers about these machines, None: about all, but peers that are still asked."""
@@ -120,7 +120,7 @@
     def _fetch_changes(self, peer: str) -> None:
         """Fetches what the store committed from a peer, if it has more and the store is away."""
         revision = self.committed.revision
-        contact_age_s = self.now() - self.evidence.last_contact
+        contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
             self.evidence.direct_views[peer].replica_revision <= revision
             or revision < 0
@@ -144,8 +144,8 @@
         says it needs at once (combined_faults/cancel_before_outage_timeouts.txt).
         """
         now = self.now()
-        self.asked_by[question.asker] = now
-        if now - self.evidence.last_contact > self.settings.lease_s / 4:
+        self.last_question_at[question.asker] = now
+        if now - self.evidence.last_sync_sent_at > self.settings.lease_s / 4:
             self.on_question_synced(question.machines, reply, None)
             return
         send(self.store.on_sync, callback(self.on_question_synced, question.machines, reply))
@@ -159,7 +159,7 @@
             200,
             peer_wire.write_machine_view(
                 now - self.evidence.began_at,
-                now - self.evidence.last_contact,
+                now - self.evidence.last_sync_sent_at,
                 revision,
                 self.committed.revision,
                 self.records.known_machines(now, 2 * self.settings.lease_s, machines),
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -49,7 +49,7 @@
             record.probe_token = None
             if lease_ended_early:
                 self.inventory.newly_unreachable.append(heartbeat.machine)
-            self.inventory.update_soon()
+            self.inventory.schedule_update()
 
     def _probe(self, record: AgentRecord, heartbeat: AgentHeartbeat) -> None:
         """Offers a machine that does not hear us a new fencing token, or sees that it has one."""
@@ -60,4 +60,4 @@
             record.unreachable = False
             record.probe_token = None
             self.inventory.newly_reachable.append(heartbeat.machine)
-            self.inventory.update_soon()
+            self.inventory.schedule_update()
--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -27,8 +27,8 @@
 log = logging.getLogger("emberglade.agents")
 
 # A task that is to save a checkpoint gets so much more than its job says it takes.
-SAVE_FACTOR = 1.5
-SAVE_EXTRA_S = 1
+SAVE_GRACE_FACTOR = 1.5
+SAVE_GRACE_EXTRA_S = 1
 
 
 class SyncNeed(Enum):
@@ -62,7 +62,7 @@
     if stop != StopMode.SAVE:
         return HaltTask(key, attempt, 0)
     save_s = bindings.jobs[key[0]].spec.checkpoint_save_s
-    return HaltTask(key, attempt, save_s * SAVE_FACTOR + SAVE_EXTRA_S)
+    return HaltTask(key, attempt, save_s * SAVE_GRACE_FACTOR + SAVE_GRACE_EXTRA_S)
 
 
 class Reconciler:
@@ -105,10 +105,10 @@
         self, result: Reconciliation, key: TaskKey, status: TaskStatus, desired: DesiredTask
     ) -> None:
         """Handles a task that belongs on the machine, and has not ended."""
-        stop, stop_seen = self.bindings.stop_of(key, desired)
+        stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop == StopMode.KEEP:
             return
-        result.fence(stop_seen)
+        result.fence(stop_revision)
         if stop != StopMode.SAVE or status.state is not SAVING:
             result.commands.append(halt_command(self.bindings, key, status.attempt, stop))
 
@@ -153,10 +153,10 @@
         synced: bool,
     ) -> None:
         """Handles a task that belongs on the machine and is not there; `found`: another attempt."""
-        stop, stop_seen = self.bindings.stop_of(key, desired)
+        stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop != StopMode.KEEP:
             # With this fencing token seen, no late start can bring it back.
-            result.fence(stop_seen)
+            result.fence(stop_revision)
             return
         if found is not None and found.state is not EXITED:
             return  # the other attempt is being stopped first
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -13,8 +13,10 @@
 log = logging.getLogger("emberglade.agents")
 
 TABLE_INTERVAL_S = 5.0  # the DESIGN page's
-FRAME_BYTES = 96  # of a table's value: the node's incarnation, the table's number and field names
-ENTRY_BYTES = 4  # of a machine in it, besides its name and values
+TABLE_OVERHEAD_BYTES = (
+    96  # of a table's value: the node's incarnation, the table's number and field names
+)
+ENTRY_OVERHEAD_BYTES = 4  # of a machine in it, besides its name and values
 # Of a table, however much the store takes: transactions are limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
@@ -50,7 +52,7 @@
 
     def write_early(self) -> None:
         """Writes a table at once if it has to hold machines and the last one did not."""
-        if self.exchange.lacks_peer(self.now()) and not self.has_machines:
+        if self.exchange.lacks_peer_exchange(self.now()) and not self.has_machines:
             self._begin_table()
 
     def _begin_table(self) -> None:
@@ -66,9 +68,9 @@
         header = self._header(demand, shortage, now)
         table = table_wire.write_table(header)
         overflow: list[dict] = []
-        self.has_machines = self.exchange.lacks_peer(now)
+        self.has_machines = self.exchange.lacks_peer_exchange(now)
         if self.has_machines:
-            value_bytes = min(self.settings.value_bytes, MAX_VALUE_BYTES) - FRAME_BYTES
+            value_bytes = min(self.settings.value_bytes, MAX_VALUE_BYTES) - TABLE_OVERHEAD_BYTES
             first_bytes = value_bytes - len(orjson.dumps(table))
             values = self._pack_machines(header.machine_types, now, value_bytes, first_bytes)
             table_wire.add_machines(table, values)
@@ -84,9 +86,9 @@
             number=f"{self.incarnation}-{self.last_number}",
             demand=demand,
             shortage=shortage,
-            wall=self.system.wall_time(),
+            wall_time=self.system.wall_time(),
             up_s=now - self.evidence.began_at,
-            contact_age_s=now - self.evidence.last_contact,
+            contact_age_s=now - self.evidence.last_sync_sent_at,
             revision=self.committed.revision,
             machine_types=sorted(self.committed.machine_types),
         )
@@ -99,7 +101,7 @@
         bytes_left = first_bytes
         for name, machine in self.records.known_machines(now, 2 * self.settings.lease_s).items():
             row = table_wire.compact_machine(machine, machine_types, self.settings.zones)
-            row_bytes = len(orjson.dumps(row)) + len(name) + ENTRY_BYTES
+            row_bytes = len(orjson.dumps(row)) + len(name) + ENTRY_OVERHEAD_BYTES
             bytes_left -= row_bytes
             if bytes_left < 0:
                 values.append({})
@@ -115,7 +117,7 @@
         try:
             table = table_wire.read_table(node, stored, self.settings.zones)
             if table is not None:
-                age_s = self.system.wall_time() - table.wall
+                age_s = self.system.wall_time() - table.wall_time
                 self.evidence.add_table(node, self.now(), age_s, table.view)
         except (KeyError, TypeError, ValueError, IndexError) as error:
             log.info("the table of %s is malformed (%s); the next one is awaited", node, error)
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -17,9 +17,11 @@
 from .wire import records
 from .wire.agents import EXITED, AgentHeartbeat, TaskKey, TaskStatus
 
-MAX_UPDATES_SENT = 200  # in one message to an owner
-FRAME_BYTES = 256  # of the value that holds undelivered updates: names of fields and controllers
-BATCHES_PER_HEARTBEAT = 20  # updates are gathered for this part of a heartbeat interval
+MAX_UPDATES_PER_MESSAGE = 200  # in one message to an owner
+VALUE_OVERHEAD_BYTES = (
+    256  # of the value that holds undelivered updates: names of fields and controllers
+)
+MAX_BATCHES_PER_HEARTBEAT = 20  # updates are gathered for this part of a heartbeat interval
 
 
 class UpdateForwarding(AgentPart):
@@ -65,7 +67,7 @@
 
         `found` is what the heartbeat shows of the task.
         """
-        stop, stop_seen = self.committed.bindings.stop_of(key, desired)
+        stop, stop_revision = self.committed.bindings.stop_of(key, desired)
         if found is not None and found.attempt == desired.attempt:
             if found.state is EXITED:
                 machine = heartbeat.machine
@@ -75,7 +77,7 @@
         elif heartbeat.agent_epoch > desired.agent_epoch or (
             heartbeat.agent_epoch == desired.agent_epoch
             and stop != StopMode.KEEP
-            and heartbeat.fencing_token >= stop_seen
+            and heartbeat.fencing_token >= stop_revision
         ):
             # Its epoch is over, or its start can't be accepted any more: it will never run.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
@@ -95,7 +97,7 @@
             self.outbox.setdefault(node, {})[update.key] = update
             if not self.outbox_due:
                 self.outbox_due = True
-                delay_s = self.settings.agent_heartbeat_s / BATCHES_PER_HEARTBEAT
+                delay_s = self.settings.agent_heartbeat_s / MAX_BATCHES_PER_HEARTBEAT
                 send_after(delay_s, self.on_send_updates)
 
     def on_send_updates(self) -> None:
@@ -104,8 +106,8 @@
         outbox, self.outbox = self.outbox, {}
         for node, by_key in outbox.items():
             updates = list(by_key.values())
-            for first in range(0, len(updates), MAX_UPDATES_SENT):
-                batch = updates[first : first + MAX_UPDATES_SENT]
+            for first in range(0, len(updates), MAX_UPDATES_PER_MESSAGE):
+                batch = updates[first : first + MAX_UPDATES_PER_MESSAGE]
                 self.peers[node].call(
                     "POST",
                     peer_paths.TASK_UPDATES,
@@ -126,7 +128,7 @@
     def write_undelivered(self) -> None:
         """Writes what peers could not be told directly to the store, as far as a value takes it."""
         undelivered, self.undelivered = self.undelivered, {}
-        bytes_left = self.settings.value_bytes - FRAME_BYTES
+        bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
         for node, updates in undelivered.items():
             for row in peer_wire.write_task_updates(updates.values()):
--- a/emberglade/agents/wire/agents.py
+++ b/emberglade/agents/wire/agents.py
@@ -66,7 +66,7 @@
     raw_tasks: list
 
     @property
-    def age(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """(agent epoch, sequence): of two messages of a machine, the one with more is newer."""
         return self.agent_epoch, self.sequence
 
@@ -74,19 +74,19 @@
 # --- heartbeats
 
 
-def _count(value: Any) -> int:
+def _read_count(value: Any) -> int:
     if type(value) is not int or not 0 <= value < MAX_COUNT:
         raise HeartbeatError(f"{value!r} is not a count")
     return value
 
 
-def _text(value: Any) -> str:
+def _read_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
         raise HeartbeatError(f"{value!r} is not a text")
     return value
 
 
-def _spot_notice(value: Any) -> float | None:
+def _read_spot_notice(value: Any) -> float | None:
     if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
         raise HeartbeatError(f"reclaim_s {value!r} is not a number")
     return value
@@ -101,19 +101,19 @@
     if not isinstance(data, dict):
         raise HeartbeatError("the report is not an object")
     try:
-        spot_notice_s = _spot_notice(data.get("reclaim_s"))
+        spot_notice_s = _read_spot_notice(data.get("reclaim_s"))
         raw_tasks = data.get("embers") or []
         if not isinstance(raw_tasks, list):
             raise HeartbeatError("embers is not a list")
         return AgentHeartbeat(
-            _text(data["hearth"]),
-            _text(data["addr"]),
-            _text(data["hearth_kind"]),
-            _text(data["glade"]),
+            _read_text(data["hearth"]),
+            _read_text(data["addr"]),
+            _read_text(data["hearth_kind"]),
+            _read_text(data["glade"]),
             bool(data.get("driftwood")),
-            _count(data["kindling_span"]),
-            _count(data["tally"]),
-            _count(data.get("torch") or 0),
+            _read_count(data["kindling_span"]),
+            _read_count(data["tally"]),
+            _read_count(data.get("torch") or 0),
             spot_notice_s,
             raw_tasks,
         )
@@ -130,10 +130,10 @@
     tasks: dict[TaskKey, TaskStatus] = {}
     try:
         for row in raw_tasks:
-            job_id, _, number = _text(row["ember"]).rpartition("/")
+            job_id, _, number = _read_text(row["ember"]).rpartition("/")
             tasks[(job_id, int(number))] = TaskStatus(
-                _count(row["strike"]),
-                TASK_STATES.get(_text(row["glow"]), UNKNOWN),
+                _read_count(row["strike"]),
+                TASK_STATES.get(_read_text(row["glow"]), UNKNOWN),
                 row.get("ashcause"),
                 bool(row.get("stored")),
             )
@@ -219,6 +219,6 @@
     return {"firekeeper": node} if node else {}
 
 
-def write_refusal(reason: object) -> dict:
+def write_error(reason: object) -> dict:
     """The body of a 400 or 503."""
     return {"error": str(reason)}
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -31,7 +31,7 @@
     number: str
     demand: dict
     shortage: dict
-    wall: float
+    wall_time: float
     up_s: float
     contact_age_s: float
     revision: int
@@ -48,7 +48,7 @@
         "t": header.number,
         "parts": NEVER_COMPLETE,
         "d": _write_counts(header.demand),
-        "wall": header.wall,
+        "wall": header.wall_time,
         "z": _write_counts(header.shortage),
         "up": header.up_s,
         "contact": min(peers.MAX_CONTACT_AGE_S, header.contact_age_s),
@@ -116,7 +116,7 @@
 class TableView(NamedTuple):
     """The machines of a complete table: None instead of a view if that is malformed."""
 
-    wall: float
+    wall_time: float
     view: peers.MachineView | None
 
 
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -62,9 +62,9 @@
     def set_machines(self, machines: Mapping[str, Machine]) -> None:
         """Takes over the machines that are there now; what is bound on others stays bound."""
         for name, machine in machines.items():
-            before = self.machines.get(name)
-            if before is None or before.type is not machine.type:
-                self._start_machine(name, machine)
+            previous = self.machines.get(name)
+            if previous is None or previous.type is not machine.type:
+                self._add_machine(name, machine)
         for name in [name for name in self.free if name not in machines]:
             del self.free[name]
             del self.replicas[name]
@@ -72,13 +72,13 @@
                 self.zones.pop(name, None)
         self.machines = machines
 
-    def _start_machine(self, name: str, machine: Machine) -> None:
-        """Counts what is free on a machine that is new, or of another type than before."""
+    def _add_machine(self, name: str, machine: Machine) -> None:
+        """Counts what is free on a machine that is new, or of another type than previous."""
         machine_type = machine.type
         free = Resources(machine_type.cpus, machine_type.gpus, machine_type.ram_gb)
         replicas = 0
         for row in self.bound_tasks.get(name, {}).values():
-            free.take(row.job.spec)
+            free.reserve(row.job.spec)
             replicas += row.job.spec.service
         self.zones[name] = machine.zone
         self.free[name] = free
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -31,7 +31,7 @@
     jobs: "Iterable[Job]",
     objectives: "tuple[ServiceLevelObjective, ...]",
     machine_types: dict[str, MachineType],
-    wall: float,
+    wall_time: float,
 ) -> list[ExpectedTasks]:
     """The tasks expected within a boot time, for classes with a `wait` objective below it.
 
@@ -41,7 +41,7 @@
         jobs: All live jobs: those submitted lately say how many will come.
         objectives: All objectives.
         machine_types: The catalog, by name; the longest boot time counts.
-        wall: The time of day, in seconds.
+        wall_time: The time of day, in seconds.
 
     Returns:
         One row for each class and image of which tasks were submitted lately.
@@ -49,7 +49,7 @@
     boot_s = max((machine_type.boot_s for machine_type in machine_types.values()), default=0.0)
     urgent_classes = _urgent_classes(objectives, boot_s)
     window_s = WINDOW_BOOT_TIMES * boot_s
-    arrivals = _arrivals(jobs, urgent_classes, since=wall - window_s)
+    arrivals = _arrivals(jobs, urgent_classes, since=wall_time - window_s)
     return [ExpectedTasks(job, tasks * boot_s / window_s) for job, tasks in arrivals if tasks]
 
 
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -148,7 +148,7 @@
     for name in usable:
         machine = capacity.machines[name]
         if machine.zone == zone and machine.is_allowed_for(spec):
-            tasks -= tasks_that_fit(spec, capacity.free[name], without_needs=tasks)
+            tasks -= tasks_that_fit(spec, capacity.free[name], unconstrained_count=tasks)
             if tasks <= 0:
                 break
     return tasks
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -10,7 +10,7 @@
     from ..jobs.job_spec import JobSpec
 
 # Of tasks that need no processor, GPU or memory, as many as this count as a machine's fill.
-MAX_TASKS_WITHOUT_NEEDS = 1000
+MAX_UNCONSTRAINED_TASKS = 1000
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
 
     def tasks_that_fit(self, spec: "JobSpec") -> int:
         """How many tasks of a job fit an empty machine."""
-        return tasks_that_fit(spec, self, MAX_TASKS_WITHOUT_NEEDS)
+        return tasks_that_fit(spec, self, MAX_UNCONSTRAINED_TASKS)
 
     def can_run(self, spec: "JobSpec") -> bool:
         """Whether a job allows this type and its zones, and a task of it fits an empty machine."""
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -16,7 +16,7 @@
 
 
 def placement_order(
-    spec: "JobSpec", objectives: "tuple[ServiceLevelObjective, ...]", wall: float
+    spec: "JobSpec", objectives: "tuple[ServiceLevelObjective, ...]", wall_time: float
 ) -> tuple[int, bool, float, float, str]:
     """The key by which jobs are served in a round, the lowest first.
 
@@ -26,14 +26,14 @@
     Args:
         spec: The job.
         objectives: All objectives; those on finishing jobs of its class count.
-        wall: The time of day, in seconds.
+        wall_time: The time of day, in seconds.
 
     Returns:
         The priority, whether the job will be late, when it is due, when it was submitted (both
         times of day, in seconds), and its id.
     """
     due = _due_at(spec, objectives)
-    late = due - wall < spec.estimated_run_s * MIN_ESTIMATE_SHARE
+    late = due - wall_time < spec.estimated_run_s * MIN_ESTIMATE_SHARE
     return spec.priority, late, due, spec.submitted_at, spec.id
 
 
@@ -97,7 +97,7 @@
 
     def max_tasks(self, spec: "JobSpec") -> int:
         """At most so many tasks of a job can be placed: a cheap look that saves most a `place`."""
-        if not has_zone_rule(spec) and self._needs(spec) in self._unplaceable:
+        if not has_zone_rule(spec) and self._requirements(spec) in self._unplaceable:
             return 0
         return self.capacity.tasks_within_quota(spec)
 
@@ -120,7 +120,7 @@
         if machines:
             self._changes.append(_Change(spec, machines, reserved=True))
         if zone_counts is None and len(machines) < count:
-            self._unplaceable.add(self._needs(spec))
+            self._unplaceable.add(self._requirements(spec))
         return machines
 
     def undo_place(self, machines: list[str]) -> None:
@@ -148,7 +148,7 @@
             revert(change.spec, name)
 
     @staticmethod
-    def _needs(spec: "JobSpec") -> tuple[Any, ...]:
+    def _requirements(spec: "JobSpec") -> tuple[Any, ...]:
         """All of a job that says which machines can take a task, but for rules on zones."""
         return spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.allowed_types, spec.zone
 
--- a/emberglade/placement/preemption_rules.py
+++ b/emberglade/placement/preemption_rules.py
@@ -19,7 +19,7 @@
 def guaranteed_jobs(jobs: "Iterable[Job]", teams: dict[str, "Team"]) -> set[str]:
     """The ids of the jobs that fit into their team's guarantee, with the team's earlier ones."""
     usages: dict[str, TeamUsage] = {}
-    found = set()
+    guaranteed = set()
     for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
         spec = job.spec
         team = teams.get(spec.team)
@@ -30,8 +30,8 @@
         if usage.cpus <= team.guaranteed_cpus + ROUNDING_TOLERANCE and (
             usage.gpus <= team.guaranteed_gpus + ROUNDING_TOLERANCE or not spec.gpus
         ):
-            found.add(job.id)
-    return found
+            guaranteed.add(job.id)
+    return guaranteed
 
 
 def may_preempt(
--- a/emberglade/placement/resources.py
+++ b/emberglade/placement/resources.py
@@ -54,13 +54,13 @@
             and self.gpus + ROUNDING_TOLERANCE >= spec.gpus
         )
 
-    def take(self, spec: "JobSpec") -> None:
+    def reserve(self, spec: "JobSpec") -> None:
         """Takes what one task of a job needs, whether it fits or not."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.ram_gb -= spec.ram_gb
 
-    def give_back(self, spec: "JobSpec") -> None:
+    def release(self, spec: "JobSpec") -> None:
         """Gives back what one task of a job took."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
@@ -95,13 +95,13 @@
         return max(0, tasks)
 
 
-def tasks_that_fit(spec: "JobSpec", available: Amounts, without_needs: int) -> int:
+def tasks_that_fit(spec: "JobSpec", available: Amounts, unconstrained_count: int) -> int:
     """How many tasks of a job fit into an amount.
 
     Args:
         spec: The job.
         available: The amount.
-        without_needs: The answer for a job whose tasks need nothing.
+        unconstrained_count: The answer for a job whose tasks need nothing.
     """
     ratios = [
         amount / need
@@ -112,4 +112,4 @@
         )
         if need > 0
     ]
-    return int(min(ratios, default=without_needs) + ROUNDING_TOLERANCE)
+    return int(min(ratios, default=unconstrained_count) + ROUNDING_TOLERANCE)
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -20,23 +20,23 @@
 
 Victims = dict[str, list[BoundTask]]
 # Whether a task was bound so lately that its start does not count once it is stopped.
-IsFresh = Callable[[BoundTask], bool]
+IsRecentlyBound = Callable[[BoundTask], bool]
 
 
-def victim_cost(spec: "JobSpec", fresh: bool) -> tuple[int, bool, bool]:
+def victim_cost(spec: "JobSpec", recently_bound: bool) -> tuple[int, bool, bool]:
     """The key of what stopping a task costs, the least first.
 
-    The lowest priority first, then work that saves checkpoints, then what is no fresh start.
+    The lowest priority first, then work that saves checkpoints, then what is no recently_bound start.
     """
-    return -spec.priority, spec.checkpoint_interval_s <= 0, fresh
+    return -spec.priority, spec.checkpoint_interval_s <= 0, recently_bound
 
 
-def victim_order(row: BoundTask, fresh: bool) -> tuple[int, bool, bool, str, int]:
+def victim_order(bound_task: BoundTask, recently_bound: bool) -> tuple[int, bool, bool, str, int]:
     """The key by which possible victims are ordered, the first to go first: by `victim_cost`."""
     # That key in place: it is asked for every task that may be stopped.
-    job, task, _ = row
+    job, task, _ = bound_task
     spec = job.spec
-    return -spec.priority, spec.checkpoint_interval_s <= 0, fresh, spec.id, task
+    return -spec.priority, spec.checkpoint_interval_s <= 0, recently_bound, spec.id, task
 
 
 def victims_for_quota(
@@ -44,7 +44,7 @@
     stoppable: Victims,
     capacity: ClusterCapacity,
     teams: dict[str, "Team"],
-    is_fresh: IsFresh,
+    is_recently_bound: IsRecentlyBound,
 ) -> list[BoundTask]:
     """Victims of the same team whose end brings one task of a job within the team's quota.
 
@@ -55,20 +55,20 @@
     usage = capacity.usage_of(spec.team)
     excess_cpus = _excess(usage.cpus + spec.cpus, team.cpu_quota)
     excess_gpus = _excess(usage.gpus + spec.gpus, team.gpu_quota)
-    of_team = [
-        row
-        for rows in stoppable.values()
-        for row in rows
-        if row.job.spec.team == spec.team and row.job.spec.priority > spec.priority
+    team_tasks = [
+        bound_task
+        for bound_tasks in stoppable.values()
+        for bound_task in bound_tasks
+        if bound_task.job.spec.team == spec.team and bound_task.job.spec.priority > spec.priority
     ]
-    of_team.sort(key=lambda row: victim_order(row, is_fresh(row)))
+    team_tasks.sort(key=lambda bound_task: victim_order(bound_task, is_recently_bound(bound_task)))
     victims = []
-    for row in of_team:
+    for bound_task in team_tasks:
         if excess_cpus <= ROUNDING_TOLERANCE and excess_gpus <= ROUNDING_TOLERANCE:
             break
-        victims.append(row)
-        excess_cpus -= row.job.spec.cpus
-        excess_gpus -= row.job.spec.gpus
+        victims.append(bound_task)
+        excess_cpus -= bound_task.job.spec.cpus
+        excess_gpus -= bound_task.job.spec.gpus
     return victims
 
 
@@ -94,10 +94,12 @@
         if not machine.is_allowed_for(spec) or not zone_allows(spec, zones.counts, machine.zone):
             continue
         free = capacity.free[name]
-        more = freed.get(name)
-        if more is not None:
+        freed_here = freed.get(name)
+        if freed_here is not None:
             free = Resources(
-                free.cpus + more.cpus, free.gpus + more.gpus, free.ram_gb + more.ram_gb
+                free.cpus + freed_here.cpus,
+                free.gpus + freed_here.gpus,
+                free.ram_gb + freed_here.ram_gb,
             )
         if free.fits(spec):
             return True
@@ -107,8 +109,10 @@
 def _freed_by(victims: list[BoundTask]) -> dict[str, Resources]:
     """What the end of these tasks frees, by machine."""
     freed: dict[str, Resources] = {}
-    for row in victims:
-        freed.setdefault(row.binding.machine, Resources(0.0, 0.0, 0.0)).give_back(row.job.spec)
+    for bound_task in victims:
+        freed.setdefault(bound_task.binding.machine, Resources(0.0, 0.0, 0.0)).release(
+            bound_task.job.spec
+        )
     return freed
 
 
@@ -117,7 +121,7 @@
     stoppable: Victims,
     placement_round: PlacementRound,
     teams: dict[str, "Team"],
-    is_fresh: IsFresh,
+    is_recently_bound: IsRecentlyBound,
 ) -> list[BoundTask] | None:
     """The cheapest victims on one machine whose end makes room for one task of a job, or None."""
     spec = job.spec
@@ -127,17 +131,17 @@
         return None
     search = _VictimSearch(job, capacity, teams)
     candidates = []
-    for name, rows in stoppable.items():
+    for name, bound_tasks in stoppable.items():
         if name not in placement_round.usable:
             continue
         machine = capacity.machines[name]
         if not machine.is_allowed_for(spec) or not zone_allows(spec, zones.counts, machine.zone):
             continue
-        victims = search.victims_on(name, rows)
+        victims = search.victims_on(name, bound_tasks)
         if victims:
             image_missing = spec.image_gb > 0 and not placement_round.images.has(name, spec.image)
             last = victims[-1]
-            cost = victim_cost(last.job.spec, is_fresh(last))
+            cost = victim_cost(last.job.spec, is_recently_bound(last))
             candidates.append(((image_missing, cost, len(victims), name), victims))
     # No two costs are alike, since each holds the name of its machine.
     return min(candidates)[1] if candidates else None
@@ -152,20 +156,20 @@
         self.teams = teams
         self._may_preempt: dict[str, bool] = {}  # by the id of the victims' job
 
-    def victims_on(self, name: str, rows: list[BoundTask]) -> list[BoundTask]:
+    def victims_on(self, name: str, bound_tasks: list[BoundTask]) -> list[BoundTask]:
         """The first of a machine's tasks whose end makes room; empty if nothing does."""
         spec = self.job.spec
         free = self.capacity.free[name]
         victims: list[BoundTask] = []
-        for row in rows:
+        for bound_task in bound_tasks:
             if free.fits(spec):
                 break
-            if not self._is_allowed(row.job):
+            if not self._is_allowed(bound_task.job):
                 continue
             if not victims:
                 free = free.copy()
-            victims.append(row)
-            free.give_back(row.job.spec)
+            victims.append(bound_task)
+            free.release(bound_task.job.spec)
         return victims if victims and free.fits(spec) else []
 
     def _is_allowed(self, victim: "Job") -> bool:
