--- a/emberglade/agents/__init__.py
+++ b/emberglade/agents/__init__.py
@@ -1,4 +1,4 @@
-"""Agents: their heartbeats, the commands to them, and which machines there are."""
+"""Agents: their heartbeats, the commands sent to them, and the inventory of machines."""
 
 from .manager import AgentManager
 from .wire.peers import (
--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -9,16 +9,17 @@
 
 
 class AgentRecord:
-    """A machine as its agent's newest message here shows it.
+    """A machine as its agent's newest message to this controller shows it.
 
     Attributes:
         heartbeat: That message.
-        tasks: Its tasks, once they were needed.
-        heartbeat_at: When it came.
-        contact_at: When the machine was last heard or answered: its lease may have been renewed.
-        settled: Its last heartbeat led to nothing and waited for nothing.
-        unreachable: Our answers don't reach it, as far as can be seen.
-        probe_token: A fencing token that its heartbeats show once it hears us again.
+        tasks: Its tasks; None until they have been parsed.
+        heartbeat_at: When it arrived.
+        contact_at: When this controller last received a message from the machine or answered it,
+            and so may have renewed its lease.
+        settled: Its last heartbeat needed no action and none is pending.
+        unreachable: Our answers do not seem to reach it.
+        probe_token: A fencing token that its heartbeats will show once it receives our answers.
     """
 
     __slots__ = (
@@ -41,14 +42,14 @@
         self.probe_token: int | None = None
 
     def last_seen(self) -> LastSeen:
-        """The same as evidence."""
+        """This record as a LastSeen."""
         age_s = self.heartbeat_at - self.contact_at
         values = machine_values(self.heartbeat, age_s, self.unreachable)
         return LastSeen(MachineStatus._make(values), self.contact_at)
 
 
 class AgentRecords:
-    """All AgentRecords, by machine."""
+    """All AgentRecords by machine."""
 
     def __init__(self, settings: Any, evidence: LeaseEvidence) -> None:
         self.settings = settings
@@ -56,17 +57,18 @@
         self.by_machine: dict[str, AgentRecord] = {}
 
     def get(self, machine: str) -> AgentRecord | None:
-        """The record of a machine, or None if it sends no heartbeats here."""
+        """The record of a machine, or None if it sends no heartbeats to this controller."""
         return self.by_machine.get(machine)
 
     def known_machines(
         self, now: float, within_s: float, machines: Iterable[str] | None = None
     ) -> dict[str, tuple]:
-        """{machine: its `machine_values`} of whom this controller has to speak.
+        """{machine: its `machine_values`} for the machines that this controller reports to peers.
 
-        These are the machines that were heard here within `within_s`, and others of which nobody
-        has newer news: agents go from controller to controller, and each would soon speak of them
-        all. `machines` names the only ones to look at.
+        These are the machines that sent a heartbeat here within `within_s`, and older ones of which
+        no controller has a newer message: agents move from controller to controller, and without
+        this limit each controller would soon report all machines. `machines` restricts the result
+        to these names.
         """
         records: Iterable[tuple[str, AgentRecord]] = self.by_machine.items()
         if machines is not None:
@@ -90,7 +92,7 @@
         return values
 
     def forget_old(self, now: float) -> None:
-        """Forgets machines that were not heard here for FORGET_AFTER_LEASES leases."""
+        """Drops machines without a heartbeat here for FORGET_AFTER_LEASES leases."""
         forget_after_s = FORGET_AFTER_LEASES * self.settings.lease_s
         old = [
             name
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -1,4 +1,4 @@
-"""The committed bindings: which tasks belong on which machine, and how they are to be stopped."""
+"""The committed bindings: which tasks run on which machine, and how they are to be stopped."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -9,18 +9,18 @@
 from .cancelled_jobs import CancelledJobs
 from .wire.agents import TaskKey
 
-# Places in the row of a stored binding.
+# Indexes into the row of a stored binding.
 ROW_ATTEMPT = 0
 ROW_MACHINE = 1
 
 
 class DesiredTask(NamedTuple):
-    """A task that belongs on a machine.
+    """The desired state of a task on a machine.
 
     Attributes:
         stop: KEEP, STOP or SAVE.
-        stop_revision: The revision at which the stop was seen.
-        agent_epoch: Of the machine; in a later one the binding means nothing.
+        stop_revision: The revision at which the stop was first seen.
+        agent_epoch: The machine's agent epoch; the binding is void in a later one.
     """
 
     attempt: int
@@ -29,16 +29,16 @@
     agent_epoch: int
 
 
-# A binding that is new, or whose stop is: (machine, key, what the change made of it). One is made
-# for every binding that changes, so it is a plain tuple.
+# A binding that is new or has a new stop: (machine, key, its desired state after the change). A
+# plain tuple, because one is created for every binding that changes.
 ChangedBinding = tuple[str, TaskKey, DesiredTask]
 
 
 class LiveJob:
-    """What the agents have of a live job: only what decides over commands.
+    """The part of a live job's record that determines commands to agents.
 
     Attributes:
-        generation: Of the layout of its chunks.
+        generation: Identifies the current layout of its chunks.
         chunks: {number of a chunk: {task: its binding's row as stored}}.
     """
 
@@ -50,13 +50,13 @@
         self.chunks: dict[int, dict[int, list]] = {}
 
     def bindings(self) -> Iterator[tuple[int, list]]:
-        """(task, row as stored) of all bound tasks."""
+        """Yields (task, row as stored) of all bound tasks."""
         for rows in self.chunks.values():
             yield from rows.items()
 
 
 class EarlyChunks:
-    """Chunks seen before their job, or of a layout that its record does not name yet."""
+    """Chunks received before their job's record, or of a layout that it does not name yet."""
 
     def __init__(self) -> None:
         # job -> {(generation, number): (chunk, mod revision)}
@@ -67,14 +67,14 @@
         self.by_job.setdefault(job_id, {})[(generation, number)] = (chunk, revision)
 
     def discard(self, job_id: str, generation: str, number: int) -> None:
-        """Forgets a chunk that was removed."""
+        """Drops a chunk that was removed from the store."""
         chunks = self.by_job.get(job_id)
         if chunks is not None:
             chunks.pop((generation, number), None)
             self._forget_if_empty(job_id)
 
     def take(self, job_id: str, generation: str) -> dict[int, tuple[dict, int]]:
-        """Takes out {number: (chunk, mod revision)} of a job's chunks of this layout."""
+        """Removes and returns {number: (chunk, mod revision)} of a job's chunks of this layout."""
         chunks = self.by_job.get(job_id, {})
         taken = {
             number: chunks.pop((chunk_generation, number))
@@ -85,7 +85,7 @@
         return taken
 
     def forget(self, job_id: str) -> None:
-        """Forgets all chunks of a job."""
+        """Drops all chunks of a job."""
         self.by_job.pop(job_id, None)
 
     def _forget_if_empty(self, job_id: str) -> None:
@@ -94,13 +94,13 @@
 
 
 class CommittedBindings:
-    """The bindings of all live jobs, kept in step with the replica.
+    """The bindings of all live jobs, kept up to date with the replica.
 
     Attributes:
         jobs: {job: LiveJob}.
-        by_machine: {machine: {(job, task): DesiredTask}}; no empty ones.
+        by_machine: {machine: {(job, task): DesiredTask}}; machines without tasks are absent.
         changed_machines: Machines whose bindings or taint changed since their last heartbeat here.
-        changed: The ChangedBindings of the replica's change that is being applied.
+        changed: The ChangedBindings of the change of the replica that is being applied.
     """
 
     def __init__(self, cancelled: CancelledJobs) -> None:
@@ -116,7 +116,7 @@
         return self.by_machine.get(machine, {})
 
     def stop_of(self, key: TaskKey, desired: DesiredTask) -> tuple[StopMode, int]:
-        """(how it is to be stopped; the revision at which that was seen) of a bound task."""
+        """(how a bound task is to be stopped, the revision at which that was first seen)."""
         cancellation = self.cancelled.by_job.get(key[0])
         if cancellation is None:
             return desired.stop, desired.stop_revision
@@ -125,20 +125,20 @@
         return StopMode.STOP, cancellation.revision
 
     def take_changed(self) -> list[ChangedBinding]:
-        """Takes out what has changed since the last call."""
+        """Removes and returns the bindings that changed since the last call."""
         changed, self.changed = self.changed, []
         return changed
 
-    # --- the replica's changes
+    # --- changes of the replica
 
     def keep_only(self, job_ids: Iterable[str]) -> None:
-        """Forgets all jobs but these."""
+        """Drops all jobs except these."""
         kept = set(job_ids)
         for job_id in [job_id for job_id in self.jobs if job_id not in kept]:
             self.drop(job_id)
 
     def apply_record(self, job_id: str, record: dict, mod_revision: int) -> None:
-        """Takes over a job's own record, and with it its first chunk."""
+        """Applies a job's own record, which contains its first chunk."""
         job = self.jobs.get(job_id)
         generation = jobs_wire.read_generation(record)
         if job is None:
@@ -150,7 +150,7 @@
         self._put_chunk(job_id, job, 0, jobs_wire.first_chunk(record), mod_revision)
 
     def apply_chunk(self, key: str, chunk: dict | None, mod_revision: int) -> None:
-        """Takes over the further chunk at a key; None: it was removed."""
+        """Applies the further chunk at a key; None: it was removed."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
         job = self.jobs.get(job_id)
         if job is not None and generation == job.generation:
@@ -161,12 +161,12 @@
             self.early_chunks.discard(job_id, generation, number)
 
     def note_cancelled(self, job_id: str, job: LiveJob, revision: int) -> None:
-        """Notes that a job is cancelled, as seen at `revision`."""
+        """Records that a job is cancelled, as seen at `revision`."""
         self.changed_machines.update(machine for _, (_, machine, *_) in job.bindings())
         self.cancelled.add(job_id, revision)
 
     def drop(self, job_id: str) -> None:
-        """Forgets a job that is over."""
+        """Drops a job that is finished."""
         job = self.jobs.pop(job_id, None)
         self.early_chunks.forget(job_id)
         self.cancelled.forget(job_id)
@@ -186,7 +186,7 @@
     def _change_layout(
         self, job_id: str, job: LiveJob, generation: str, record: dict, mod_revision: int
     ) -> None:
-        """The record names other chunks. Tasks that both show bound stay so, in one step."""
+        """Switches to the chunks that the record names; tasks bound in both layouts stay bound."""
         old = dict(job.bindings())
         chunks = {
             number: jobs_wire.binding_rows(chunk)
@@ -207,13 +207,13 @@
     def _rebind(
         self, job_id: str, old: dict[int, list], new: dict[int, list], mod_revision: int
     ) -> None:
-        """Makes the bound tasks `old` of a job `new`; only differences cost anything."""
+        """Replaces a job's bound tasks `old` by `new`; the cost is that of the differences."""
         for task, row in old.items():
             new_row = new.get(task)
             if new_row != row:
                 before = self._unbind((job_id, task), row)
                 if new_row is not None and new_row[ROW_ATTEMPT] == before.attempt:
-                    # A stop counts from when it was first seen.
+                    # The revision at which a stop was first seen is kept.
                     stop_revision = (
                         before.stop_revision if before.stop != StopMode.KEEP else mod_revision
                     )
@@ -224,7 +224,7 @@
                 self._bind((job_id, task), row, mod_revision)
 
     def _unbind(self, key: TaskKey, row: list) -> DesiredTask:
-        """Removes a binding and returns what it was."""
+        """Removes a binding and returns its desired state."""
         machine = row[ROW_MACHINE]
         bound = self.by_machine[machine]
         before = bound.pop(key)
--- a/emberglade/agents/cancelled_jobs.py
+++ b/emberglade/agents/cancelled_jobs.py
@@ -1,10 +1,10 @@
-"""Which live jobs are cancelled, as the replica shows it or a peer has announced it."""
+"""The cancelled jobs among the live ones, as the replica shows them or a peer announced them."""
 
 from dataclasses import dataclass, field
 
 from ..actors import Actor, ActorPart
 
-# Heartbeat intervals after which the controllers that did not confirm a cancellation halt as well.
+# After this delay, controllers that did not confirm the cancellation themselves halt the job too.
 HALT_DELAY_HEARTBEATS = 3
 
 
@@ -13,9 +13,9 @@
     """A cancelled job that is still live.
 
     Attributes:
-        revision: At which the cancellation was seen.
-        halt_due_at: From when on this controller halts the job's tasks directly.
-        ended: (task, attempt) that its machine's own agent states ended.
+        revision: The revision at which the cancellation was seen.
+        halt_due_at: When this controller starts to halt the job's tasks directly.
+        ended: (task, attempt) pairs that the machine's own agent reported as ended.
     """
 
     revision: int
@@ -28,7 +28,7 @@
 
     Attributes:
         by_job: {live job in the replica: its Cancellation}.
-        announced: {job: revision}, by a peer, of what the replica does not show yet.
+        announced: {job: revision}, announced by peers and not yet shown by the replica.
     """
 
     def __init__(self, actor: Actor, agent_heartbeat_s: float) -> None:
@@ -41,20 +41,23 @@
         return job_id in self.by_job or job_id in self.announced
 
     def add(self, job_id: str, revision: int) -> None:
-        """Notes the cancellation of a job in the replica; others halt its tasks first."""
+        """Records the cancellation of a job in the replica; its tasks are halted after a delay.
+
+        Before that, the controller that confirms the cancellation halts them.
+        """
         self.by_job[job_id] = Cancellation(revision, self.now() + self.halt_delay_s)
 
     def forget(self, job_id: str) -> None:
-        """Forgets a job that is over."""
+        """Drops a job that is finished."""
         self.by_job.pop(job_id, None)
 
     def revision(self, job_id: str) -> int:
-        """The revision at which the cancellation of a job in here was seen."""
+        """The revision at which a job's cancellation was seen; the job must be in `self`."""
         cancellation = self.by_job.get(job_id)
         return cancellation.revision if cancellation is not None else self.announced[job_id]
 
     def due(self, now: float) -> list[str]:
-        """The jobs whose tasks this controller is to halt directly."""
+        """The jobs whose tasks this controller has to halt directly."""
         return [
             job_id
             for job_id, cancellation in self.by_job.items()
@@ -62,11 +65,11 @@
         ]
 
     def advance_all(self, now: float) -> None:
-        """All cancelled jobs' tasks are to be halted directly from now on, if not before."""
+        """Makes the direct halts of all cancelled jobs due now."""
         for cancellation in self.by_job.values():
             cancellation.halt_due_at = min(cancellation.halt_due_at, now)
 
     def forget_announced(self, revision: int) -> None:
-        """Forgets announcements that the replica shows, now that it is at `revision`."""
+        """Drops announcements that the replica, which is at `revision` now, shows itself."""
         for job_id in [job_id for job_id, seen in self.announced.items() if seen <= revision]:
             del self.announced[job_id]
--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -1,4 +1,4 @@
-"""All that the agents take from the replica."""
+"""The part of the replica that the agent manager uses."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -19,12 +19,12 @@
 
 @dataclass
 class ReplicaChange:
-    """What a change of the replica brought besides what is kept in CommittedState.
+    """What follows from a change of the replica, besides the new CommittedState.
 
     Attributes:
-        bindings: What was bound, or is to be stopped.
+        bindings: New bindings, and bindings that have to be stopped.
         controllers: Controllers whose keys or tables changed.
-        task_updates: Updates for this controller, which their senders could not tell it.
+        task_updates: Updates for this controller that their senders could not deliver directly.
     """
 
     bindings: list[ChangedBinding] = field(default_factory=list)
@@ -33,17 +33,17 @@
 
 
 class CommittedState(ActorPart):
-    """What the replica shows of jobs, machines and controllers.
+    """Jobs, machines and controllers as the replica shows them.
 
     Attributes:
-        bindings: Of all live jobs.
-        cancelled: The cancelled ones among them.
-        taints: Of machines.
+        bindings: The bindings of all live jobs.
+        cancelled: The cancelled jobs among them.
+        taints: The taints of machines.
         owners: {shard: controller}.
-        machine_types: {name: MachineType}, of the catalog.
-        controllers: Those whose keys are there.
-        tables: {controller: {key: what it holds}}, of its own key and its overflow values.
-        revision: The newest that the replica shows; -1 before there is one.
+        machine_types: {name: MachineType}, from the catalog.
+        controllers: The controllers whose keys exist.
+        tables: {controller: {key: value}}: its own key and the overflow keys of its table.
+        revision: The newest revision that the replica shows; -1 while there is no replica.
     """
 
     def __init__(self, actor: Actor, settings: Any) -> None:
@@ -59,21 +59,21 @@
         self.revision = -1
 
     def owner_of(self, spec: JobSpec) -> str | None:
-        """The controller that holds a job."""
+        """The controller that owns a job."""
         shard = shard_of(spec, self.settings.teams, shard_count(self.settings))
         return self.owners.get(shard)
 
     def note_announced(self, job_id: str, revision: int) -> None:
-        """Notes a cancellation that a peer has announced."""
+        """Records a cancellation that a peer has announced."""
         if revision <= self.revision:
-            return  # shown by the replica, if the job is not over by now
+            return  # the replica shows it already, unless the job is finished
         self.cancelled.announced[job_id] = revision
         job = self.bindings.jobs.get(job_id)
         if job is not None and job_id not in self.cancelled.by_job:
             self.bindings.note_cancelled(job_id, job, revision)
 
     def apply(self, events: list, revision: int, is_snapshot: bool) -> ReplicaChange:
-        """Takes over a change of the replica, as `ReplicaSubscriber` is told of it."""
+        """Applies a change of the replica, as `ReplicaSubscriber` receives it."""
         if is_snapshot:
             self._forget_missing(events)
         change = ReplicaChange()
@@ -84,7 +84,7 @@
         return change
 
     def _forget_missing(self, events: list) -> None:
-        """Forgets what the whole replica, read anew, may not show any more."""
+        """Drops whatever a snapshot of the replica no longer contains."""
         self.bindings.keep_only(
             jobs_wire.job_id_of(key)
             for key, data, _ in events
@@ -119,7 +119,7 @@
             self.machine_types = read_machine_types(data)
 
     def _apply_controller(self, key: str, data: Any, change: ReplicaChange) -> None:
-        """A controller's own key, with the first value of its table."""
+        """Applies a controller's own key, which holds the first value of its table."""
         node = key[len(records.NODE_PREFIX) :]
         change.controllers.add(node)
         if data is None:
@@ -130,7 +130,7 @@
             self.tables.setdefault(node, {})[key] = data
 
     def _apply_overflow(self, key: str, data: Any, change: ReplicaChange) -> None:
-        """A further value of a controller's table."""
+        """Applies a further value of a controller's table."""
         node = records.overflow_owner(key)
         if data is None:
             self.tables.get(node, {}).pop(key, None)
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -14,17 +14,17 @@
 
 log = logging.getLogger("emberglade.agents")
 
-# With these an agent's answer holds a heartbeat: commands executed, or refused as out of date.
+# Answers that contain a heartbeat: the commands were executed, or rejected as outdated.
 ANSWERS_WITH_HEARTBEAT = (200, 409)
 
 
 class DirectCommands(AgentPart):
-    """Starts what was just bound and stops what is preempted, of the jobs that we hold.
+    """Starts newly bound tasks and stops preempted ones, for jobs that this controller owns.
 
     The fencing token is the revision of the replica that shows the binding. Whatever ends the
     binding is committed later and fenced with that later revision, or ends the agent epoch named
-    here; so however late a start arrives, it can't act after either (docs/safety.md, 6). A stop is
-    of an attempt that is never started again, so it does no harm at any time.
+    here; so however late a start arrives, it has no effect after either (docs/safety.md, 6). A stop
+    names an attempt that is never started again, so it does no harm at any time.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.updates = updates
 
     def send(self, changes: list[ChangedBinding]) -> None:
-        """Commands what follows from these new bindings and stops, one message an agent."""
+        """Sends the commands for these new bindings and stops, one message per agent."""
         commands: dict[tuple[str, int], list[Command]] = {}  # (machine, agent epoch) -> commands
         for machine, key, changed in changes:
             command = self._command_for(machine, key, changed)
@@ -50,10 +50,11 @@
             self._send_to(machine, agent_epoch, commands_for_agent, now)
 
     def _command_for(self, machine: str, key: TaskKey, changed: DesiredTask) -> Command | None:
-        """The command that a new binding or stop calls for, if it is this controller's to give.
+        """The command for a new binding or stop, if this controller owns the job; else None.
 
-        Once broken: the binding and its stop came in one change, and the start went out all the
-        same, with a fencing token above the stop's (protocol_rules/bound_and_stopped.txt).
+        The command follows from the current binding, not from `changed`: if a binding and its stop
+        arrived in one change, the start was sent with a fencing token above that of the stop
+        (protocol_rules/bound_and_stopped.txt).
         """
         bindings = self.committed.bindings
         desired = bindings.of_machine(machine).get(key)
@@ -72,7 +73,7 @@
         return halt_command(bindings, key, desired.attempt, desired.stop)
 
     def _send_to(self, machine: str, agent_epoch: int, commands: list[Command], now: float) -> None:
-        """Sends an agent those of the commands that it may have just now."""
+        """Sends an agent those of the commands that it may receive now."""
         last_seen = self.evidence.last_seen.get(machine)
         if last_seen is None:
             return
@@ -103,10 +104,10 @@
     def apply_answer(
         self, machine: str, status: int, body: Any
     ) -> tuple[AgentHeartbeat, dict[TaskKey, TaskStatus]] | None:
-        """Takes over the heartbeat in an agent's answer, newer than what is known here.
+        """Applies the heartbeat in an agent's answer if it is newer than the last one.
 
         Returns:
-            The heartbeat and its tasks; None if the answer holds none.
+            The heartbeat and its tasks; None if the answer contains none.
         """
         if status not in ANSWERS_WITH_HEARTBEAT:
             return None
@@ -114,10 +115,16 @@
             heartbeat = agent_wire.read_heartbeat(body)
             tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
         except agent_wire.HeartbeatError as error:
-            log.info("%s answered a command with a malformed heartbeat: %s", machine, error)
+            log.info(
+                "machine %s answered a direct command with a malformed heartbeat; "
+                "ignoring the answer: %s",
+                machine,
+                error,
+            )
             return None
         record = self.records.get(heartbeat.machine)
-        # Direct commands renew no lease, and where the agent turns to is not ours to say.
+        # A direct command neither renews a lease nor makes the agent send its heartbeats here, so
+        # no record is added.
         if record is not None and record.heartbeat.version < heartbeat.version:
             record.heartbeat = heartbeat
             record.tasks = tasks
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -1,10 +1,10 @@
 """Halts of cancelled jobs' tasks, sent directly to their machines.
 
 A cancellation reaches a task in the next answer to its machine's heartbeat, if the controller that
-answers has seen it. One that the store refuses has not, and its machines go on turning to it. So
-the controller that confirms a cancellation halts the tasks itself and tells the others, and every
-other one that knows of it does so a little later if the record still shows them
-(docs/safety.md, 8).
+answers has seen it. A controller without contact with the store has not, and its machines go on
+using it. So the controller that confirms a cancellation to a user halts the tasks itself and
+notifies its peers, and every other controller that knows of the cancellation halts them a little
+later if the record still shows them (docs/safety.md, 8).
 """
 
 from typing import Any, NamedTuple
@@ -19,12 +19,12 @@
 from .wire import peers as peer_wire
 from .wire.agents import EXITED, AgentHeartbeat, HaltTask, TaskKey, TaskStatus
 
-COMMANDS_REFUSED = 409  # the agent has seen a higher fencing token, or is in another epoch
-DESCRIPTORS_PER_HALT = 128  # of the process's limit, for one halt that awaits its answer
+COMMANDS_REFUSED = 409  # the agent has seen a higher fencing token, or is in another agent epoch
+DESCRIPTORS_PER_HALT = 128  # one unanswered halt per this many file descriptors of the limit
 
 
 class SentHalt(NamedTuple):
-    """The last direct halt of a machine: its agent epoch, and when it was sent."""
+    """The last direct halt sent to a machine."""
 
     agent_epoch: int
     sent_at: float
@@ -34,7 +34,7 @@
 
 
 class DirectHalts(AgentPart):
-    """Sees to it that cancelled tasks end, whoever their machines send heartbeats to."""
+    """Halts cancelled tasks, whichever controller their machines send heartbeats to."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         self.agent_clients = agent_clients
         self.direct_commands = direct_commands
         self.last_halts: dict[str, SentHalt] = {}  # by machine
-        self.awaiting_answer: set[str] = set()  # machines that were sent one
-        # Machines that hang hold a thread each until they time out; starts need some as well.
+        self.awaiting_answer: set[str] = set()  # machines with an unanswered halt
+        # Each unresponsive machine blocks a thread until the timeout; starts need threads as well.
         self.max_awaiting = max(2, self.settings.fd_limit // DESCRIPTORS_PER_HALT)
-        self.halts_deferred = False  # some wait for others to be answered
+        self.halts_deferred = False  # halts are pending because too many are unanswered
 
     def confirm(self, job_id: str) -> None:
-        """Halts a job and tells the peers: a user is being told that it is cancelled."""
+        """Halts a job and notifies the peers: a user is being told that it is cancelled."""
         cancellation = self.committed.cancelled.by_job.get(job_id)
         if cancellation is None:
             return
@@ -71,12 +71,12 @@
         self.halt_job(job_id)
 
     def take_over_halts(self) -> None:
-        """Sends all halts that are due: a peer that has ended may not have sent its own."""
+        """Sends all pending halts: a dead peer may not have sent its own."""
         self.committed.cancelled.advance_all(self.now())
         self._halt_due_jobs()
 
     def on_repeat_halts(self) -> None:
-        """Handles `repeat_halts`, sent to itself twice in a heartbeat interval."""
+        """Handles `repeat_halts`, a timer of half a heartbeat interval."""
         send_after(self.settings.agent_heartbeat_s / 2, self.on_repeat_halts)
         self.committed.cancelled.forget_announced(self.committed.revision)
         self.last_halts = {
@@ -92,7 +92,7 @@
             self.halt_job(job_id)
 
     def halt_job(self, job_id: str) -> None:
-        """Sends what is still bound of a cancelled job a halt, until its machine shows it ended."""
+        """Sends halts for a cancelled job's bound tasks that are not known to have ended."""
         cancellation = self.committed.cancelled.by_job[job_id]
         now = self.now()
         for machine, agent_epoch in self._agents_to_halt(job_id, cancellation):
@@ -113,14 +113,14 @@
                 self._send_halts(machine, agent_epoch, addr, self.committed.revision)
 
     def _agents_to_halt(self, job_id: str, cancellation: Cancellation) -> list[tuple[str, int]]:
-        """The (machine, agent epoch) that a job's tasks are bound to, without those that ended."""
+        """The (machine, agent epoch) of a job's bound tasks that are not known to have ended."""
         job = self.committed.bindings.jobs[job_id]
         agents = (
             (machine, agent_epoch)
             for task, (attempt, machine, agent_epoch, *_) in job.bindings()
             if (task, attempt) not in cancellation.ended
         )
-        return list(dict.fromkeys(agents))  # each once, in the order of the record
+        return list(dict.fromkeys(agents))  # without duplicates, in the record's order
 
     def _may_halt(self, last_seen: LastSeen, machine: str, agent_epoch: int) -> bool:
         return (
@@ -133,7 +133,7 @@
         """Halts all of a machine's cancelled tasks in one message.
 
         Its fencing token is at least the revision of the cancellation, so that no start from before
-        it, on its way however long, is accepted afterwards.
+        the cancellation is accepted afterwards, however late it arrives.
         """
         commands = []
         for key, desired in self.committed.bindings.of_machine(machine).items():
@@ -163,7 +163,7 @@
         status: int,
         body: Any,
     ) -> None:
-        """Handles an agent's answer to a direct halt: notes what has ended, or tries again."""
+        """Handles an agent's answer to a direct halt: records ended tasks, or sends it again."""
         self.awaiting_answer.discard(machine)
         answer = self.direct_commands.apply_answer(machine, status, body)
         if answer is None:
@@ -174,7 +174,7 @@
             and heartbeat.agent_epoch == agent_epoch
             and heartbeat.fencing_token > fencing_token
         ):
-            # It has seen a newer fencing token. Halts of what is cancelled are true at any time.
+            # The agent has seen a newer fencing token. A halt of a cancelled task is always valid.
             self._send_halts(machine, agent_epoch, addr, heartbeat.fencing_token)
             return
         self._note_ended(machine, heartbeat, tasks)
@@ -184,7 +184,7 @@
     def _note_ended(
         self, machine: str, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]
     ) -> None:
-        """Notes which cancelled tasks a machine's heartbeat shows ended."""
+        """Records which cancelled tasks have ended according to a machine's heartbeat."""
         for key, desired in self.committed.bindings.of_machine(machine).items():
             cancellation = self.committed.cancelled.by_job.get(key[0])
             if cancellation is None:
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,7 +1,7 @@
 """Answers agents' heartbeats.
 
-Every controller answers any agent. Commands are derived from the replica alone, and a start only
-from a replica synced after the heartbeat arrived; the arguments are in docs/safety.md.
+Every controller may answer any agent. Commands are derived from the replica alone. A start is sent
+only from a replica that was synced after the heartbeat arrived; docs/safety.md gives the reasons.
 """
 
 import itertools
@@ -21,14 +21,14 @@
 from .wire import agents as agent_wire
 from .wire.agents import AgentHeartbeat
 
-Reply = Callable[..., Any]  # reply(status, body), or reply(status, body, seconds to wait)
+Reply = Callable[..., Any]  # reply(status, body) or reply(status, body, retry_after_s)
 
-RETRY_AFTER_S = 1  # what an agent is asked to wait for that gets a 503
+RETRY_AFTER_S = 1  # sent to agents with a 503
 
 
 @dataclass(slots=True)
 class PendingAnswer:
-    """A heartbeat that is answered after a sync."""
+    """A heartbeat whose answer waits for a sync."""
 
     record: AgentRecord
     heartbeat: AgentHeartbeat
@@ -37,7 +37,7 @@
 
 
 class HeartbeatHandler(AgentPart):
-    """Takes heartbeats in, and answers them with commands."""
+    """Processes heartbeats and answers them with commands."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.pending_numbers = itertools.count(1)
 
     def handle(self, data: Any, reply: Reply) -> None:
-        """Answers one heartbeat, as it was sent, by `reply(status, body[, seconds to wait])`."""
+        """Answers one unparsed heartbeat by `reply(status, body[, retry_after_s])`."""
         try:
             heartbeat = agent_wire.read_heartbeat(data)
         except agent_wire.HeartbeatError as error:
@@ -72,7 +72,7 @@
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
         if self._is_outdated(heartbeat, last_seen):
-            # The lease that its answer could renew is one that the newer message renewed already.
+            # Harmless: the answer can only renew a lease that the newer message already renewed.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record = self._get_or_add_record(heartbeat, now)
@@ -83,25 +83,25 @@
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
         if self._is_unchanged(record, before):
-            # Most heartbeats end here, and most of the processor's time is heartbeats.
+            # The fast path: most heartbeats end here, and they use most of the processor time.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         self._handle_change(record, before, connected_peer, reply)
 
-    # --- whether a heartbeat counts
+    # --- checks on a heartbeat
 
     def _reject_or_redirect(
         self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
     ) -> bool:
-        """Answers an agent that this controller may not answer, or had better not; True if so."""
+        """Answers an agent that this controller must not or should not serve; True if it did."""
         if connected_peer is not None and not self._is_caught_up(now):
             reply(421, agent_wire.write_redirect(connected_peer))
             return True
         tainted = heartbeat.machine in self.committed.taints
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
-            # What this controller commands could be older than a cancellation, or the proof that
-            # this machine's leases are over counts on its silence.
+            # This controller's commands could be older than a cancellation, or the proof that this
+            # machine's leases have expired relies on this controller not answering.
             reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
@@ -111,25 +111,25 @@
         return False
 
     def _is_caught_up(self, now: float) -> bool:
-        """Whether this controller's replica was as new as all peers' not long ago.
+        """Whether this controller's replica was recently as new as those of all peers.
 
-        Peers that lose contact themselves answer questions late by up to what a sync may take
-        (combined_faults/cancel_before_outage_timeouts.txt, 2).
+        Peers that have lost contact with the store themselves answer questions with a delay of up
+        to a sync's timeout (combined_faults/cancel_before_outage_timeouts.txt, 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
     def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether this is a copy that came late, perhaps of a machine that was returned.
+        """Whether this is a delayed duplicate, or comes from a machine that was already returned.
 
-        Such is no sign of life (docs/safety.md, 11).
+        Such a message is no evidence that the machine is alive (docs/safety.md, 11).
         """
         if last_seen is not None and last_seen.version >= heartbeat.version:
             return True
         return self.committed.taints.get(heartbeat.machine) == "gone"
 
     def _get_or_add_record(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
-        """The machine's record; a new one if it begins to send heartbeats here."""
+        """Returns the machine's record; adds one if this is its first heartbeat here."""
         record = self.records.get(heartbeat.machine)
         if record is None:
             record = self.records.by_machine[heartbeat.machine] = AgentRecord(heartbeat, now)
@@ -138,7 +138,7 @@
         return record
 
     def _is_unchanged(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
-        """Whether nothing that could lead to commands or updates changed since `before`."""
+        """Whether nothing changed since `before` that could lead to commands or task updates."""
         heartbeat = record.heartbeat
         return (
             record.settled
@@ -150,7 +150,7 @@
             and not record.unreachable
         )
 
-    # --- what follows from it
+    # --- answering a changed heartbeat
 
     def _handle_change(
         self,
@@ -159,7 +159,7 @@
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Reconciles a machine with what is committed, and answers its agent."""
+        """Compares a machine's tasks with the committed bindings and answers its agent."""
         heartbeat = record.heartbeat
         try:
             tasks = record.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
@@ -177,7 +177,7 @@
 
     @staticmethod
     def _is_settled(record: AgentRecord, result: Reconciliation) -> bool:
-        """Whether the same heartbeat again would lead to nothing, as long as nothing changes."""
+        """Whether an identical heartbeat would need no action while the replica does not change."""
         heartbeat = record.heartbeat
         return (
             not result.commands
@@ -194,12 +194,12 @@
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Answers by what a reconciliation without a sync found."""
+        """Answers according to a reconciliation that was done without a sync."""
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
-            # This controller knows what the others know, but a start needs one that can sync.
-            # Nobody is sent away for less: an agent that can't reach the other loses its lease on
-            # the way (combined_faults/cancel_before_outage_timeouts.txt).
+            # This controller's replica is as new as the others', but a start needs a sync. Agents
+            # are not redirected for other reasons: the lease of an agent that can't reach the other
+            # controller expires meanwhile (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
             self._answer_after_sync(record, reply)
@@ -219,9 +219,9 @@
             self._answer(pending.record, pending.heartbeat, synced, pending.reply)
 
     def answer_overdue(self) -> None:
-        """Answers heartbeats whose sync takes long, without what only a sync allows.
+        """Answers heartbeats whose sync takes too long, without the commands that need a sync.
 
-        An agent gives up waiting after some seconds.
+        An agent stops waiting for an answer after some seconds.
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
@@ -233,7 +233,7 @@
         self, record: AgentRecord, heartbeat: AgentHeartbeat, synced: bool, reply: Reply
     ) -> None:
         if record.heartbeat is not heartbeat:
-            # A newer message came in between; its own answer says what is to be done.
+            # A newer message has arrived meanwhile; its own answer contains the commands.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record.contact_at = self.now()
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -12,21 +12,21 @@
 
 log = logging.getLogger("emberglade.agents")
 
-MAX_LOGGED_NAMES = 8  # names in one log line
-MAX_UPDATES_PER_HEARTBEAT = 8  # news of machines are gathered for this part of a heartbeat interval
+MAX_LOGGED_NAMES = 8  # machine names in one log line
+MAX_UPDATES_PER_HEARTBEAT = 8  # changes in between are sent together
 
 
 def log_machines(message: str, names: list[str]) -> None:
-    """Logs one line for all machines of a list; after a restart hundreds come at once."""
+    """Logs one line for a list of machines; after a restart hundreds change at once."""
     others = " and others" if len(names) > MAX_LOGGED_NAMES else ""
     log.info(message, len(names), " ".join(names[:MAX_LOGGED_NAMES]), others)
 
 
 class MachineInventory(AgentPart):
-    """Tells the job manager of all machines, from time to time and soon after something changed.
+    """Sends the job manager all machines, at a regular interval and soon after a change.
 
     Attributes:
-        new_machines, newly_unreachable, newly_reachable: Machines, for the log.
+        new_machines, newly_unreachable, newly_reachable: Machines to be named in the next log line.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.newly_reachable: list[str] = []
 
     def schedule_update(self) -> None:
-        """Has the job manager told of something new, together with what else is new by then."""
+        """Schedules an update for the job manager; changes until then are sent with it."""
         if not self.update_due:
             self.update_due = True
             send_after(
@@ -56,39 +56,42 @@
             )
 
     def on_update_inventory(self) -> None:
-        """Handles `update_inventory`, from `schedule_update`: logs what is new, and tells of it."""
+        """Handles `update_inventory`, from `schedule_update`: logs the changes and sends them."""
         self.update_due = False
         self._log_news()
         self.notify_job_manager()
 
     def update_if_due(self) -> None:
-        """Tells of all machines if that is due."""
+        """Sends all machines if the regular interval has passed."""
         if self.now() - self.notified_at >= self.settings.peer_exchange_s:
             self.notify_job_manager()
 
     def _log_news(self) -> None:
         for message, names in (
-            ("%d machines begin to send heartbeats here: %s%s", self.new_machines),
+            ("%d machines now send heartbeats to this controller: %s%s", self.new_machines),
             (
-                "%d machines lost their lease although they were answered; "
-                "they get no work until they hear us: %s%s",
+                "%d machines lost their lease although their heartbeats were answered; "
+                "no tasks are started on them until they receive answers again: %s%s",
                 self.newly_unreachable,
             ),
-            ("%d machines hear us again: %s%s", self.newly_reachable),
+            (
+                "%d machines receive answers again; tasks may be started on them: %s%s",
+                self.newly_reachable,
+            ),
         ):
             if names:
                 log_machines(message, names)
                 names.clear()
 
     def notify_job_manager(self) -> None:
-        """Tells the job manager of all machines that were heard lately, after forgetting others."""
+        """Sends the job manager all machines that are known, after dropping outdated ones."""
         now = self.now()
         self.records.forget_old(now)
         self.routing.forget_old(now)
         self.evidence.forget_old(now)
         recent_s = 3 * self.settings.agent_heartbeat_s + 1
         if self.evidence.lacks_recent_answers(now):
-            # Their tables come less often than their answers would.
+            # Tables arrive less often than answers.
             recent_s += TABLE_INTERVAL_S
         machine_types = self.committed.machine_types
         self.machines = {
@@ -100,18 +103,18 @@
         send(self.job_manager.on_inventory, self.machines)
 
     def _machine(self, name: str, last_seen: LastSeen, heard_recently: bool) -> Machine:
-        """A machine as placing sees it: the same object as long as nothing of it changes."""
+        """A machine as placement sees it: the same object as long as none of its fields change."""
         status = last_seen.status
         machine_type = self.committed.machine_types[status.type]
         schedulable = heard_recently and not status.spot_notice and not status.unreachable
-        known = self.machines.get(name)
+        previous = self.machines.get(name)
         if (
-            known is not None
-            and known.agent_epoch == status.agent_epoch
-            and known.schedulable == schedulable
-            and known.type is machine_type
+            previous is not None
+            and previous.agent_epoch == status.agent_epoch
+            and previous.schedulable == schedulable
+            and previous.type is machine_type
         ):
-            return known
+            return previous
         return Machine(
             name, machine_type, status.zone, status.spot, status.agent_epoch, schedulable
         )
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -1,8 +1,9 @@
-"""Who heard which machine, when, and what that proves. Owned by the agents; no messages of its own.
+"""Which controller was in contact with which machine, when, and which leases must have expired.
 
-Three sources tell of a machine: its heartbeats here, what peers answer when asked, and the tables
-that every controller writes to the store. The newest (agent epoch, sequence) wins; whatever is not
-newer than that is a copy that came late, and no sign of life.
+Part of the agent manager; receives no messages of its own. Information about a machine comes from
+three sources: its heartbeats to this controller, peers' answers to questions, and the tables that
+every controller writes to the store. The newest version (agent epoch, sequence) wins; anything that
+is not newer is a delayed duplicate and no evidence that the machine is alive.
 """
 
 from collections import deque
@@ -14,18 +15,18 @@
 from .wire import peers as peer_wire
 from .wire.peers import MachineStatus, MachineView
 
-LEASE_MARGIN_S = 0.25  # timers fire late by a few milliseconds; scheduling of threads adds to that
-MAX_REMEMBERED_SYNCS = 400  # that are remembered
-FORGET_AFTER_LEASES = 10  # after so many leases without a sign of life a machine is forgotten
-NEVER = float("-inf")  # as a moment
+LEASE_MARGIN_S = 0.25  # timers fire a few milliseconds late, and thread scheduling adds to that
+MAX_REMEMBERED_SYNCS = 400
+FORGET_AFTER_LEASES = 10  # machines without contact for this many leases are dropped
+NEVER = float("-inf")  # a point in time before all others
 
 
 @dataclass(slots=True)
 class LastSeen:
-    """A machine as the newest message that any controller knows of shows it.
+    """A machine as the newest message that any controller received from it shows it.
 
     Attributes:
-        contact_at: When it was last heard or answered, by our clock.
+        contact_at: When a controller last received a message from it or answered it, by our clock.
     """
 
     status: MachineStatus
@@ -39,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMachineView:
-    """What a peer said of all machines.
+    """A peer's view of all machines.
 
     It was made after `asked_at` and before `received_at`, by our clock. The other fields are
     those of MachineView.
 
     Attributes:
-        active_machines: How many machines had sent it a heartbeat just before.
+        active_machines: How many machines had recently been in contact with that peer.
     """
 
     asked_at: float
@@ -58,15 +59,15 @@
     active_machines: int = 0
 
     def last_answered(self, machine: str) -> float:
-        """The latest moment at which that controller may have heard or answered the machine.
+        """The latest moment at which that controller may have been in contact with the machine.
 
-        A controller that does not know it may have answered it before it was restarted.
+        A controller that does not know the machine may have answered it before its own restart.
         """
         status = self.machines.get(machine)
         return self.received_at - (self.up_s if status is None else min(self.up_s, status.age_s))
 
     def contact_age_at(self, now: float) -> float:
-        """Seconds since that controller's last answered sync, if there was none since it spoke."""
+        """Seconds since that controller's last sync, if none was answered after this view."""
         return self.contact_age_s + now - self.received_at
 
 
@@ -74,36 +75,36 @@
 
 
 class Sync(NamedTuple):
-    """A sync that was answered: when it was sent, and the revision that it brought."""
+    """An answered sync: when it was sent, and the revision that it returned."""
 
     sent_at: float
     revision: int
 
 
 # A bound on when one controller may have answered one machine: (the latest moment at which it may
-# have, the moment up to which that is known). Thousands of machines may wait for proof, each with
-# several bounds for every peer, so they are plain tuples.
+# have done so, the moment up to which that is known). Plain tuples, because thousands of machines
+# may wait for proof, each with several bounds for every peer.
 AnswerBound = tuple[float, float]
 
 
 def unanswered_s(bound: AnswerBound) -> float:
-    """For how long a controller is known not to have answered."""
+    """For how long a controller is known not to have answered the machine."""
     last_answered, known_until = bound
     return known_until - last_answered
 
 
 class LeaseEvidence:
-    """What this controller knows of all machines, from its own heartbeats and from its peers.
+    """This controller's knowledge of all machines, from its own heartbeats and from its peers.
 
-    Suspicions of controllers (`emberglade/failure_detection`) are no evidence and are not read.
+    Suspicions of controllers (`emberglade/failure_detection`) are not evidence and are not used.
 
     Attributes:
         began_at: When this process began, by its clock.
-        last_sync_sent_at: When the last sync that was answered was sent.
-        last_seen: {machine: LastSeen}, whoever heard it.
+        last_sync_sent_at: When the last answered sync was sent.
+        last_seen: {machine: LastSeen}, from whichever controller has the newest message.
         direct_views: {peer: its newest answer about all machines}.
-        partial_views: {peer: (the machines it was asked about, its answer about only them)}.
-        table_views: {peer: the view of its newest complete table}.
+        partial_views: {peer: (the machines it was asked about, its answer about these alone)}.
+        table_views: {peer: the view in its newest complete table}.
     """
 
     def __init__(self, settings: Any) -> None:
@@ -116,13 +117,13 @@
         self.table_views: dict[str, PeerMachineView] = {}
         self.syncs: deque[Sync] = deque(maxlen=MAX_REMEMBERED_SYNCS)
         self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
-        # peer -> when it was last asked and then had no newer replica than ours
+        # peer -> when it was last asked a question and stated a replica that is not newer than ours
         self.caught_up_at: dict[str, float] = {}
 
-    # --- what the sources tell
+    # --- information from the sources
 
     def note_machine(self, machine: str, status: MachineStatus, contact_at: float) -> None:
-        """Notes what a source tells of a machine, unless something newer is known."""
+        """Records a source's information about a machine, unless newer information is known."""
         known = self.last_seen.get(machine)
         version = status.agent_epoch, status.sequence
         if known is None or version > known.version:
@@ -138,7 +139,7 @@
         body: Any,
         asked_about: frozenset[str] | None = None,
     ) -> bool:
-        """Takes a peer's answer, about all machines or those asked about; False if malformed."""
+        """Adds a peer's answer about all machines or those asked about; False if malformed."""
         view = peer_wire.read_machine_view(body)
         if view is None:
             return False
@@ -148,7 +149,7 @@
         if asked_about is None:
             self.direct_views[peer] = answer
         else:
-            # Of others it says nothing, not that they were never heard.
+            # The answer does not cover other machines; it does not state that they are unknown.
             self.partial_views[peer] = asked_about, answer
         for machine, status in answer.machines.items():
             self.note_machine(machine, status, received_at - status.age_s)
@@ -157,10 +158,10 @@
     def add_table(
         self, peer: str, received_at: float, age_s: float, view: MachineView | None
     ) -> None:
-        """Takes the view of a peer's table, about `age_s` old by the time of day; None: malformed.
+        """Adds the view in a peer's table, `age_s` old by the time of day; None: malformed.
 
-        A table names the revision of the replica that it was made from, so it was made after the
-        last sync that still brought us an older one.
+        A table names the revision of the replica that it was made from. So it was made after the
+        last sync sent by this controller that still returned an older revision.
         """
         if view is None or view.revision is None:
             return
@@ -170,20 +171,20 @@
             self.note_machine(machine, status, received_at - status.age_s - max(0.0, age_s))
 
     def note_sync(self, sent_at: float, revision: int) -> None:
-        """Notes that a sync sent then was answered and brought this revision."""
+        """Records that a sync sent at `sent_at` was answered and returned this revision."""
         self.last_sync_sent_at = max(self.last_sync_sent_at, sent_at)
         if not self.syncs or revision > self.syncs[-1].revision:
             self.syncs.append(Sync(sent_at, revision))
 
     def last_sync_before(self, revision: int) -> float:
-        """A moment before which nobody can have known this revision.
+        """A moment before which no controller can have known this revision.
 
-        A sync sent at that moment still brought an older one.
+        A sync sent at that moment still returned an older one.
         """
         return max((sync.sent_at for sync in self.syncs if sync.revision < revision), default=NEVER)
 
     def note_controllers(self, present: Set[str], now: float) -> None:
-        """Notes which controllers' keys are there, as the replica shows it."""
+        """Records which controllers' keys exist, as the replica shows it."""
         for name in self.settings.names:
             if name in present or name == self.settings.node:
                 self.key_missing_since.pop(name, None)
@@ -191,9 +192,10 @@
                 self.key_missing_since.setdefault(name, now)
 
     def compare_replicas(self, revision: int) -> None:
-        """Notes which peers' replicas were not newer than ours, now that ours is at `revision`.
+        """Records which peers' replicas were not newer than ours, which is at `revision` now.
 
-        A peer without a replica says nothing about what its former process may have told.
+        A peer without a replica is skipped: its previous process may have confirmed changes that
+        our replica does not show.
         """
         for peer, view in self.direct_views.items():
             if 0 <= view.replica_revision <= revision:
@@ -201,22 +203,22 @@
                 self.caught_up_at[peer] = max(caught_up_at, view.asked_at)
 
     def forget_old(self, now: float) -> None:
-        """Forgets machines that nobody has heard for FORGET_AFTER_LEASES leases."""
+        """Drops machines that no controller was in contact with for FORGET_AFTER_LEASES leases."""
         oldest = now - FORGET_AFTER_LEASES * self.settings.lease_s
         for name in [name for name, seen in self.last_seen.items() if seen.contact_at < oldest]:
             del self.last_seen[name]
 
-    # --- what follows from it
+    # --- conclusions
 
     def caught_up_since(self) -> float:
-        """A moment up to which no peer had told anybody what our replica does not show."""
+        """A moment up to which no peer had confirmed anything that our replica does not show."""
         return min(
             (self.caught_up_at.get(peer.name, NEVER) for peer in self.settings.peers),
             default=NEVER,
         )
 
     def lacks_recent_answers(self, now: float) -> bool:
-        """Whether a peer has not answered lately, so that only its tables tell of its machines."""
+        """Whether a peer has not answered recently, so that its tables are the only source."""
         recent_s = 4 * self.settings.agent_heartbeat_s
         return any(
             peer.name not in self.direct_views
@@ -232,12 +234,12 @@
         taint_seen_at: float,
         now: float,
     ) -> bool:
-        """Whether every lease that a controller may have renewed for this machine has run out.
+        """Whether every lease that a controller may have renewed for this machine has expired.
 
-        Each controller states, from a replica that shows the taint, when it last heard or answered
-        the machine. For one that can't be asked its own key speaks: without it, and with the taint
-        in its replica, it does not answer this machine, and with an older replica it answers
-        nobody for longer than `max_staleness_s` (docs/safety.md, 7).
+        Each controller states, from a replica that shows the taint, when it was last in contact
+        with the machine. A controller that can't be asked is judged by its own key: without the
+        key, and with the taint in its replica, it does not answer this machine; with an older
+        replica it answers no agent for longer than `max_staleness_s` (docs/safety.md, 7).
         """
         lease_s = self.settings.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         last_answered, known_until = own_contact_at, now
@@ -252,7 +254,7 @@
     def _tightest_bound(
         self, peer: str, machine: str, taint_revision: int, taint_seen_at: float
     ) -> AnswerBound | None:
-        """The bound on a peer's answers with the longest silence; None if nothing is known."""
+        """The bound that excludes answers by a peer for the longest time; None if there is none."""
         asked_about, partial_view = self.partial_views.get(peer, NO_PARTIAL_VIEW)
         views = (
             self.direct_views.get(peer),
@@ -266,8 +268,8 @@
         ]
         missing_since = self.key_missing_since.get(peer)
         if missing_since is not None:
-            # Once broken: such a peer was left out of the account, though a machine that it had
-            # kept alive could go to a controller whose statement was older
+            # If this peer were ignored, a lease that it renewed could be considered expired: the
+            # machine may since have moved to a controller whose own statement is older
             # (protocol_rules/isolated_controller.txt).
             both_seen_at = max(missing_since, taint_seen_at)
             last_answered = both_seen_at + self.settings.max_staleness_s * CLOCK_DRIFT
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -1,4 +1,4 @@
-"""What the leader is told of machines' silence, and of what it proves."""
+"""Reports to the leader when machines were last in contact and which leases have expired."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -8,13 +8,14 @@
 
 
 class MachineLiveness(NamedTuple):
-    """One machine, as all controllers together know it.
+    """The liveness of one machine, from the information of all controllers.
 
     Attributes:
-        contact_at: When any controller last heard it; if none did, when this process began.
-        leases_expired: Whether every lease that it may have is proven to be over.
-        unreachable: Its heartbeats arrive, answers don't reach it.
-        heartbeat_received: Whether any controller has heard it.
+        contact_at: When a controller was last in contact with it; when this process began, if no
+            controller is known to have received a heartbeat.
+        leases_expired: Whether every lease that it may have is proven to have expired.
+        unreachable: Its heartbeats arrive, but answers do not reach it.
+        heartbeat_received: Whether any controller has received a heartbeat from it.
     """
 
     contact_at: float
@@ -24,15 +25,16 @@
 
 
 class LivenessAnswers(AgentPart):
-    """Answers the leader."""
+    """Answers the leader's questions about the liveness of machines."""
 
     def answer(
         self, reply: Callable[[dict[str, MachineLiveness], float], Any], tainted_only: bool
     ) -> None:
         """Calls `reply({machine: MachineLiveness}, slack_s)`.
 
-        For `slack_s` a machine may be heard without our knowing it: tables are older than what a
-        peer would answer; that is not the machines' silence. Nor is it a sign of life.
+        A machine may have sent heartbeats for up to `slack_s` that are not known here, because
+        tables are older than peers' answers would be. So that time counts neither as a lack of
+        heartbeats nor as evidence that the machine is alive.
         """
         now = self.now()
         slack_s = TABLE_INTERVAL_S if self.evidence.lacks_recent_answers(now) else 0.0
@@ -53,7 +55,7 @@
         )
 
     def _leases_expired(self, machine: str, now: float) -> bool:
-        """Whether every lease that a tainted machine may have is proven to be over."""
+        """Whether every lease that a tainted machine may have is proven to have expired."""
         _, taint_revision, taint_seen_at = self.committed.taints.by_machine[machine]
         record = self.records.get(machine)
         own_contact = record.contact_at if record is not None else self.evidence.began_at
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -1,4 +1,4 @@
-"""The actor of this slice: puts its parts together, and is who other actors speak to."""
+"""The agent manager: the actor that builds this package's parts and receives all its messages."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,26 +22,27 @@
 from .update_forwarding import UpdateForwarding
 from .wire.peers import MachineQuestion
 
-FIRST_QUESTION_DELAY_S = 0.3  # after the beginning
+# Delays from the start of the actor to the first run of each timer.
+FIRST_QUESTION_DELAY_S = 0.3
 FIRST_TICK_DELAY_S = 0.5
 FIRST_TABLE_DELAY_S = 1.0
 MAX_TICK_INTERVAL_S = 1.0
 
 
 class AgentManager(ReplicaSubscriber):
-    """Answers agents' heartbeats and commands their machines, out of the replica.
+    """Answers agents' heartbeats and sends commands to their machines, based on the replica.
 
     Attributes:
-        committed: What the replica shows.
-        evidence: Who heard which machine, and when.
-        records: The machines whose agents send heartbeats here.
-        routing: Which controller an agent turns to.
-        updates: Tells owners of jobs what heartbeats prove.
-        direct_commands, direct_halts: Commands that do not wait for a heartbeat.
-        inventory: The machines that the job manager may use.
-        peer_exchange, tables: What controllers tell each other of machines.
-        liveness: Answers the leader about silent machines.
-        heartbeats: Answers agents.
+        committed: The committed state as the replica shows it.
+        evidence: Which controller was last in contact with which machine, and when.
+        records: The machines whose agents send heartbeats to this controller.
+        routing: Which controller an agent should send its heartbeats to.
+        updates: Forwards task status updates to the owners of jobs.
+        direct_commands, direct_halts: Commands sent without waiting for a heartbeat.
+        inventory: The machines that the job manager may place tasks on.
+        peer_exchange, tables: Information about machines exchanged between controllers.
+        liveness: Reports the machines' liveness to the leader.
+        heartbeats: Answers agents' heartbeats.
     """
 
     follows_syncs = True
@@ -75,10 +76,10 @@
             self, shared, store, self.routing, reconciler, self.updates, self.inventory
         )
 
-    # --- from the actor system, the store and the member
+    # --- messages from the actor system, the store and the member
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes to the store, starts the timers."""
+        """Handles `begin` from the actor system: subscribes to the store and starts the timers."""
         self.evidence.began_at = self.now()
         super().on_begin()
         send_after(FIRST_QUESTION_DELAY_S, self.peer_exchange.on_ask_peers)
@@ -87,7 +88,7 @@
         send_after(self.settings.agent_heartbeat_s, self.direct_halts.on_repeat_halts)
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every heartbeat interval, MAX_TICK_INTERVAL_S at most."""
+        """Handles `tick`, a timer of one heartbeat interval, MAX_TICK_INTERVAL_S at most."""
         send_after(min(MAX_TICK_INTERVAL_S, self.settings.agent_heartbeat_s), self.on_tick)
         self.heartbeats.answer_overdue()
         self.updates.write_undelivered()
@@ -95,7 +96,7 @@
         self.inventory.update_if_due()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: tables are numbered by it."""
+        """Handles `identity(incarnation)` from the member: it is part of the tables' numbers."""
         super().on_identity(incarnation)
         self.tables.incarnation = incarnation
 
@@ -104,10 +105,7 @@
         self.evidence.note_sync(sent_at, revision)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
-        """Handles `changed(changes, revision, is_snapshot)` from the store.
-
-        Sends the commands that follow from it.
-        """
+        """Handles `changed(changes, revision, is_snapshot)` from the store: sends new commands."""
         committed = self.committed
         change = committed.apply(changes, revision, is_snapshot)
         for update in change.task_updates:
@@ -120,60 +118,61 @@
         if not is_snapshot:
             self.direct_commands.send(change.bindings)
 
-    # --- from agents and peers, by way of the servers
+    # --- messages from agents and peers, received by the servers
 
     def on_heartbeat(self, data: Any, reply: Reply) -> None:
-        """Handles `heartbeat(data, reply)` from the user API: an agent's message, as it was sent.
+        """Handles `heartbeat(data, reply)` from the user API: an agent's message, not yet parsed.
 
-        Answered by `reply(status, body)` or `reply(status, body, seconds to wait)`.
+        Answered by `reply(status, body)` or `reply(status, body, retry_after_s)`.
         """
         self.heartbeats.handle(data, reply)
 
     def on_machine_question(
         self, question: MachineQuestion, reply: Callable[[int, dict], Any]
     ) -> None:
-        """Handles `machine_question(question, reply)`: a peer asks what is known of machines."""
+        """Handles `machine_question(question, reply)`: a peer asks for its view of machines."""
         self.peer_exchange.answer_question(question, reply)
 
     def on_hear_cancellation(self, job_id: str, revision: int) -> None:
         """Handles `hear_cancellation(job, revision)`: a peer has seen a job cancelled.
 
-        Its word is enough to halt; that the job is cancelled is told to users from the replica
-        alone.
+        The peer's notice is enough to halt the job's tasks. Users are told that the job is
+        cancelled only once this controller's own replica shows it.
         """
         self.committed.note_announced(job_id, revision)
 
-    # --- from other actors of this controller
+    # --- messages from other actors of this controller
 
     def on_confirm_cancellation(self, job_id: str) -> None:
-        """Handles `confirm_cancellation(job)` from the user API, which tells a user so.
+        """Handles `confirm_cancellation(job)` from the user API, which confirms it to a user.
 
-        Its replica shows the cancellation.
+        This controller's replica shows the cancellation.
         """
         self.direct_halts.confirm(job_id)
 
     def on_peer_dead(self, name: str) -> None:
         """Handles `peer_dead(name)` from the peer monitor.
 
-        Its halts may not have been sent: every survivor sends those that are due, at once.
+        The dead peer may not have sent its halts, so every surviving controller sends all pending
+        halts at once.
         """
         self.direct_halts.take_over_halts()
 
     def on_liveness(self, view: Any) -> None:
-        """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
+        """Handles `liveness(view)` from the peer monitor: the suspected peers have changed."""
         self.routing.suspected = view.suspected
 
     def on_ready(self, reply: Callable[[bool], Any]) -> None:
-        """Handles `ready(reply)` from the user API: whether this controller serves users well."""
+        """Handles `ready(reply)` from the user API: whether this controller can serve users."""
         connected_peer = self.routing.connected_peer(self.now())
         reply(self.committed.revision >= 0 and connected_peer is None)
 
     def on_ask_stop(self, update: TaskUpdate) -> None:
-        """Handles `ask_stop(update)` from the job manager: another controller holds the task."""
+        """Handles `ask_stop(update)` from the job manager: another controller owns the job."""
         self.updates.forward(update)
 
     def on_ask_liveness(self, reply: Callable[..., Any], tainted_only: bool = False) -> None:
-        """Handles `ask_liveness(reply, tainted_only)` from the autoscaler, for the leader.
+        """Handles `ask_liveness(reply, tainted_only)` from the autoscaler on behalf of the leader.
 
         Answered by `reply({machine: MachineLiveness}, slack_s)`, see `LivenessAnswers.answer`.
         """
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What the controllers ask and answer each other about machines."""
+"""Questions and answers about machines between controllers."""
 
 import logging
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 
 log = logging.getLogger("emberglade.agents")
 
-MAX_MACHINES_PER_QUESTION = 1000  # machines in one question, so that it stays well below 64 KiB
-MAX_PROOF_INTERVAL_S = 1.0  # four questions in this time about machines whose tasks wait for proof
+MAX_MACHINES_PER_QUESTION = 1000  # keeps a question well below 64 KiB
+MAX_PROOF_INTERVAL_S = 1.0  # lost machines are asked about four times in this interval
 
 
 class PeerExchange(AgentPart):
-    """Asks peers for their views of the machines, and answers with this controller's.
+    """Asks peers for their views of the machines, and answers with this controller's own.
 
     Attributes:
-        last_question_at: {peer: when it last asked here, and so could get an answer}.
+        last_question_at: {peer: when it last asked this controller}.
     """
 
     def __init__(
@@ -38,16 +38,16 @@
         self.last_question_at: dict[str | None, float] = {}
         self.awaiting_answer: dict[str, float] = {}  # peer -> when it was asked
         self.last_full_question_at = NEVER
-        self.next_lost_index = 0  # where among the lost machines the next question begins
+        self.next_lost_index = 0  # index of the first lost machine in the next question
 
     def lacks_peer_exchange(self, now: float) -> bool:
-        """Whether a live peer and this controller don't hear each other."""
-        lately = now - 2 * self.settings.agent_heartbeat_s
+        """Whether a live peer and this controller have not exchanged views recently."""
+        recent = now - 2 * self.settings.agent_heartbeat_s
         direct_views = self.evidence.direct_views
         return any(
-            self.last_question_at.get(name, NEVER) < lately
+            self.last_question_at.get(name, NEVER) < recent
             or name not in direct_views
-            or direct_views[name].asked_at < lately
+            or direct_views[name].asked_at < recent
             for name in self.peers
             if name in self.committed.controllers
         )
@@ -55,9 +55,10 @@
     # --- asking
 
     def on_ask_peers(self) -> None:
-        """Handles `ask_peers`, sent to itself: asks peers what they know of machines.
+        """Handles `ask_peers`, a timer: asks peers for their views of machines.
 
-        Of all now and then, and more often of those whose tasks wait for proof.
+        All machines at the regular interval; more often, those that tasks wait for until their
+        leases are proven to have expired.
         """
         now = self.now()
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
@@ -71,7 +72,7 @@
             self._ask(self._next_lost_machines(lost), now)
 
     def _lost_machines(self) -> list[str]:
-        """The machines whose tasks wait for proof that their leases are over."""
+        """The lost machines with bound tasks, which wait for proof that the leases have expired."""
         return [
             name
             for name, taint in self.committed.taints.items()
@@ -79,13 +80,13 @@
         ]
 
     def _next_lost_machines(self, lost: list[str]) -> list[str]:
-        """The machines that the next question is about: all, or in turns if they are too many."""
+        """The machines of the next question: all of `lost`, or its next part if it is too long."""
         first = self.next_lost_index if self.next_lost_index < len(lost) else 0
         self.next_lost_index = first + MAX_MACHINES_PER_QUESTION
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks all peers about these machines, None: about all, but peers that are still asked."""
+        """Asks all peers without an open question about these machines; None: about all."""
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -112,13 +113,16 @@
         if status != 200:
             return
         if not self.evidence.add_answer(name, asked_at, self.now(), body, asked_about):
-            log.info("%s sent a malformed answer about machines; it is asked again", name)
+            log.info(
+                "peer %s sent a malformed answer about machines; ignoring it until the next one",
+                name,
+            )
         elif asked_about is None:
             self.evidence.compare_replicas(self.committed.revision)
             self._fetch_changes(name)
 
     def _fetch_changes(self, peer: str) -> None:
-        """Fetches what the store committed from a peer, if it has more and the store is away."""
+        """Fetches committed changes from a peer that has more, if the store does not answer."""
         revision = self.committed.revision
         contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
@@ -138,10 +142,11 @@
     # --- answering
 
     def answer_question(self, question: MachineQuestion, reply: Callable[[int, dict], Any]) -> None:
-        """Answers a peer, from a replica synced after it asked.
+        """Answers a peer from a replica synced after the question arrived.
 
-        Without contact a sync may take longer than the peer waits; what the replica's revision
-        says it needs at once (combined_faults/cancel_before_outage_timeouts.txt).
+        Without contact with the store, a sync may take longer than the peer waits, and the peer
+        needs the replica's revision at once; so the answer is sent without a sync
+        (combined_faults/cancel_before_outage_timeouts.txt).
         """
         now = self.now()
         self.last_question_at[question.asker] = now
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -1,4 +1,4 @@
-"""Machines whose heartbeats arrive while our answers don't reach them."""
+"""Detects machines whose heartbeats arrive here while our answers do not reach them."""
 
 from typing import Any
 
@@ -10,10 +10,11 @@
 
 
 class Reachability:
-    """Recognises them, and when they hear us again (docs/safety.md, 12).
+    """Detects unreachable machines, and when they receive our answers again (docs/safety.md, 12).
 
-    The leases of such a machine end although it was answered all the time. It gets no more work,
-    and is offered a fencing token that it has not seen; once its heartbeats show that, it hears us.
+    The lease of such a machine expires although all its heartbeats were answered. No new tasks are
+    started on it. It is offered a fencing token that it has not seen; once its heartbeats show that
+    token, it receives our answers again.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         last_seen: LastSeen | None,
         now: float,
     ) -> None:
-        """Takes a new heartbeat into account; `last_seen` is the machine as known before it."""
+        """Evaluates a new heartbeat; `last_seen` is the machine as known before it."""
         if last_seen is not None and not record.unreachable:
             self._find_unreachable(record, heartbeat, last_seen, now)
         if record.unreachable:
@@ -52,7 +53,7 @@
             self.inventory.schedule_update()
 
     def _probe(self, record: AgentRecord, heartbeat: AgentHeartbeat) -> None:
-        """Offers a machine that does not hear us a new fencing token, or sees that it has one."""
+        """Offers an unreachable machine a new fencing token, or detects that it received one."""
         if record.probe_token is None:
             if self.committed.revision > heartbeat.fencing_token:
                 record.probe_token = self.committed.revision
--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -1,7 +1,7 @@
-"""Reconciliation: what a machine runs is compared with what is committed for it.
+"""Reconciliation: compares the tasks on a machine with those that are committed for it.
 
-The difference becomes commands. They are derived from the replica alone; why none of them can do
-harm, however late it comes, is argued in docs/safety.md, 4 to 6.
+The differences become commands. They are derived from the replica alone; docs/safety.md, 4 to 6,
+explains why none of them can do harm, however late it arrives.
 """
 
 import logging
@@ -26,24 +26,24 @@
 
 log = logging.getLogger("emberglade.agents")
 
-# A task that is to save a checkpoint gets so much more than its job says it takes.
+# Added to the time that the job declares for saving a checkpoint.
 SAVE_GRACE_FACTOR = 1.5
 SAVE_GRACE_EXTRA_S = 1
 
 
 class SyncNeed(Enum):
-    """What would be commanded from a replica synced after the heartbeat arrived."""
+    """Commands that would need a replica synced after the heartbeat arrived."""
 
-    CLEAR = "clear"  # or a halt of what the replica does not show
+    CLEAR = "clear"  # or a halt of an attempt that the replica does not show
     START = "start"
 
 
 @dataclass(slots=True)
 class Reconciliation:
-    """What an agent is to be told.
+    """The answer to an agent.
 
     Attributes:
-        sync_need: What more a sync would allow.
+        sync_need: The further commands that a sync would allow.
     """
 
     fencing_token: int
@@ -66,14 +66,17 @@
 
 
 class Reconciler:
-    """Compares one machine at a time."""
+    """Reconciles one machine at a time."""
 
     def __init__(self, committed: CommittedState) -> None:
         self.committed = committed
         self.bindings = committed.bindings
 
     def reconcile(self, record: AgentRecord, synced: bool) -> Reconciliation:
-        """What to tell the agent of this record; `synced`: from a replica synced after it spoke."""
+        """Returns the answer to an agent's newest heartbeat.
+
+        `synced`: the replica was synced after that heartbeat arrived.
+        """
         heartbeat = record.heartbeat
         tasks = record.tasks or {}
         desired_tasks = self.bindings.of_machine(heartbeat.machine)
@@ -84,7 +87,7 @@
                 self._end_undesired(result, heartbeat.machine, key, status, synced)
             elif status.state is not EXITED:
                 self._stop_if_committed(result, key, status, desired)
-            # Else its job's owner is told; it is cleared once the exit is committed.
+            # Else the job's owner is notified, and the task is cleared once the exit is committed.
         may_start = self._may_start(record)
         for key, desired in desired_tasks.items():
             found = tasks.get(key)
@@ -94,7 +97,7 @@
         return result
 
     def _may_start(self, record: AgentRecord) -> bool:
-        """Whether anything new is started on a machine."""
+        """Whether new tasks may be started on a machine."""
         return not (
             record.heartbeat.machine in self.committed.taints
             or record.unreachable
@@ -104,7 +107,7 @@
     def _stop_if_committed(
         self, result: Reconciliation, key: TaskKey, status: TaskStatus, desired: DesiredTask
     ) -> None:
-        """Handles a task that belongs on the machine, and has not ended."""
+        """Handles a task that is bound to the machine and has not ended."""
         stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop == StopMode.KEEP:
             return
@@ -120,22 +123,22 @@
         status: TaskStatus,
         synced: bool,
     ) -> None:
-        """Handles an attempt that does not belong on the machine, as far as the replica shows."""
+        """Handles an attempt that is not bound to the machine, as far as the replica shows."""
         exited = status.state is EXITED
         cancelled = self.committed.cancelled
         if not exited and key[0] in cancelled:
-            # Whatever the replica lacks, nothing of a cancelled job is wanted anywhere.
+            # No task of a cancelled job may run anywhere, even if the replica is outdated.
             result.fence(cancelled.revision(key[0]))
             result.commands.append(HaltTask(key, status.attempt, 0))
         elif not synced:
             result.sync_need = result.sync_need or SyncNeed.CLEAR
         elif exited:
-            # Fenced: no start of this attempt that is still on its way can follow the clear.
+            # The fencing token rejects a delayed start of this attempt that arrives later.
             result.fence(self.committed.revision)
             result.commands.append(ClearTask(key, status.attempt))
         else:
             log.info(
-                "%s attempt %d on %s is not wanted there; stopping it",
+                "%s attempt %d runs on %s without a committed binding; halting it",
                 task_name(*key),
                 status.attempt,
                 machine,
@@ -152,14 +155,14 @@
         may_start: bool,
         synced: bool,
     ) -> None:
-        """Handles a task that belongs on the machine and is not there; `found`: another attempt."""
+        """Handles a bound task that is not on the machine; `found`: another attempt of it is."""
         stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop != StopMode.KEEP:
-            # With this fencing token seen, no late start can bring it back.
+            # Once the agent has this fencing token, it rejects a delayed start of the task.
             result.fence(stop_revision)
             return
         if found is not None and found.state is not EXITED:
-            return  # the other attempt is being stopped first
+            return  # the other attempt has to end first
         if not may_start:
             return
         if synced:
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -1,4 +1,4 @@
-"""Whether this controller may answer agents, and which one they had better turn to."""
+"""Whether this controller may answer agents, and which controller they should use instead."""
 
 import zlib
 from collections.abc import Set
@@ -8,30 +8,29 @@
 from .lease_evidence import NEVER, LeaseEvidence, PeerMachineView
 from .wire.agents import AgentHeartbeat
 
-REDIRECT_INTERVAL_LEASES = 4  # a machine is sent to its own zone once in so many leases
-MAX_SHARE_FACTOR = 3  # of machines that a controller is sent, as a multiple of an even share
+REDIRECT_INTERVAL_LEASES = 4  # minimum time between redirects of a machine to its own zone
+MAX_SHARE_FACTOR = 3  # times an even share of all machines; a controller with more gets no others
 
 
 class Routing:
-    """Decides where agents are sent."""
+    """Decides which controller agents send their heartbeats to."""
 
     def __init__(self, settings: Any, committed: CommittedState, evidence: LeaseEvidence) -> None:
         self.settings = settings
         self.committed = committed
         self.evidence = evidence
-        self.redirected_at: dict[str, float] = {}  # machine -> when it was sent to its own zone
-        self.redirected_to_at: dict[
-            str, float
-        ] = {}  # controller -> when a machine was last sent there
-        self.suspected: Set[str] = frozenset()  # controllers that no agent is sent to
+        self.redirected_at: dict[str, float] = {}  # machine -> when it was redirected to its zone
+        # controller -> when a machine was last redirected to it
+        self.redirected_to_at: dict[str, float] = {}
+        self.suspected: Set[str] = frozenset()  # controllers that no agent is redirected to
 
     def may_answer(self, now: float) -> bool:
-        """Whether this controller is entitled to answer agents (docs/safety.md, 8).
+        """Whether this controller is allowed to answer agents (docs/safety.md, 8).
 
-        It is if no cancellation that its replica lacks can have been told to its user longer than
-        `max_staleness_s` ago. Either a sync was answered since, or every peer has stated since
-        that its replica is no newer than this one: whatever a controller tells a user is in its
-        own replica before.
+        It is allowed if no cancellation that its replica lacks can have been confirmed to a user
+        longer than `max_staleness_s` ago. That holds if a sync was answered since then, or if every
+        peer has stated since then that its replica is no newer than this one: a controller confirms
+        to users only what its own replica shows.
         """
         if self.committed.revision < 0:
             return False
@@ -42,7 +41,7 @@
         )
 
     def connected_peer(self, now: float) -> str | None:
-        """A controller that can follow the store while this one can't."""
+        """A controller that is in contact with the store while this one is not, or None."""
         quarter_lease_s = self.settings.lease_s / 4
         if now - self.evidence.last_sync_sent_at < quarter_lease_s:
             return None
@@ -52,13 +51,14 @@
         return None
 
     def peer_in_zone_of(self, heartbeat: AgentHeartbeat, now: float) -> str | None:
-        """A controller in the machine's own zone that can take it, if it is not there already.
+        """A controller in the machine's zone that can take it, unless this one is in that zone.
 
-        When a zone is cut off, its machines need their lease renewed by a controller inside. Once
-        broken: most turned to controllers outside, and with five of them the search for the one
-        inside took longer than a lease (agents/zone_partitioned_of_five.txt). A machine is sent
-        once in REDIRECT_INTERVAL_LEASES, so that one which can't reach that controller stays where it is
-        heard.
+        If a zone is partitioned off, its machines need a controller inside it to renew their
+        leases. Without this redirect most of them used controllers outside, and with five
+        controllers the search for the one inside took longer than a lease
+        (agents/zone_partitioned_of_five.txt). A machine is redirected only once in
+        REDIRECT_INTERVAL_LEASES, so that one that can't reach the controller in its zone keeps
+        sending heartbeats here.
         """
         machine = heartbeat.machine
         if (
@@ -81,33 +81,33 @@
         return chosen
 
     def forget_old(self, now: float) -> None:
-        """Forgets machines that may be sent to their own zone again."""
+        """Drops machines that may be redirected to their own zone again."""
         after_s = REDIRECT_INTERVAL_LEASES * self.settings.lease_s
         self.redirected_at = {
             name: sent_at for name, sent_at in self.redirected_at.items() if now - sent_at < after_s
         }
 
     def _has_contact(self, view: PeerMachineView, now: float) -> bool:
-        """Whether a peer has answered lately and had contact with the store lately."""
+        """Whether a peer has answered recently and was then in contact with the store."""
         return (
             now - view.received_at < 2 * self.settings.agent_heartbeat_s
             and view.contact_age_at(now) < self.settings.lease_s / 4
         )
 
     def _can_take_machines(self, peer: str, now: float) -> bool:
-        """Whether a peer is fit for more machines."""
+        """Whether a peer can take more machines."""
         view = self.evidence.direct_views.get(peer)
         return (
             peer in self.committed.controllers
             and peer not in self.suspected
             and view is not None
             and self._has_contact(view, now)
-            # It hears machines, or is to show by one now and then that it does.
+            # Machines reach it, or one is redirected to it now and then to find out.
             and bool(
                 view.active_machines
                 or now - self.redirected_to_at.get(peer, NEVER) > self.settings.lease_s / 4
             )
-            # One controller is not to hear them all, if most machines are in its zone.
+            # Limits the load of one controller if most machines are in its zone.
             and view.active_machines
             <= MAX_SHARE_FACTOR * len(self.evidence.last_seen) / self.settings.size
         )
--- a/emberglade/agents/shared_state.py
+++ b/emberglade/agents/shared_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the agent manager share."""
+"""State shared by the parts of the agent manager."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """What this controller knows of jobs, machines and controllers.
+    """This controller's knowledge of jobs, machines and controllers.
 
     Attributes:
-        settings: Of this controller.
-        committed: What the replica shows.
-        evidence: Who heard which machine, and when.
-        records: The machines whose agents send heartbeats here.
+        settings: This controller's settings.
+        committed: The committed state as the replica shows it.
+        evidence: Which controller was last in contact with which machine, and when.
+        records: The machines whose agents send heartbeats to this controller.
     """
 
     settings: Any
@@ -27,7 +27,7 @@
 
 
 class AgentPart(ActorPart):
-    """A part of the agent manager that reads the shared state; its fields are attributes here."""
+    """A part of the agent manager; the fields of the shared state are its attributes."""
 
     def __init__(self, actor: Actor, shared: SharedState) -> None:
         super().__init__(actor)
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -1,4 +1,4 @@
-"""Tables in the store: counts, and machines while controllers don't hear each other."""
+"""Status tables in the store: counts, and machines while a peer does not exchange views."""
 
 import logging
 from typing import Any
@@ -12,12 +12,10 @@
 
 log = logging.getLogger("emberglade.agents")
 
-TABLE_INTERVAL_S = 5.0  # the DESIGN page's
-TABLE_OVERHEAD_BYTES = (
-    96  # of a table's value: the node's incarnation, the table's number and field names
-)
-ENTRY_OVERHEAD_BYTES = 4  # of a machine in it, besides its name and values
-# Of a table, however much the store takes: transactions are limited too.
+TABLE_INTERVAL_S = 5.0  # required by the DESIGN page
+TABLE_OVERHEAD_BYTES = 96  # the node's incarnation, the table's number and field names
+ENTRY_OVERHEAD_BYTES = 4  # of a machine in a table, besides its name and values
+# Limit for a table's value even if the store accepts larger ones: transactions are limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
 
@@ -25,8 +23,8 @@
     """Writes this controller's table and reads those of its peers.
 
     Attributes:
-        incarnation: This process's, once it is known.
-        has_machines: Whether the last table held machines.
+        incarnation: This process's incarnation; None until it is known.
+        has_machines: Whether the last table contained machines.
     """
 
     def __init__(
@@ -46,12 +44,12 @@
         self.has_machines = False
 
     def on_write_table(self) -> None:
-        """Handles `write_table`, sent to itself every TABLE_INTERVAL_S."""
+        """Handles `write_table`, a timer of TABLE_INTERVAL_S."""
         send_after(TABLE_INTERVAL_S, self.on_write_table)
         self._begin_table()
 
     def write_early(self) -> None:
-        """Writes a table at once if it has to hold machines and the last one did not."""
+        """Writes a table at once if it has to contain machines and the last one did not."""
         if self.exchange.lacks_peer_exchange(self.now()) and not self.has_machines:
             self._begin_table()
 
@@ -59,10 +57,10 @@
         send(self.job_manager.on_demand, callback(self.on_demand_counted))
 
     def on_demand_counted(self, demand: dict, shortage: dict) -> None:
-        """Handles the job manager's counts for a table: passes that on to the member.
+        """Handles the job manager's counts for a table: sends the table to the member.
 
-        Machines are most of a table, and tables were most of what a quiet cluster wrote; so it
-        holds them only while only tables tell of them.
+        Machines are the largest part of a table, and tables were most of the data that an idle
+        cluster wrote. So a table contains machines only while a peer gets them no other way.
         """
         now = self.now()
         header = self._header(demand, shortage, now)
@@ -80,7 +78,7 @@
         send(self.member.on_table, table, overflow)
 
     def _header(self, demand: dict, shortage: dict, now: float) -> table_wire.TableHeader:
-        # The incarnation and a count: no two tables of a controller share it.
+        # The incarnation and a counter make the number unique among the controller's tables.
         self.last_number += 1
         return table_wire.TableHeader(
             number=f"{self.incarnation}-{self.last_number}",
@@ -110,7 +108,7 @@
         return values
 
     def read(self, node: str) -> None:
-        """Reads a controller's table, as the replica shows it now, if it is complete."""
+        """Reads a controller's table from the replica, if it is complete."""
         if node == self.settings.node:
             return
         stored = self.committed.tables.get(node, {})
@@ -120,4 +118,8 @@
                 age_s = self.system.wall_time() - table.wall_time
                 self.evidence.add_table(node, self.now(), age_s, table.view)
         except (KeyError, TypeError, ValueError, IndexError) as error:
-            log.info("the table of %s is malformed (%s); the next one is awaited", node, error)
+            log.info(
+                "status table of controller %s is malformed (%s); ignoring it until the next one",
+                node,
+                error,
+            )
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -1,4 +1,4 @@
-"""Status updates of tasks, passed on to the controllers that hold their jobs."""
+"""Forwards task status updates to the controllers that own the jobs."""
 
 from typing import Any
 
@@ -17,15 +17,13 @@
 from .wire import records
 from .wire.agents import EXITED, AgentHeartbeat, TaskKey, TaskStatus
 
-MAX_UPDATES_PER_MESSAGE = 200  # in one message to an owner
-VALUE_OVERHEAD_BYTES = (
-    256  # of the value that holds undelivered updates: names of fields and controllers
-)
-MAX_BATCHES_PER_HEARTBEAT = 20  # updates are gathered for this part of a heartbeat interval
+MAX_UPDATES_PER_MESSAGE = 200
+VALUE_OVERHEAD_BYTES = 256  # field and controller names in the value with undelivered updates
+MAX_BATCHES_PER_HEARTBEAT = 20  # limits the messages to each owner
 
 
 class UpdateForwarding(AgentPart):
-    """Tells the owners of jobs what heartbeats prove."""
+    """Notifies the owners of jobs of the task updates that follow from heartbeats."""
 
     def __init__(
         self,
@@ -41,12 +39,12 @@
         self.peers = peers
         self.outbox: dict[str, dict[UpdateKey, TaskUpdate]] = {}  # by controller
         self.outbox_due = False
-        # By controller: what it could not be told directly.
+        # By controller: updates that could not be sent to it directly.
         self.undelivered: dict[str, dict[UpdateKey, TaskUpdate]] = {}
         self.wrote_updates = False
 
     def notify_owners(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
-        """Passes on what the heartbeat proves; True if anything was."""
+        """Forwards the updates that follow from a heartbeat; True if there are any."""
         updates = [
             update
             for key, desired in self.committed.bindings.of_machine(heartbeat.machine).items()
@@ -63,9 +61,9 @@
         desired: DesiredTask,
         found: TaskStatus | None,
     ) -> TaskUpdate | None:
-        """What a heartbeat proves of a task that the replica binds to its machine, or None.
+        """What a heartbeat proves about a task that the replica binds to its machine, or None.
 
-        `found` is what the heartbeat shows of the task.
+        `found` is the task's status in the heartbeat.
         """
         stop, stop_revision = self.committed.bindings.stop_of(key, desired)
         if found is not None and found.attempt == desired.attempt:
@@ -79,14 +77,16 @@
             and stop != StopMode.KEEP
             and heartbeat.fencing_token >= stop_revision
         ):
-            # Its epoch is over, or its start can't be accepted any more: it will never run.
+            # The binding's agent epoch has ended, or a start would be fenced: it will never run.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
         if stop == StopMode.KEEP and heartbeat.spot_notice_s is not None:
-            return StopWanted(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
+            return StopWanted(
+                *key, desired.attempt, StopMode.SAVE, "the cloud reclaims its machine"
+            )
         return None
 
     def forward(self, update: TaskUpdate) -> None:
-        """Passes an update on to the owner of its job, which may be this controller."""
+        """Forwards an update to the owner of its job, which may be this controller."""
         job = self.committed.bindings.jobs.get(update.job_id)
         if job is None:
             return
@@ -101,7 +101,7 @@
                 send_after(delay_s, self.on_send_updates)
 
     def on_send_updates(self) -> None:
-        """Handles `send_updates`, from `forward`: sends each owner what is for it, in batches."""
+        """Handles `send_updates`, from `forward`: sends each owner its updates in batches."""
         self.outbox_due = False
         outbox, self.outbox = self.outbox, {}
         for node, by_key in outbox.items():
@@ -121,12 +121,12 @@
         if status == 200:
             self.undelivered.pop(node, None)
             return
-        # Heartbeats repeat what was not recorded; so only the latest failures are worth keeping.
+        # Later heartbeats repeat updates that were not recorded, so only the latest are kept.
         undelivered = self.undelivered.setdefault(node, {})
         undelivered.update((update.key, update) for update in updates)
 
     def write_undelivered(self) -> None:
-        """Writes what peers could not be told directly to the store, as far as a value takes it."""
+        """Writes updates that owners could not be sent to the store, up to a value's size."""
         undelivered, self.undelivered = self.undelivered, {}
         bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
--- a/emberglade/agents/wire/__init__.py
+++ b/emberglade/agents/wire/__init__.py
@@ -1,6 +1,6 @@
-"""The messages and records of this slice: the only modules that know their names and fields.
+"""The messages and stored records of this package; only these modules know their fields' names.
 
-`agents` has the heartbeats of agents and the commands to them, `peers` the questions and answers
-between controllers, `tables` the 5 s table that each controller writes to the store, and `records`
-the other keys of the store that this slice reads or writes.
+`agents` contains agents' heartbeats and the commands to them, `peers` the questions and answers
+between controllers, `tables` the table that each controller writes to the store every 5 s, and
+`records` the other keys of the store that this package reads or writes.
 """
--- a/emberglade/agents/wire/agents.py
+++ b/emberglade/agents/wire/agents.py
@@ -1,4 +1,4 @@
-"""Between agents and controllers: heartbeats, their answers, and direct commands.
+"""Messages between agents and controllers: heartbeats, their answers, and direct commands.
 
 PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers".
 """
@@ -10,34 +10,34 @@
 
 from ...jobs.job import task_name
 
-COMMANDS_PATH = "/commands"  # of an agent
-MAX_COUNT = 2**64  # epochs, sequence numbers, fencing tokens and attempts are below
+COMMANDS_PATH = "/commands"  # on the agent's server
+MAX_COUNT = 2**64  # exclusive limit for epochs, sequence numbers, fencing tokens and attempts
 
 
 class HeartbeatError(ValueError):
-    """A heartbeat that is malformed; the message says what is wrong with it, and is sent back."""
+    """A malformed heartbeat; the message describes the fault and is sent back to the agent."""
 
 
 class TaskState(Enum):
-    """What a task does on its machine; the values are those of the heartbeat."""
+    """The state of a task on its machine; the values are those in heartbeats."""
 
     FETCHING = "fetching"  # waiting for its image
     RUNNING = "running"
-    SAVING = "saving"  # told to stop, and saving a checkpoint
+    SAVING = "saving"  # saving a checkpoint before it stops
     EXITED = "exited"
-    UNKNOWN = ""  # a state that PROTOCOL does not name
+    UNKNOWN = ""  # a state that PROTOCOL does not define
 
 
-TaskKey = tuple[str, int]  # (job id, number of the task)
+TaskKey = tuple[str, int]  # (job id, task number)
 TASK_STATES = {state.value: state for state in TaskState}
-# Every task of a heartbeat is compared with these; Python 3.11 is slow to find an enum's members.
+# Every task of a heartbeat is compared with these, and Python 3.11 looks up enum members slowly.
 EXITED = TaskState.EXITED
 SAVING = TaskState.SAVING
 UNKNOWN = TaskState.UNKNOWN
 
 
 class TaskStatus(NamedTuple):
-    """One task on a machine, as its agent states it."""
+    """The status of one task on a machine, as its agent reports it."""
 
     attempt: int
     state: TaskState
@@ -47,11 +47,11 @@
 
 @dataclass(slots=True)
 class AgentHeartbeat:
-    """A heartbeat of an agent; its tasks are read only when they are needed.
+    """A heartbeat of an agent; its tasks are parsed only when they are needed.
 
     Attributes:
-        spot_notice_s: Seconds until the cloud takes the machine back; None without a notice.
-        raw_tasks: The tasks as they were sent, for `read_tasks`.
+        spot_notice_s: Seconds until the cloud reclaims the machine; None without a notice.
+        raw_tasks: The tasks as received, for `read_tasks`.
     """
 
     machine: str
@@ -67,7 +67,7 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """(agent epoch, sequence): of two messages of a machine, the one with more is newer."""
+        """(agent epoch, sequence): of two messages of a machine, the greater one is newer."""
         return self.agent_epoch, self.sequence
 
 
@@ -76,35 +76,35 @@
 
 def _read_count(value: Any) -> int:
     if type(value) is not int or not 0 <= value < MAX_COUNT:
-        raise HeartbeatError(f"{value!r} is not a count")
+        raise HeartbeatError(f"expected an integer from 0 to 2**64 - 1, got {value!r}")
     return value
 
 
 def _read_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise HeartbeatError(f"{value!r} is not a text")
+        raise HeartbeatError(f"expected a non-empty string, got {value!r}")
     return value
 
 
 def _read_spot_notice(value: Any) -> float | None:
     if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
-        raise HeartbeatError(f"reclaim_s {value!r} is not a number")
+        raise HeartbeatError(f"reclaim_s: expected a number or null, got {value!r}")
     return value
 
 
 def read_heartbeat(data: Any) -> AgentHeartbeat:
-    """The heartbeat in a message, its tasks not read yet.
+    """Parses a heartbeat except for its tasks.
 
     Raises:
         HeartbeatError: The message is malformed.
     """
     if not isinstance(data, dict):
-        raise HeartbeatError("the report is not an object")
+        raise HeartbeatError("heartbeat: expected a JSON object")
     try:
         spot_notice_s = _read_spot_notice(data.get("reclaim_s"))
         raw_tasks = data.get("embers") or []
         if not isinstance(raw_tasks, list):
-            raise HeartbeatError("embers is not a list")
+            raise HeartbeatError("embers: expected a list")
         return AgentHeartbeat(
             _read_text(data["hearth"]),
             _read_text(data["addr"]),
@@ -118,11 +118,11 @@
             raw_tasks,
         )
     except KeyError as error:
-        raise HeartbeatError(f"the report lacks {error.args[0]}") from None
+        raise HeartbeatError(f"heartbeat: missing field {error.args[0]}") from None
 
 
 def read_tasks(raw_tasks: list) -> dict[TaskKey, TaskStatus]:
-    """The tasks of a heartbeat, from its `raw_tasks`.
+    """Parses the tasks of a heartbeat from its `raw_tasks`.
 
     Raises:
         HeartbeatError: A task is malformed.
@@ -138,9 +138,9 @@
                 bool(row.get("stored")),
             )
     except KeyError as error:
-        raise HeartbeatError(f"a task of the report lacks {error.args[0]}") from None
+        raise HeartbeatError(f"embers: a task lacks the field {error.args[0]}") from None
     except (TypeError, AttributeError) as error:
-        raise HeartbeatError(f"a task of the report is malformed: {error}") from None
+        raise HeartbeatError(f"embers: a task is malformed: {error}") from None
     except ValueError as error:
         raise HeartbeatError(str(error)) from None
     return tasks
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTask:
-    """Has the agent forget an attempt that has ended."""
+    """Makes the agent forget an attempt that has ended."""
 
     key: TaskKey
     attempt: int
@@ -199,14 +199,14 @@
 
 
 def write_answer(fencing_token: int, commands: Sequence[Command] = ()) -> dict:
-    """The body of a 200 to a heartbeat."""
+    """The body of a 200 answer to a heartbeat."""
     return {"torch": fencing_token, "bellows": _encode_all(commands) if commands else []}
 
 
 def write_direct_commands(
     fencing_token: int, agent_epoch: int, commands: Iterable[Command]
 ) -> dict:
-    """The body that commands an agent at its own address, in that agent epoch only."""
+    """The body of commands sent to an agent's own address, valid only in that agent epoch."""
     return {
         "torch": fencing_token,
         "kindling_span": agent_epoch,
@@ -215,10 +215,10 @@
 
 
 def write_redirect(node: str | None) -> dict:
-    """The body of a 421: the controller to send heartbeats to, if one is named."""
+    """The body of a 421 answer: the controller to send heartbeats to, if there is one."""
     return {"firekeeper": node} if node else {}
 
 
 def write_error(reason: object) -> dict:
-    """The body of a 400 or 503."""
+    """The body of a 400 or 503 answer."""
     return {"error": str(reason)}
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -1,4 +1,4 @@
-"""Between controllers: task status updates, what each knows of machines, and cancellations."""
+"""Messages between controllers: task status updates, views of machines, and cancellations."""
 
 from collections.abc import Iterable
 from contextlib import suppress
@@ -13,36 +13,36 @@
     "gone": TaskGone,
     "stop": StopWanted,
 }
-NO_REPLICA = -1  # as a replica's revision: the controller has none yet
-MAX_CONTACT_AGE_S = 1e6  # stands for never, which JSON can't say
+NO_REPLICA = -1  # the replica revision of a controller without a replica
+MAX_CONTACT_AGE_S = 1e6  # also sent for "never", since JSON has no infinity
 
 
 # --- task status updates
 
 
 def write_task_updates(updates: Iterable[TaskUpdate]) -> list[list]:
-    """The body that tells an owner of these updates: a list of [kind, job id, task, ...]."""
+    """The body that sends updates to a job's owner: a list of [kind, job id, task, ...]."""
     return [[update.key.kind, *astuple(update)] for update in updates]
 
 
 def read_task_updates(data: Any) -> list[TaskUpdate]:
-    """The updates in such a body; malformed ones are left out."""
+    """The updates in such a body; malformed ones are skipped."""
     updates: list[TaskUpdate] = []
     for row in data if isinstance(data, list) else ():
         if isinstance(row, list) and len(row) > 3 and row[0] in UPDATE_TYPES:
-            with suppress(TypeError):  # another number of fields
+            with suppress(TypeError):  # wrong number of fields
                 updates.append(UPDATE_TYPES[row[0]](*row[1:]))
     return updates
 
 
-# --- what a controller knows of machines
+# --- views of machines
 
 
 class MachineQuestion(NamedTuple):
-    """What a peer wants to know: all machines, or only some."""
+    """A peer's question: about all machines, or only some."""
 
-    asker: str | None  # the version before does not say
-    machines: list[str] | None  # None: all
+    asker: str | None  # not sent by the previous version
+    machines: list[str] | None  # None: all machines
 
 
 def write_question(asker: str, machines: list[str] | None) -> dict:
@@ -51,7 +51,7 @@
 
 
 def read_question(data: Any) -> MachineQuestion:
-    """A peer's question; whatever is malformed in it counts as missing."""
+    """Parses a peer's question; malformed fields are treated as missing."""
     data = data if isinstance(data, dict) else {}
     names, asker = data.get("of"), data.get("from")
     machines = (
@@ -64,8 +64,9 @@
     """One machine, as a controller's answer or table shows it.
 
     Attributes:
-        age_s: Seconds from when that controller last heard or answered it to when it said so.
-        unreachable: Its heartbeats arrive, answers don't reach it.
+        age_s: How long before making the answer or table that controller was last in contact with
+            the machine, in seconds.
+        unreachable: Its heartbeats arrive, but answers do not reach it.
     """
 
     age_s: float
@@ -80,7 +81,7 @@
 
 
 def machine_values(heartbeat: AgentHeartbeat, age_s: float, unreachable: bool) -> tuple:
-    """The values of a MachineStatus, in a plain tuple as orjson takes it."""
+    """The values of a MachineStatus as a plain tuple, which orjson can serialize."""
     return (
         round(age_s, 3),
         heartbeat.type,
@@ -95,15 +96,15 @@
 
 
 class MachineView(NamedTuple):
-    """What one controller says of all the machines that it knows.
+    """One controller's view of all the machines that it knows.
 
     Attributes:
         up_s: Seconds since its process began.
         contact_age_s: Seconds since it sent its last answered sync.
-        revision: Of a sync asked for by the question, None if there was none; in a table, of the
-            replica that the table was made from.
+        revision: In an answer: the revision of a sync made for the question, None if there was
+            none. In a table: the revision of the replica that the table was made from.
         machines: By name.
-        replica_revision: Of its replica; NO_REPLICA if it has none, or does not say.
+        replica_revision: The revision of its replica; NO_REPLICA if it has none or sent none.
     """
 
     up_s: float
@@ -156,7 +157,7 @@
 
 
 def write_cancellation(job_id: str, revision: int) -> dict:
-    """The body that tells a peer of a cancellation."""
+    """The body that notifies a peer of a cancellation."""
     return {"job": job_id, "rev": revision}
 
 
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -1,6 +1,6 @@
-"""The keys and records of the store that this slice reads or writes, besides tables.
+"""The store's keys and records, other than tables, that this package reads or writes.
 
-Keys are without the LIVE prefix, as the replica holds them.
+Keys are without the LIVE prefix, as in the replica.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
 OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
-UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not tell their owners
+UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not send to their owners
 
 
 def overflow_owner(key: str) -> str:
@@ -25,7 +25,7 @@
 
 
 def undelivered_key(node: str) -> str:
-    """The key under which a controller leaves updates for owners that it does not reach."""
+    """The key for a controller's updates that it could not send to their owners."""
     return UNDELIVERED_PREFIX + node
 
 
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -1,31 +1,31 @@
-"""The table that each controller writes to the store every 5 s.
+"""The status table that each controller writes to the store every 5 s.
 
-It holds counts for the leader and, while controllers don't hear each other, the machines that send
-heartbeats to its writer. A long one takes several values: the first is in the controller's key, the
-others under keys of their own; all have the table's number.
+It contains counts for the leader and, while a peer does not exchange views with its writer, the
+machines that send heartbeats to the writer. A long table is split into several values: the first is
+in the controller's key, the others are under keys of their own; all contain the table's number.
 """
 
 from typing import Any, NamedTuple
 
 from . import peers, records
 
-# Number of further values that a table without machines names: they never come, so neither this
-# version nor the one before takes it for a statement about machines.
+# The number of further values in a table without machines: as they never arrive, neither this
+# version nor the previous one considers the table a complete list of machines.
 NEVER_COMPLETE = 9999
 
 
 class TableHeader(NamedTuple):
-    """What a table says besides its machines.
+    """The fields of a table other than its machines.
 
     Attributes:
-        number: No two tables of a controller share it.
+        number: Unique among the tables of a controller.
         demand: {(machine type, spot): machines needed}.
         shortage: {(machine type, spot, zone): machines missing in that zone}.
-        wall: Time of day at which it was made, in seconds.
+        wall_time: Time of day at which it was made, in seconds.
         up_s: Seconds since the controller's process began.
         contact_age_s: Seconds since it sent its last answered sync.
-        revision: Of the replica that the table was made from.
-        machine_types: Names that machines' values point into.
+        revision: The revision of the replica that the table was made from.
+        machine_types: The names that machines' values refer to by index.
     """
 
     number: str
@@ -59,7 +59,7 @@
 
 
 def add_machines(table: dict, values: list[dict[str, list]]) -> None:
-    """Puts machines into a table: the first of `values`, and how many others there are."""
+    """Adds machines to a table: the first of `values`, and the number of the others."""
     table["parts"] = len(values) - 1
     table["m"] = values[0]
 
@@ -78,7 +78,7 @@
 
 
 def compact_machine(values: tuple, machine_types: list[str], zones: list[str]) -> list:
-    """A machine's `peers.machine_values` as a table holds them: fewer bytes, the same order."""
+    """A machine's `peers.machine_values` in the shorter form of tables, in the same order."""
     (
         age_s,
         machine_type,
@@ -114,7 +114,7 @@
 
 
 class TableView(NamedTuple):
-    """The machines of a complete table: None instead of a view if that is malformed."""
+    """The machines of a complete table; `view` is None if they are malformed."""
 
     wall_time: float
     view: peers.MachineView | None
@@ -125,8 +125,8 @@
 
     Args:
         node: The controller.
-        stored: Its key and those of its overflow values, with what they hold.
-        zones: The names that machines' values point into.
+        stored: The values of its key and its overflow keys, by key.
+        zones: The names that machines' values refer to by index.
 
     Raises:
         KeyError, TypeError, ValueError, IndexError: The table is malformed.
@@ -144,7 +144,7 @@
         ),
     ]
     if len(values) != table["parts"] + 1:
-        # The rest is on its way; a machine that is missing would pass for one never heard.
+        # Other values have not arrived; their machines must not be treated as unknown to the node.
         return None
     view = peers.read_machine_view(
         {
--- a/emberglade/placement/__init__.py
+++ b/emberglade/placement/__init__.py
@@ -1,7 +1,7 @@
 """Placement: bin packing on free capacity, quotas, guarantees, preemption, demand.
 
-Pure functions and tables without messages: the job manager holds them and plays its rounds on
-them. What they are told of a job is its `JobSpec` (`emberglade/jobs/record.py`).
+Pure functions and tables without messages: the job manager owns the tables and runs its placement
+rounds on them. They read a job's requirements from its `JobSpec` (`emberglade/jobs/job_spec.py`).
 """
 
 from .capacity import BoundTask, ClusterCapacity
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -1,6 +1,6 @@
-"""The cluster's capacity: what all bound tasks take, on machines and of teams' quotas.
+"""The cluster's capacity: what all bound tasks use, of machines and of teams' quotas.
 
-It is kept up to date task by task, never counted anew.
+It is updated task by task and never recomputed.
 """
 
 from collections import defaultdict
@@ -17,16 +17,16 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-_NO_USAGE = TeamUsage()  # of a team that never had a task; never changed
+_NO_USAGE = TeamUsage()  # shared by all teams that never had a task, so it must not be modified
 
 
 class BoundTask(NamedTuple):
     """A task that is bound to a machine.
 
     Attributes:
-        job: The job that it is a task of.
-        task: Its number in the job.
-        binding: Its attempt, and the machine.
+        job: The task's job.
+        task: The task's number in the job.
+        binding: Its attempt and its machine.
     """
 
     job: "Job"
@@ -35,19 +35,19 @@
 
 
 class ClusterCapacity:
-    """What every bound task takes: per machine, per team.
+    """What every bound task uses: per machine, per team.
 
-    Bound tasks are counted by `add` and `remove` alone. `reserve` and `release` change the same
-    figures for a while: whoever calls one calls the other with the same arguments later.
+    Bound tasks are counted only by `add` and `remove`. `reserve` and `release` change the same
+    amounts temporarily: whoever calls one must call the other with the same arguments later.
 
     Attributes:
         teams: The teams with their quotas and guarantees, by name.
-        machines: The machines that are there now, by name.
-        free: What is free on each of these machines.
-        replicas: How many tasks of services each of these machines holds.
-        team_usage: What each team's tasks take.
-        bound_tasks: {machine: {(job id, task): BoundTask}}, also of machines that are gone.
-        zones: The zone of each machine, kept as long as a task may be there.
+        machines: The current machines, by name.
+        free: The free resources of each of these machines.
+        replicas: How many service tasks are bound to each of these machines.
+        team_usage: What each team's tasks use.
+        bound_tasks: {machine: {(job id, task): BoundTask}}, also for machines that no longer exist.
+        zones: The zone of each machine, kept as long as tasks may be bound to it.
     """
 
     def __init__(self, teams: dict[str, "Team"]) -> None:
@@ -60,7 +60,7 @@
         self.zones: dict[str, str] = {}
 
     def set_machines(self, machines: Mapping[str, Machine]) -> None:
-        """Takes over the machines that are there now; what is bound on others stays bound."""
+        """Replaces the current machines; tasks on other machines stay bound."""
         for name, machine in machines.items():
             previous = self.machines.get(name)
             if previous is None or previous.type is not machine.type:
@@ -73,7 +73,7 @@
         self.machines = machines
 
     def _add_machine(self, name: str, machine: Machine) -> None:
-        """Counts what is free on a machine that is new, or of another type than previous."""
+        """Computes the free resources of a machine that is new or changed its type."""
         machine_type = machine.type
         free = Resources(machine_type.cpus, machine_type.gpus, machine_type.ram_gb)
         replicas = 0
@@ -85,13 +85,13 @@
         self.replicas[name] = replicas
 
     def add(self, job: "Job", task: int, binding: "Binding") -> None:
-        """Counts a task that is bound now."""
+        """Counts a newly bound task."""
         rows = self.bound_tasks.setdefault(binding.machine, {})
         rows[(job.id, task)] = BoundTask(job, task, binding)
         self.reserve(job.spec, binding.machine)
 
     def remove(self, job: "Job", task: int, binding: "Binding") -> None:
-        """Counts a task no longer that was bound."""
+        """Stops counting a task that was bound."""
         rows = self.bound_tasks[binding.machine]
         del rows[(job.id, task)]
         if not rows:
@@ -101,9 +101,9 @@
         self.release(job.spec, binding.machine)
 
     def reserve(self, spec: "JobSpec", name: str) -> None:
-        """Takes what one task of a job needs, of its team's share and on a machine.
+        """Adds one task of a job to its team's usage and to the used part of a machine.
 
-        `Resources.take` in place, as all that is bound or placed comes here.
+        `Resources.reserve` is inlined, since every bound or placed task is counted here.
         """
         usage = self.team_usage[spec.team]
         usage.cpus += spec.cpus
@@ -116,9 +116,9 @@
             self.replicas[name] += spec.service
 
     def release(self, spec: "JobSpec", name: str) -> None:
-        """Gives back what one task of a job takes, of its team's share and on a machine.
+        """Removes one task of a job from its team's usage and from the used part of a machine.
 
-        `Resources.give_back` in place, as all that is unbound comes here.
+        `Resources.release` is inlined, since every unbound task is counted here.
         """
         usage = self.team_usage[spec.team]
         usage.cpus -= spec.cpus
@@ -131,11 +131,11 @@
             self.replicas[name] -= spec.service
 
     def usage_of(self, team: str) -> TeamUsage:
-        """What a team's tasks take; only to be read."""
+        """What a team's tasks use; read-only."""
         return self.team_usage.get(team, _NO_USAGE)
 
     def tasks_within_quota(self, spec: "JobSpec") -> int:
-        """How many more tasks of a job its team's quota allows, at most all that it has."""
+        """How many more tasks of a job its team's quota allows, at most the number of its tasks."""
         team = self.teams.get(spec.team)
         if team is None:
             return 0
@@ -143,7 +143,7 @@
         return usage.tasks_within(spec, spec.tasks, team.cpu_quota, team.gpu_quota)
 
     def tasks_within_guarantee(self, spec: "JobSpec") -> int:
-        """How many more tasks of a job its team is guaranteed, at most all that it has."""
+        """How many more tasks of a job are within its team's guarantee, at most all its tasks."""
         team = self.teams.get(spec.team)
         if team is None or not team.has_guarantee:
             return 0
@@ -151,13 +151,13 @@
         return usage.tasks_within(spec, spec.tasks, team.guaranteed_cpus, team.guaranteed_gpus)
 
     def zones_of(self, job: "Job") -> JobZones:
-        """Where a job's bound tasks are."""
+        """The zones of a job's bound tasks."""
         counts: dict[str, int] = {}
         complete = True
         for _, binding in job.bindings():
             zone = self.zones.get(binding.machine)
-            # A machine that is not known any more may be in any zone: the job has to wait for it
-            # where zones matter.
+            # A machine that is no longer known may be in any zone, so a job with a rule on zones
+            # has to wait until its tasks there have ended.
             if zone is None:
                 complete = False
             else:
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -1,6 +1,7 @@
-"""Capacity that is kept free for classes whose tasks must start sooner than a machine boots.
+"""Capacity reserved for job classes whose tasks must start sooner than a machine boots.
 
-Cackle hands such work to its elastic pool; without one, the work of a boot time is expected ahead.
+Cackle sends such tasks to its elastic pool; without such a pool, the tasks expected within a boot
+time are counted as demand in advance.
 """
 
 from collections.abc import Iterable
@@ -12,14 +13,14 @@
     from ..config import ServiceLevelObjective
     from ..jobs.job import Job
 
-WINDOW_BOOT_TIMES = 4  # the arrivals of so many boot times say what one boot time will bring
+WINDOW_BOOT_TIMES = 4  # the rate of arrivals is measured over this many boot times
 
 
 class ExpectedTasks(NamedTuple):
     """Tasks that are expected within a boot time.
 
     Attributes:
-        job: A job whose tasks are like them.
+        job: A job with tasks of the same kind.
         tasks: How many, not rounded.
     """
 
@@ -35,16 +36,17 @@
 ) -> list[ExpectedTasks]:
     """The tasks expected within a boot time, for classes with a `wait` objective below it.
 
-    By image, since room on a machine that would have to fetch the image first is no help.
+    Counted by image, since free capacity on a machine that would have to fetch the image first does
+    not help.
 
     Args:
-        jobs: All live jobs: those submitted lately say how many will come.
+        jobs: All live jobs; those submitted recently give the expected rate.
         objectives: All objectives.
         machine_types: The catalog, by name; the longest boot time counts.
         wall_time: The time of day, in seconds.
 
     Returns:
-        One row for each class and image of which tasks were submitted lately.
+        One row for each class and image of which tasks were submitted recently.
     """
     boot_s = max((machine_type.boot_s for machine_type in machine_types.values()), default=0.0)
     urgent_classes = _urgent_classes(objectives, boot_s)
@@ -67,7 +69,7 @@
 def _arrivals(
     jobs: "Iterable[Job]", classes: set[str], since: float
 ) -> "Iterable[tuple[Job, int]]":
-    """By class and image, the latest job and how many tasks were submitted after a time of day."""
+    """The latest job and the number of tasks submitted after `since`, by class and image."""
     arrivals: dict[tuple[str, str], tuple[Job, int]] = {}
     for job in jobs:
         spec = job.spec
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -1,7 +1,7 @@
-"""The capacity that running and waiting tasks ask for, in machines per pool.
+"""The capacity that running and pending tasks require, in machines per pool.
 
-A pool is a machine type and whether its jobs may use spot machines: the design counts per type,
-and spot machines can't serve everyone.
+A pool is a machine type and whether its jobs may use spot machines: the design counts per type, and
+some jobs can't run on spot machines.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,7 +19,7 @@
 
 
 class Pool(NamedTuple):
-    """What demand is counted by.
+    """A kind of machine for which demand is counted.
 
     Attributes:
         machine_type: Name of the machine type.
@@ -53,13 +53,13 @@
     machine_types: dict[str, MachineType],
     teams: dict[str, "Team"],
 ) -> dict[Pool, float]:
-    """How many machines the jobs' unfinished tasks ask for.
+    """How many machines the jobs' unfinished tasks require.
 
     Args:
         jobs: The jobs that are counted.
         expected: Tasks that are not submitted yet and are counted with them.
         machine_types: The catalog, by name.
-        teams: The teams by name; what a team's quota keeps from running asks for no machines.
+        teams: The teams by name; tasks beyond their team's quota are not counted.
 
     Returns:
         Machines by pool, not rounded, so that controllers' parts can be summed.
@@ -82,7 +82,7 @@
 def _requested_tasks(
     jobs: "Iterable[Job]", expected: list[ExpectedTasks]
 ) -> "Iterator[tuple[JobSpec, float]]":
-    """Yields jobs and their unfinished tasks by priority and age, then what is expected."""
+    """Yields jobs and their unfinished tasks by priority and age, then the expected tasks."""
     for job in sorted(jobs, key=lambda job: (job.spec.priority, job.spec.submitted_at)):
         yield job.spec, job.spec.tasks - job.done_count()
     for job, tasks in expected:
@@ -90,7 +90,7 @@
 
 
 def _share_of_machine(spec: "JobSpec", machine_type: MachineType) -> float:
-    """The largest share that one task of a job takes of a machine's processors, GPUs or memory."""
+    """The largest share that one task of a job uses of a machine's processors, GPUs or memory."""
     return max(
         spec.cpus / machine_type.cpus if machine_type.cpus else 0,
         spec.ram_gb / machine_type.ram_gb if machine_type.ram_gb else 0,
@@ -106,12 +106,13 @@
 ) -> dict[ZonePool, float]:
     """How many machines are missing for tasks that can run in one zone only.
 
-    `demand` does not say where: with idle machines elsewhere the fleet would never be scaled out.
+    `demand` does not distinguish zones: as long as machines were idle in other zones, the fleet
+    would never be scaled out for these tasks.
 
     Args:
         jobs: The jobs that are counted.
-        capacity: What is free on the machines.
-        usable: Names of the machines that may be given tasks.
+        capacity: The free resources of the machines.
+        usable: Names of the machines on which tasks may be placed.
         machine_types: The catalog, by name.
 
     Returns:
@@ -144,7 +145,7 @@
 def _tasks_without_capacity(
     spec: "JobSpec", tasks: int, zone: str, capacity: ClusterCapacity, usable: set[str]
 ) -> int:
-    """How many of a job's tasks find no room on the usable machines of a zone."""
+    """How many of a job's tasks do not fit on the usable machines of a zone."""
     for name in usable:
         machine = capacity.machines[name]
         if machine.zone == zone and machine.is_allowed_for(spec):
--- a/emberglade/placement/images.py
+++ b/emberglade/placement/images.py
@@ -1,17 +1,17 @@
-"""What each machine's image cache should hold: the most recently used images up to its size."""
+"""The expected contents of machines' image caches: the most recently used images that fit."""
 
 from collections.abc import Container
 
 
 class ImageCaches:
-    """Which images each machine is expected to have cached."""
+    """The images that each machine is expected to have cached."""
 
     def __init__(self) -> None:
-        # {machine: {image: GB}}, the image that was used longest ago first.
+        # {machine: {image: GB}}, the least recently used image first.
         self._caches: dict[str, dict[str, float]] = {}
 
     def add(self, machine: str, image: str, image_gb: float, cache_gb: float) -> None:
-        """A task of this image goes to a machine: others may have to make way for it.
+        """Adds the image of a task placed on a machine; evicts the least recently used images.
 
         Args:
             machine: Name of the machine.
@@ -26,10 +26,10 @@
             cache.pop(next(iter(cache)))
 
     def has(self, machine: str, image: str) -> bool:
-        """Whether a machine is expected to have an image."""
+        """Whether a machine is expected to have an image cached."""
         return image in self._caches.get(machine, ())
 
     def keep_only(self, machines: Container[str]) -> None:
-        """Forgets all other machines."""
+        """Drops all other machines."""
         for name in [name for name in self._caches if name not in machines]:
             del self._caches[name]
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from ..jobs.job_spec import JobSpec
 
-# Of tasks that need no processor, GPU or memory, as many as this count as a machine's fill.
+# How many tasks that require no processor, GPU or memory are considered to fill a machine.
 MAX_UNCONSTRAINED_TASKS = 1000
 
 
@@ -24,10 +24,10 @@
         ram_gb: Memory of one machine, in GB.
         cache_gb: Size of its image cache, in GB.
         fetch_gb_per_s: How fast a machine fetches images, in GB per second.
-        price: Nominal price of an ordinary machine, per hour.
+        price: Nominal price of an on-demand machine, per hour.
         spot_price: Current price of a spot machine, per hour.
-        boot_s: Time from the rental until a machine can run tasks, in seconds; 0 if unknown.
-        zones: The zones in which it can be had.
+        boot_s: Time from the request until a machine can run tasks, in seconds; 0 if unknown.
+        zones: The zones in which it is offered.
     """
 
     name: str
@@ -42,11 +42,11 @@
     zones: tuple[str, ...]
 
     def tasks_that_fit(self, spec: "JobSpec") -> int:
-        """How many tasks of a job fit an empty machine."""
+        """How many tasks of a job fit on an empty machine."""
         return tasks_that_fit(spec, self, MAX_UNCONSTRAINED_TASKS)
 
     def can_run(self, spec: "JobSpec") -> bool:
-        """Whether a job allows this type and its zones, and a task of it fits an empty machine."""
+        """Whether a job allows this type and its zones, and its tasks fit on an empty machine."""
         return (
             (spec.allowed_types is None or self.name in spec.allowed_types)
             and (spec.zone is None or spec.zone in self.zones)
@@ -66,10 +66,11 @@
     Attributes:
         name: Its name.
         type: Its machine type.
-        zone: The zone that it is in.
-        spot: Whether the cloud may take it away.
-        agent_epoch: The incarnation of its agent, which new bindings are meant for.
-        schedulable: Whether it was heard of lately, hears us, and is not about to be taken away.
+        zone: Its zone.
+        spot: Whether the cloud may reclaim it.
+        agent_epoch: The incarnation of its agent, for which new bindings are valid.
+        schedulable: Whether it was recently in contact, receives our answers, and has no spot
+            notice.
     """
 
     name: str
@@ -80,7 +81,7 @@
     schedulable: bool
 
     def is_allowed_for(self, spec: "JobSpec") -> bool:
-        """Whether its kind, type and zone suit a job, wherever the job's other tasks are."""
+        """Whether a job may use a machine of this kind, type and zone, ignoring its other tasks."""
         return (
             (spec.spot or not self.spot)
             and (spec.allowed_types is None or self.type.name in spec.allowed_types)
@@ -89,7 +90,7 @@
 
 
 def fits_some_type(spec: "JobSpec", machine_types: dict[str, MachineType]) -> bool:
-    """Whether a task of a job fits an empty machine of some type."""
+    """Whether a task of a job fits on an empty machine of some type."""
     return any(machine_type.can_run(spec) for machine_type in machine_types.values())
 
 
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -1,4 +1,4 @@
-"""One round of bin packing: which machines take the waiting tasks."""
+"""One round of bin packing: chooses machines for pending tasks."""
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
@@ -12,20 +12,20 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time: estimates are often wrong by half
+MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time, as estimates are often wrong by half
 
 
 def placement_order(
     spec: "JobSpec", objectives: "tuple[ServiceLevelObjective, ...]", wall_time: float
 ) -> tuple[int, bool, float, float, str]:
-    """The key by which jobs are served in a round, the lowest first.
+    """The key by which the jobs of a round are sorted, the first to be placed first.
 
-    By priority, then by what is due first, then by age. Within a priority, what can't be in time
-    any more comes after what still can.
+    By priority, then by due time, then by age. Within a priority, jobs that can no longer finish in
+    time come after those that still can.
 
     Args:
         spec: The job.
-        objectives: All objectives; those on finishing jobs of its class count.
+        objectives: All objectives; those for the finish time of the job's class apply.
         wall_time: The time of day, in seconds.
 
     Returns:
@@ -38,7 +38,7 @@
 
 
 def _due_at(spec: "JobSpec", objectives: "tuple[ServiceLevelObjective, ...]") -> float:
-    """When a job is to be finished: by its own deadline, else by its class's objective."""
+    """When a job has to be finished: by its own deadline, else by its class's objective."""
     within = spec.deadline_s
     if within is None:
         within = min(
@@ -55,7 +55,7 @@
 
 
 class _Change(NamedTuple):
-    """One task of `spec` for each of `machines`: reserved, or released before its time."""
+    """One task of `spec` on each of `machines`, reserved or released for the rest of the round."""
 
     spec: "JobSpec"
     machines: list[str]
@@ -63,22 +63,22 @@
 
 
 class PlacementRound:
-    """One round of placing, played on the cluster's capacity.
+    """One placement round on the cluster's capacity.
 
-    What it reserves and releases there is taken back when the round ends: what really was bound
-    is counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
+    Its reservations and releases are undone when the round ends; tasks that really were bound are
+    counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
 
     Attributes:
-        capacity: What all bound tasks take, and this round's reservations.
-        usable: Names of the machines that may be given tasks.
-        images: Which images the machines are expected to have.
+        capacity: What all bound tasks use, and this round's reservations.
+        usable: Names of the machines on which tasks may be placed.
+        images: The images that each machine is expected to have cached.
     """
 
     def __init__(self, capacity: ClusterCapacity, usable: set[str], images: ImageCaches) -> None:
         self.capacity = capacity
         self.usable = usable
         self.images = images
-        # Most machines are full most of the time; only the others are looked at for every job.
+        # Most machines are full most of the time; only the others are checked for every job.
         self._with_capacity: dict[str, Resources] = {
             name: free
             for name in usable
@@ -86,7 +86,8 @@
             and free.ram_gb > ROUNDING_TOLERANCE
         }
         self._changes: list[_Change] = []
-        # Needs for which no capacity was left; within a round, capacity only shrinks.
+        # Requirements that no machine could satisfy; within a round, capacity only shrinks until
+        # `release` clears this set.
         self._unplaceable: set[tuple[Any, ...]] = set()
 
     def __enter__(self) -> "PlacementRound":
@@ -96,7 +97,7 @@
         self.undo()
 
     def max_tasks(self, spec: "JobSpec") -> int:
-        """At most so many tasks of a job can be placed: a cheap look that saves most a `place`."""
+        """An upper bound on how many tasks `place` can place; cheap, and 0 for most jobs."""
         if not has_zone_rule(spec) and self._requirements(spec) in self._unplaceable:
             return 0
         return self.capacity.tasks_within_quota(spec)
@@ -105,7 +106,7 @@
         """Reserves capacity for up to `count` more tasks of a job.
 
         Returns:
-            The machines, one a task.
+            The machines, one per task.
         """
         spec = job.spec
         count = min(count, self.max_tasks(spec))
@@ -124,12 +125,12 @@
         return machines
 
     def undo_place(self, machines: list[str]) -> None:
-        """Gives back at once what `place` has just reserved, given what it returned."""
+        """Undoes the latest change, the reservation for which `place` returned these machines."""
         if machines:
             self._undo_change(self._changes.pop())
 
     def release(self, spec: "JobSpec", name: str) -> None:
-        """Counts a bound task as gone for the rest of the round, but not where zones matter."""
+        """Counts a bound task as ended for the rest of the round, except in rules on zones."""
         self.capacity.release(spec, name)
         self._changes.append(_Change(spec, [name], reserved=False))
         self._unplaceable.clear()
@@ -137,7 +138,7 @@
             self._with_capacity[name] = self.capacity.free[name]
 
     def undo(self) -> None:
-        """Takes all reservations and releases of this round back."""
+        """Undoes all reservations and releases of this round."""
         for change in self._changes:
             self._undo_change(change)
         self._changes = []
@@ -149,13 +150,13 @@
 
     @staticmethod
     def _requirements(spec: "JobSpec") -> tuple[Any, ...]:
-        """All of a job that says which machines can take a task, but for rules on zones."""
+        """Everything in a job that decides which machines fit, except rules on zones."""
         return spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.allowed_types, spec.zone
 
     def _machines_that_fit(self, spec: "JobSpec") -> list[str]:
-        """The machines on which one more task of a job fits now, rules on zones apart.
+        """The machines on which one more task of a job fits now, ignoring rules on zones.
 
-        `Resources.fits` in place: looking over all machines is most of what a round costs.
+        `Resources.fits` is inlined: scanning all machines is most of the cost of a round.
         """
         cpus = spec.cpus - ROUNDING_TOLERANCE
         gpus = spec.gpus - ROUNDING_TOLERANCE
@@ -171,31 +172,32 @@
         ]
 
     def _preference(self, spec: "JobSpec", name: str) -> tuple[Any, ...]:
-        """The key by which the machines that fit are ordered, the best first."""
+        """The key by which the machines that fit are sorted, the best first."""
         capacity = self.capacity
         missing = spec.image_gb > 0 and not self.images.has(name, spec.image)
-        # Cheap machines first for what may use them, so that ordinary capacity stays free; and the
-        # same machines first at all times, so that the others fall idle and are scaled in.
+        # Spot machines first for jobs that may use them, so that on-demand capacity stays free;
+        # and always the same order of machines, so that the last ones become idle and are scaled
+        # in.
         other_kind = capacity.machines[name].spot != spec.spot
         if spec.service:
-            # Replicas live long: on few machines they keep few from being scaled in.
+            # Replicas run long: on few machines, they keep only few from being scaled in.
             return missing, -capacity.replicas[name], other_kind, name
-        # Where replicas are, their images are: that capacity is for more of them, who can't wait
-        # for an image.
+        # Machines with replicas have the services' images cached, so their free capacity is left
+        # for further replicas, which can't wait for an image to be fetched.
         return capacity.replicas[name] > 0, missing, other_kind, name
 
     def _reserve(
         self, spec: "JobSpec", count: int, zone_counts: dict[str, int] | None
     ) -> list[str]:
-        """Reserves up to `count` tasks on the machines that fit; returns the machines, one a task.
+        """Reserves up to `count` tasks on machines that fit; returns the machines, one per task.
 
-        `zone_counts` are the job's tasks by zone, counted on here; None where zones don't matter.
+        `zone_counts` are the job's tasks by zone, updated here; None if it has no rule on zones.
         """
         candidates = sorted(
             self._machines_that_fit(spec), key=lambda name: self._preference(spec, name)
         )
-        # A service's replicas go to a machine each where they can: what a machine's loss costs is
-        # less, and more machines hold the image for those that come later.
+        # A service's replicas are spread over machines where possible: losing a machine costs
+        # fewer of them, and more machines have the image cached for later replicas.
         tasks_at_once = 1 if spec.service else count
         reserved: list[str] = []
         while candidates and len(reserved) < count:
--- a/emberglade/placement/preemption_rules.py
+++ b/emberglade/placement/preemption_rules.py
@@ -1,7 +1,7 @@
 """Guarantees, and which tasks may be preempted for which, under PROTOCOL's rules.
 
-Work of a lower priority may be stopped for work of a higher one; work of a team beyond its
-guarantee, of any priority, for a team within its own. Nothing else is ever stopped to make room.
+A task may be stopped for one of a higher priority; a task of a team that exceeds its guarantee, of
+any priority, for a team within its own. No other task is stopped to free capacity.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 def guaranteed_jobs(jobs: "Iterable[Job]", teams: dict[str, "Team"]) -> set[str]:
-    """The ids of the jobs that fit into their team's guarantee, with the team's earlier ones."""
+    """The ids of the jobs that fit into their team's guarantee together with its earlier jobs."""
     usages: dict[str, TeamUsage] = {}
     guaranteed = set()
     for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
@@ -37,7 +37,7 @@
 def may_preempt(
     spec: "JobSpec", victim: "JobSpec", capacity: ClusterCapacity, teams: dict[str, "Team"]
 ) -> bool:
-    """Whether PROTOCOL allows stopping a task of `victim` to make room for one of `spec`."""
+    """Whether PROTOCOL allows stopping a task of `victim` to free capacity for one of `spec`."""
     if victim.priority > spec.priority:
         return True
     team = teams.get(spec.team)
@@ -52,7 +52,7 @@
 
 
 def _stays_within_guarantee(spec: "JobSpec", team: "Team", capacity: ClusterCapacity) -> bool:
-    """Whether a team's guarantee holds one more task of a job."""
+    """Whether one more task of a job is within its team's guarantee."""
     usage = capacity.usage_of(spec.team)
     return (
         usage.cpus + spec.cpus <= team.guaranteed_cpus + ROUNDING_TOLERANCE
@@ -61,7 +61,7 @@
 
 
 def _is_beyond_guarantee(victim: "JobSpec", team: "Team", capacity: ClusterCapacity) -> bool:
-    """Whether a team has all that it is guaranteed also without one task of a job."""
+    """Whether a team still uses all of its guarantee without one task of a job."""
     usage = capacity.usage_of(victim.team)
     return (
         usage.cpus - victim.cpus >= team.guaranteed_cpus - ROUNDING_TOLERANCE
@@ -73,14 +73,14 @@
 
 
 def preemption_class(spec: "JobSpec") -> PreemptionClass:
-    """All of a job that `may_preempt` looks at: jobs of one class are alike to it."""
+    """The fields of a job that `may_preempt` reads: it treats jobs with equal classes alike."""
     return spec.priority, spec.team, spec.cpus, spec.gpus
 
 
 class PreemptionRules:
-    """The answers of `may_preempt` within one round, each worked out once for two classes of jobs.
+    """Caches the results of `may_preempt` within one round, by the preemption classes of both jobs.
 
-    They hold as long as no task is bound or unbound.
+    They are valid as long as no task is bound or unbound.
     """
 
     def __init__(self, capacity: ClusterCapacity, teams: dict[str, "Team"]) -> None:
@@ -89,7 +89,7 @@
         self._answers: dict[tuple[PreemptionClass, PreemptionClass], bool] = {}
 
     def may_preempt(self, spec: "JobSpec", victim: "JobSpec") -> bool:
-        """Whether a task of `victim` may be stopped to make room for one of `spec`."""
+        """Whether a task of `victim` may be stopped to free capacity for one of `spec`."""
         key = preemption_class(spec), preemption_class(victim)
         answer = self._answers.get(key)
         if answer is None:
--- a/emberglade/placement/resources.py
+++ b/emberglade/placement/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of processors, GPUs and memory, and how many tasks an amount holds."""
+"""Amounts of processors, GPUs and memory, and how many tasks fit into an amount."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol, TypeVar
@@ -6,14 +6,14 @@
 if TYPE_CHECKING:
     from ..jobs.job_spec import JobSpec
 
-# Amounts are decimal numbers: sums of them are not exact.
+# Amounts are floating-point numbers, so sums of them are not exact.
 ROUNDING_TOLERANCE = 1e-9
 
 Count = TypeVar("Count", int, float)
 
 
 class Amounts(Protocol):
-    """Whatever has processors, GPUs and memory: a machine type, or what is free on a machine."""
+    """Anything with processors, GPUs and memory: a machine type, or a machine's free resources."""
 
     @property
     def cpus(self) -> float:
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Resources:
-    """What is free on a machine; below 0 where more is bound than the machine has.
+    """The free resources of a machine; negative where more is bound than the machine has.
 
     Attributes:
         cpus: Processors.
@@ -43,7 +43,7 @@
     ram_gb: float
 
     def copy(self) -> "Resources":
-        """The same amounts, to be changed on their own."""
+        """An independent copy."""
         return Resources(self.cpus, self.gpus, self.ram_gb)
 
     def fits(self, spec: "JobSpec") -> bool:
@@ -55,13 +55,13 @@
         )
 
     def reserve(self, spec: "JobSpec") -> None:
-        """Takes what one task of a job needs, whether it fits or not."""
+        """Subtracts the resources of one task of a job, whether it fits or not."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.ram_gb -= spec.ram_gb
 
     def release(self, spec: "JobSpec") -> None:
-        """Gives back what one task of a job took."""
+        """Adds the resources of one task of a job back."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.ram_gb += spec.ram_gb
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What a team's tasks take: what its quota and its guarantee are compared with.
+    """What a team's tasks use, to be compared with its quota and its guarantee.
 
     Attributes:
         cpus: Processors.
@@ -80,14 +80,14 @@
     gpus: float = 0.0
 
     def add(self, spec: "JobSpec", tasks: float) -> None:
-        """Counts further tasks of a job."""
+        """Adds further tasks of a job."""
         self.cpus += tasks * spec.cpus
         self.gpus += tasks * spec.gpus
 
     def tasks_within(
         self, spec: "JobSpec", tasks: Count, cpu_limit: float, gpu_limit: float
     ) -> Count:
-        """How many of `tasks` more tasks of a job stay within both limits; a limit of 0 is none."""
+        """How many of `tasks` more tasks of a job are within both limits; 0 means no limit."""
         if cpu_limit > 0 and spec.cpus > 0:
             tasks = min(tasks, int((cpu_limit - self.cpus) / spec.cpus + ROUNDING_TOLERANCE))
         if gpu_limit > 0 and spec.gpus > 0:
@@ -101,7 +101,7 @@
     Args:
         spec: The job.
         available: The amount.
-        unconstrained_count: The answer for a job whose tasks need nothing.
+        unconstrained_count: The result for a job whose tasks require no resources.
     """
     ratios = [
         amount / need
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -1,7 +1,7 @@
-"""Choice of victims: which running tasks are preempted so that a pressing one finds room.
+"""Selection of victims: which running tasks are preempted to free capacity for a pending one.
 
-All functions are given what may be stopped, as `Victims`: by machine, each machine's tasks in the
-order in which they are to go (`victim_order`).
+All functions receive the tasks that may be stopped as `Victims`: by machine, each machine's tasks
+in the order in which they are to be stopped (`victim_order`).
 """
 
 from collections.abc import Callable
@@ -19,21 +19,22 @@
     from ..jobs.job_spec import JobSpec
 
 Victims = dict[str, list[BoundTask]]
-# Whether a task was bound so lately that its start does not count once it is stopped.
+# Whether a task was bound so recently that its start does not count if it is stopped now.
 IsRecentlyBound = Callable[[BoundTask], bool]
 
 
 def victim_cost(spec: "JobSpec", recently_bound: bool) -> tuple[int, bool, bool]:
-    """The key of what stopping a task costs, the least first.
+    """The key for the cost of stopping a task, the lowest first.
 
-    The lowest priority first, then work that saves checkpoints, then what is no recently_bound start.
+    The lowest priority first, then jobs that save checkpoints, then tasks that were not recently
+    bound.
     """
     return -spec.priority, spec.checkpoint_interval_s <= 0, recently_bound
 
 
 def victim_order(bound_task: BoundTask, recently_bound: bool) -> tuple[int, bool, bool, str, int]:
-    """The key by which possible victims are ordered, the first to go first: by `victim_cost`."""
-    # That key in place: it is asked for every task that may be stopped.
+    """The sort key of possible victims, the first to be stopped first; extends `victim_cost`."""
+    # `victim_cost` is inlined: this key is computed for every task that may be stopped.
     job, task, _ = bound_task
     spec = job.spec
     return -spec.priority, spec.checkpoint_interval_s <= 0, recently_bound, spec.id, task
@@ -49,7 +50,7 @@
     """Victims of the same team whose end brings one task of a job within the team's quota.
 
     Returns:
-        The victims, the first to go first; all that there are if they are not enough.
+        The victims, the first to be stopped first; all possible ones if they are not enough.
     """
     team = teams[spec.team]
     usage = capacity.usage_of(spec.team)
@@ -73,15 +74,15 @@
 
 
 def _excess(amount: float, quota: float) -> float:
-    """How far an amount is above a quota; a quota of 0 is none."""
+    """How far an amount exceeds a quota; a quota of 0 means no limit."""
     return max(0.0, amount - quota) if quota > 0 else 0.0
 
 
 def has_fit(job: "Job", victims: list[BoundTask], placement_round: PlacementRound) -> bool:
-    """Whether a machine has room for one task of a job once the victims are gone.
+    """Whether one task of a job fits on a machine once the victims have ended.
 
-    Once broken: others of the team were stopped for a task that no machine could take, were placed
-    again, and stopped again (placement/preempts_only_what_fits.txt).
+    Without this check, other tasks of the team were stopped for a task that fitted no machine, were
+    placed again, and stopped again (placement/preempts_only_what_fits.txt).
     """
     spec = job.spec
     capacity = placement_round.capacity
@@ -107,7 +108,7 @@
 
 
 def _freed_by(victims: list[BoundTask]) -> dict[str, Resources]:
-    """What the end of these tasks frees, by machine."""
+    """The resources that the end of these tasks frees, by machine."""
     freed: dict[str, Resources] = {}
     for bound_task in victims:
         freed.setdefault(bound_task.binding.machine, Resources(0.0, 0.0, 0.0)).release(
@@ -123,7 +124,7 @@
     teams: dict[str, "Team"],
     is_recently_bound: IsRecentlyBound,
 ) -> list[BoundTask] | None:
-    """The cheapest victims on one machine whose end makes room for one task of a job, or None."""
+    """The cheapest victims on one machine whose end frees capacity for one task, or None."""
     spec = job.spec
     capacity = placement_round.capacity
     zones = capacity.zones_of(job)
@@ -143,12 +144,12 @@
             last = victims[-1]
             cost = victim_cost(last.job.spec, is_recently_bound(last))
             candidates.append(((image_missing, cost, len(victims), name), victims))
-    # No two costs are alike, since each holds the name of its machine.
+    # No two costs are equal, since each contains its machine's name.
     return min(candidates)[1] if candidates else None
 
 
 class _VictimSearch:
-    """Looks for victims on one machine after the other, for one task of a job."""
+    """Searches machine by machine for victims for one task of a job."""
 
     def __init__(self, job: "Job", capacity: ClusterCapacity, teams: dict[str, "Team"]) -> None:
         self.job = job
@@ -157,7 +158,7 @@
         self._may_preempt: dict[str, bool] = {}  # by the id of the victims' job
 
     def victims_on(self, name: str, bound_tasks: list[BoundTask]) -> list[BoundTask]:
-        """The first of a machine's tasks whose end makes room; empty if nothing does."""
+        """The first of a machine's tasks whose end frees enough capacity; empty if none do."""
         spec = self.job.spec
         free = self.capacity.free[name]
         victims: list[BoundTask] = []
--- a/emberglade/placement/wire.py
+++ b/emberglade/placement/wire.py
@@ -1,6 +1,6 @@
-"""The catalog's key of the store: machine types as they are kept, as rows without field names.
+"""The stored value of the catalog's key: machine types as rows without field names.
 
-The value is `{"types": [row, ...]}`; a row holds a machine type's fields in the order in which
+The value is `{"types": [row, ...]}`; a row contains a machine type's fields in the order in which
 `MachineType` declares them.
 """
 
--- a/emberglade/placement/zones.py
+++ b/emberglade/placement/zones.py
@@ -1,4 +1,4 @@
-"""Rules on zones between a job's tasks: all in one zone, or at most half of them in any."""
+"""Rules on the zones of a job's tasks: all in one zone, or at most half of them in any zone."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class JobZones(NamedTuple):
-    """Where a job's bound tasks are.
+    """The zones of a job's bound tasks.
 
     Attributes:
         counts: Bound tasks by zone.
@@ -19,17 +19,17 @@
 
 
 def has_zone_rule(spec: "JobSpec") -> bool:
-    """Whether it matters for a job in which zones its other tasks are."""
+    """Whether the zones of a job's tasks depend on each other."""
     return spec.single_zone or spec.zone_spread
 
 
 def zone_allows(spec: "JobSpec", counts: dict[str, int], zone: str) -> bool:
-    """Whether one more task of a job may be in a zone.
+    """Whether the job's rules allow one more task in a zone.
 
     Args:
         spec: The job.
         counts: How many of its tasks are in which zone.
-        zone: The zone asked about.
+        zone: The zone of the further task.
     """
     if spec.single_zone and counts and zone not in counts:
         return False
