--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -211,7 +211,7 @@
     # --- conclusions
 
     def caught_up_since(self) -> float:
-        """A moment up to which no peer had confirmed anything that our replica does not show."""
+        """A moment up to which no peer had confirmed to users what our replica does not show."""
         return min(
             (self.caught_up_at.get(peer.name, NEVER) for peer in self.settings.peers),
             default=NEVER,
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -80,9 +80,7 @@
             # The binding's agent epoch has ended, or a start would be fenced: it will never run.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
         if stop == StopMode.KEEP and heartbeat.spot_notice_s is not None:
-            return StopWanted(
-                *key, desired.attempt, StopMode.SAVE, "the cloud reclaims its machine"
-            )
+            return StopWanted(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
         return None
 
     def forward(self, update: TaskUpdate) -> None:
