--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,7 +1,7 @@
 """Answers agents' heartbeats.
 
-Every controller answers any agent. Commands are derived from the replica alone, and a start only
-from a replica synced after the heartbeat arrived; the arguments are in docs/safety.md.
+Every controller may answer any agent. Commands are derived from the replica alone. A start is sent
+only from a replica that was synced after the heartbeat arrived; docs/safety.md gives the reasons.
 """
 
 import itertools
@@ -21,23 +21,23 @@
 from .wire import agents as agent_wire
 from .wire.agents import AgentHeartbeat
 
-Reply = Callable[..., Any]  # reply(status, body), or reply(status, body, seconds to wait)
+Reply = Callable[..., Any]  # reply(status, body) or reply(status, body, retry_after_s)
 
-RETRY_S = 1  # what an agent is asked to wait for that gets a 503
+RETRY_AFTER_S = 1  # sent to agents with a 503
 
 
 @dataclass(slots=True)
 class PendingAnswer:
-    """A heartbeat that is answered after a sync."""
+    """A heartbeat whose answer waits for a sync."""
 
     record: AgentRecord
     heartbeat: AgentHeartbeat
     reply: Reply
-    since: float
+    received_at: float
 
 
 class HeartbeatHandler(AgentPart):
-    """Takes heartbeats in, and answers them with commands."""
+    """Processes heartbeats and answers them with commands."""
 
     def __init__(
         self,
@@ -60,49 +60,49 @@
         self.pending_numbers = itertools.count(1)
 
     def handle(self, data: Any, reply: Reply) -> None:
-        """Answers one heartbeat, as it was sent, by `reply(status, body[, seconds to wait])`."""
+        """Answers one unparsed heartbeat by `reply(status, body[, retry_after_s])`."""
         try:
             heartbeat = agent_wire.read_heartbeat(data)
         except agent_wire.HeartbeatError as error:
-            reply(400, agent_wire.write_refusal(error))
+            reply(400, agent_wire.write_error(error))
             return
         now = self.now()
         connected_peer = self.routing.connected_peer(now)
-        if self._turn_away(heartbeat, connected_peer, now, reply):
+        if self._reject_or_redirect(heartbeat, connected_peer, now, reply):
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
-        if self._is_late(heartbeat, last_seen):
-            # The lease that its answer could renew is one that the newer message renewed already.
+        if self._is_outdated(heartbeat, last_seen):
+            # Harmless: the answer can only renew a lease that the newer message already renewed.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        record = self._record_of(heartbeat, now)
+        record = self._get_or_add_record(heartbeat, now)
         self.reachability.track(record, heartbeat, last_seen, now)
         before = record.heartbeat
         record.heartbeat = heartbeat
-        record.heard_at = now
+        record.heartbeat_at = now
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
-        if self._brings_nothing_new(record, before):
-            # Most heartbeats end here, and most of the processor's time is heartbeats.
+        if self._is_unchanged(record, before):
+            # The fast path: most heartbeats end here, and they use most of the processor time.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        self._handle_news(record, before, connected_peer, reply)
+        self._handle_change(record, before, connected_peer, reply)
 
-    # --- whether a heartbeat counts
+    # --- checks on a heartbeat
 
-    def _turn_away(
+    def _reject_or_redirect(
         self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
     ) -> bool:
-        """Answers an agent that this controller may not answer, or had better not; True if so."""
+        """Answers an agent that this controller must not or should not serve; True if it did."""
         if connected_peer is not None and not self._is_caught_up(now):
             reply(421, agent_wire.write_redirect(connected_peer))
             return True
         tainted = heartbeat.machine in self.committed.taints
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
-            # What this controller commands could be older than a cancellation, or the proof that
-            # this machine's leases are over counts on its silence.
-            reply(503, agent_wire.write_refusal("no contact with the state service"), RETRY_S)
+            # This controller's commands could be older than a cancellation, or the proof that this
+            # machine's leases have expired relies on this controller not answering.
+            reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
         if peer is not None:
@@ -111,73 +111,73 @@
         return False
 
     def _is_caught_up(self, now: float) -> bool:
-        """Whether this controller's replica was as new as all peers' not long ago.
+        """Whether this controller's replica was recently as new as those of all peers.
 
-        Peers that lose contact themselves answer questions late by up to what a sync may take
-        (combined_faults/cancel_before_outage_timeouts.txt, 2).
+        Peers that have lost contact with the store themselves answer questions with a delay of up
+        to a sync's timeout (combined_faults/cancel_before_outage_timeouts.txt, 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
-    def _is_late(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether this is a copy that came late, perhaps of a machine that was returned.
+    def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
+        """Whether this is a delayed duplicate, or comes from a machine that was already returned.
 
-        Such is no sign of life (docs/safety.md, 11).
+        Such a message is no evidence that the machine is alive (docs/safety.md, 11).
         """
-        if last_seen is not None and last_seen.age >= heartbeat.age:
+        if last_seen is not None and last_seen.version >= heartbeat.version:
             return True
         return self.committed.taints.get(heartbeat.machine) == "gone"
 
-    def _record_of(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
-        """The machine's record; a new one if it begins to send heartbeats here."""
+    def _get_or_add_record(self, heartbeat: AgentHeartbeat, now: float) -> AgentRecord:
+        """Returns the machine's record; adds one if this is its first heartbeat here."""
         record = self.records.get(heartbeat.machine)
         if record is None:
             record = self.records.by_machine[heartbeat.machine] = AgentRecord(heartbeat, now)
-            self.inventory.newly_heard.append(heartbeat.machine)
-            self.inventory.update_soon()
+            self.inventory.new_machines.append(heartbeat.machine)
+            self.inventory.schedule_update()
         return record
 
-    def _brings_nothing_new(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
-        """Whether nothing that could lead to commands or updates changed since `before`."""
+    def _is_unchanged(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
+        """Whether nothing changed since `before` that could lead to commands or task updates."""
         heartbeat = record.heartbeat
         return (
             record.settled
             and record.tasks is not None
-            and heartbeat.machine not in self.committed.bindings.touched
+            and heartbeat.machine not in self.committed.bindings.changed_machines
             and heartbeat.raw_tasks == before.raw_tasks
             and heartbeat.agent_epoch == before.agent_epoch
             and heartbeat.spot_notice_s is None
             and not record.unreachable
         )
 
-    # --- what follows from it
+    # --- answering a changed heartbeat
 
-    def _handle_news(
+    def _handle_change(
         self,
         record: AgentRecord,
         before: AgentHeartbeat,
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Reconciles a machine with what is committed, and answers its agent."""
+        """Compares a machine's tasks with the committed bindings and answers its agent."""
         heartbeat = record.heartbeat
         try:
             tasks = record.tasks = agent_wire.read_tasks(heartbeat.raw_tasks)
         except agent_wire.HeartbeatError as error:
             record.tasks = None
-            reply(400, agent_wire.write_refusal(error))
+            reply(400, agent_wire.write_error(error))
             return
         if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
-            self.inventory.update_soon()
-        self.committed.bindings.touched.discard(heartbeat.machine)
+            self.inventory.schedule_update()
+        self.committed.bindings.changed_machines.discard(heartbeat.machine)
         updated = self.updates.notify_owners(heartbeat, tasks)
         result = self.reconciler.reconcile(record, synced=False)
         record.settled = not updated and self._is_settled(record, result)
-        self._answer_news(record, result, connected_peer, reply)
+        self._answer_change(record, result, connected_peer, reply)
 
     @staticmethod
     def _is_settled(record: AgentRecord, result: Reconciliation) -> bool:
-        """Whether the same heartbeat again would lead to nothing, as long as nothing changes."""
+        """Whether an identical heartbeat would need no action while the replica does not change."""
         heartbeat = record.heartbeat
         return (
             not result.commands
@@ -187,19 +187,19 @@
             and not record.unreachable
         )
 
-    def _answer_news(
+    def _answer_change(
         self,
         record: AgentRecord,
         result: Reconciliation,
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Answers by what a reconciliation without a sync found."""
+        """Answers according to a reconciliation that was done without a sync."""
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
-            # This controller knows what the others know, but a start needs one that can sync.
-            # Nobody is sent away for less: an agent that can't reach the other loses its lease on
-            # the way (combined_faults/cancel_before_outage_timeouts.txt).
+            # This controller's replica is as new as the others', but a start needs a sync. Agents
+            # are not redirected for other reasons: the lease of an agent that can't reach the other
+            # controller expires meanwhile (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
             self._answer_after_sync(record, reply)
@@ -208,7 +208,7 @@
 
     def _answer_after_sync(self, record: AgentRecord, reply: Reply) -> None:
         number = next(self.pending_numbers)
-        self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heard_at)
+        self.pending[number] = PendingAnswer(record, record.heartbeat, reply, record.heartbeat_at)
         send(self.store.on_sync, callback(self.on_heartbeat_synced, number))
 
     def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
@@ -219,13 +219,13 @@
             self._answer(pending.record, pending.heartbeat, synced, pending.reply)
 
     def answer_overdue(self) -> None:
-        """Answers heartbeats whose sync takes long, without what only a sync allows.
+        """Answers heartbeats whose sync takes too long, without the commands that need a sync.
 
-        An agent gives up waiting after some seconds.
+        An agent stops waiting for an answer after some seconds.
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
-            if now - pending.since > self.settings.agent_heartbeat_s:
+            if now - pending.received_at > self.settings.agent_heartbeat_s:
                 del self.pending[number]
                 self._answer(pending.record, pending.heartbeat, False, pending.reply)
 
@@ -233,7 +233,7 @@
         self, record: AgentRecord, heartbeat: AgentHeartbeat, synced: bool, reply: Reply
     ) -> None:
         if record.heartbeat is not heartbeat:
-            # A newer message came in between; its own answer says what is to be done.
+            # A newer message has arrived meanwhile; its own answer contains the commands.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record.contact_at = self.now()
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -1,4 +1,4 @@
-"""What the leader is told of machines' silence, and of what it proves."""
+"""Reports to the leader when machines were last in contact and which leases have expired."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -8,34 +8,36 @@
 
 
 class MachineLiveness(NamedTuple):
-    """One machine, as all controllers together know it.
+    """The liveness of one machine, from the information of all controllers.
 
     Attributes:
-        heard_at: When any controller last heard it; if none did, when this process began.
-        leases_over: Whether every lease that it may have is proven to be over.
-        unreachable: Its heartbeats arrive, answers don't reach it.
-        ever_heard: Whether any controller has heard it.
+        contact_at: When a controller was last in contact with it; when this process began, if no
+            controller is known to have received a heartbeat.
+        leases_expired: Whether every lease that it may have is proven to have expired.
+        unreachable: Its heartbeats arrive, but answers do not reach it.
+        heartbeat_received: Whether any controller has received a heartbeat from it.
     """
 
-    heard_at: float
-    leases_over: bool
+    contact_at: float
+    leases_expired: bool
     unreachable: bool
-    ever_heard: bool
+    heartbeat_received: bool
 
 
 class LivenessAnswers(AgentPart):
-    """Answers the leader."""
+    """Answers the leader's questions about the liveness of machines."""
 
     def answer(
         self, reply: Callable[[dict[str, MachineLiveness], float], Any], tainted_only: bool
     ) -> None:
         """Calls `reply({machine: MachineLiveness}, slack_s)`.
 
-        For `slack_s` a machine may be heard without our knowing it: tables are older than what a
-        peer would answer; that is not the machines' silence. Nor is it a sign of life.
+        A machine may have sent heartbeats for up to `slack_s` that are not known here, because
+        tables are older than peers' answers would be. So that time counts neither as a lack of
+        heartbeats nor as evidence that the machine is alive.
         """
         now = self.now()
-        slack_s = TABLE_INTERVAL_S if self.evidence.lacks_peer_answers(now) else 0.0
+        slack_s = TABLE_INTERVAL_S if self.evidence.lacks_recent_answers(now) else 0.0
         names = set(self.committed.taints)
         if not tainted_only:
             names.update(self.evidence.last_seen, self.committed.bindings.by_machine)
@@ -43,18 +45,20 @@
 
     def _liveness(self, machine: str, now: float) -> MachineLiveness:
         last_seen = self.evidence.last_seen.get(machine)
-        leases_over = machine in self.committed.taints.by_machine and self._leases_over(
+        leases_expired = machine in self.committed.taints.by_machine and self._leases_expired(
             machine, now
         )
         if last_seen is None:
-            return MachineLiveness(self.evidence.began_at, leases_over, False, False)
-        return MachineLiveness(last_seen.heard_at, leases_over, last_seen.status.unreachable, True)
+            return MachineLiveness(self.evidence.began_at, leases_expired, False, False)
+        return MachineLiveness(
+            last_seen.contact_at, leases_expired, last_seen.status.unreachable, True
+        )
 
-    def _leases_over(self, machine: str, now: float) -> bool:
-        """Whether every lease that a tainted machine may have is proven to be over."""
+    def _leases_expired(self, machine: str, now: float) -> bool:
+        """Whether every lease that a tainted machine may have is proven to have expired."""
         _, taint_revision, taint_seen_at = self.committed.taints.by_machine[machine]
         record = self.records.get(machine)
         own_contact = record.contact_at if record is not None else self.evidence.began_at
-        return self.evidence.proves_leases_over(
+        return self.evidence.proves_leases_expired(
             machine, own_contact, taint_revision, taint_seen_at, now
         )
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What the controllers ask and answer each other about machines."""
+"""Questions and answers about machines between controllers."""
 
 import logging
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 
 log = logging.getLogger("emberglade.agents")
 
-MAX_ASKED = 1000  # machines in one question, so that it stays well below 64 KiB
-MAX_PROOF_INTERVAL_S = 1.0  # four questions in this time about machines whose tasks wait for proof
+MAX_MACHINES_PER_QUESTION = 1000  # keeps a question well below 64 KiB
+MAX_PROOF_INTERVAL_S = 1.0  # lost machines are asked about four times in this interval
 
 
 class PeerExchange(AgentPart):
-    """Asks peers for their views of the machines, and answers with this controller's.
+    """Asks peers for their views of the machines, and answers with this controller's own.
 
     Attributes:
-        asked_by: {peer: when it last asked here, and so could get an answer}.
+        last_question_at: {peer: when it last asked this controller}.
     """
 
     def __init__(
@@ -35,19 +35,19 @@
         super().__init__(actor, shared)
         self.store = store
         self.peers = peers
-        self.asked_by: dict[str | None, float] = {}
+        self.last_question_at: dict[str | None, float] = {}
         self.awaiting_answer: dict[str, float] = {}  # peer -> when it was asked
-        self.asked_for_all_at = NEVER
-        self.next_lost = 0  # where among the lost machines the next question begins
+        self.last_full_question_at = NEVER
+        self.next_lost_index = 0  # index of the first lost machine in the next question
 
-    def lacks_peer(self, now: float) -> bool:
-        """Whether a live peer and this controller don't hear each other."""
-        lately = now - 2 * self.settings.agent_heartbeat_s
+    def lacks_peer_exchange(self, now: float) -> bool:
+        """Whether a live peer and this controller have not exchanged views recently."""
+        recent = now - 2 * self.settings.agent_heartbeat_s
         direct_views = self.evidence.direct_views
         return any(
-            self.asked_by.get(name, NEVER) < lately
+            self.last_question_at.get(name, NEVER) < recent
             or name not in direct_views
-            or direct_views[name].asked_at < lately
+            or direct_views[name].asked_at < recent
             for name in self.peers
             if name in self.committed.controllers
         )
@@ -55,37 +55,38 @@
     # --- asking
 
     def on_ask_peers(self) -> None:
-        """Handles `ask_peers`, sent to itself: asks peers what they know of machines.
+        """Handles `ask_peers`, a timer: asks peers for their views of machines.
 
-        Of all now and then, and more often of those whose tasks wait for proof.
+        All machines at the regular interval; more often, those that tasks wait for until their
+        leases are proven to have expired.
         """
         now = self.now()
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
         interval_s = self.settings.peer_exchange_s
         lost = self._lost_machines()
         send_after(proof_interval_s if lost else interval_s, self.on_ask_peers)
-        if now - self.asked_for_all_at >= interval_s - proof_interval_s / 2:
-            self.asked_for_all_at = now
+        if now - self.last_full_question_at >= interval_s - proof_interval_s / 2:
+            self.last_full_question_at = now
             self._ask(None, now)
         elif lost:
-            self._ask(self._next_asked(lost), now)
+            self._ask(self._next_lost_machines(lost), now)
 
     def _lost_machines(self) -> list[str]:
-        """The machines whose tasks wait for proof that their leases are over."""
+        """The lost machines with bound tasks, which wait for proof that the leases have expired."""
         return [
             name
             for name, taint in self.committed.taints.items()
             if taint == "lost" and name in self.committed.bindings.by_machine
         ]
 
-    def _next_asked(self, lost: list[str]) -> list[str]:
-        """The machines that the next question is about: all, or in turns if they are too many."""
-        first = self.next_lost if self.next_lost < len(lost) else 0
-        self.next_lost = first + MAX_ASKED
-        return lost[first : first + MAX_ASKED]
+    def _next_lost_machines(self, lost: list[str]) -> list[str]:
+        """The machines of the next question: all of `lost`, or its next part if it is too long."""
+        first = self.next_lost_index if self.next_lost_index < len(lost) else 0
+        self.next_lost_index = first + MAX_MACHINES_PER_QUESTION
+        return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks all peers about these machines, None: about all, but peers that are still asked."""
+        """Asks all peers without an open question about these machines; None: about all."""
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -112,15 +113,18 @@
         if status != 200:
             return
         if not self.evidence.add_answer(name, asked_at, self.now(), body, asked_about):
-            log.info("%s sent a malformed answer about machines; it is asked again", name)
+            log.info(
+                "peer %s sent a malformed answer about machines; ignoring it until the next one",
+                name,
+            )
         elif asked_about is None:
             self.evidence.compare_replicas(self.committed.revision)
             self._fetch_changes(name)
 
     def _fetch_changes(self, peer: str) -> None:
-        """Fetches what the store committed from a peer, if it has more and the store is away."""
+        """Fetches committed changes from a peer that has more, if the store does not answer."""
         revision = self.committed.revision
-        contact_age_s = self.now() - self.evidence.last_contact
+        contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
             self.evidence.direct_views[peer].replica_revision <= revision
             or revision < 0
@@ -138,14 +142,15 @@
     # --- answering
 
     def answer_question(self, question: MachineQuestion, reply: Callable[[int, dict], Any]) -> None:
-        """Answers a peer, from a replica synced after it asked.
+        """Answers a peer from a replica synced after the question arrived.
 
-        Without contact a sync may take longer than the peer waits; what the replica's revision
-        says it needs at once (combined_faults/cancel_before_outage_timeouts.txt).
+        Without contact with the store, a sync may take longer than the peer waits, and the peer
+        needs the replica's revision at once; so the answer is sent without a sync
+        (combined_faults/cancel_before_outage_timeouts.txt).
         """
         now = self.now()
-        self.asked_by[question.asker] = now
-        if now - self.evidence.last_contact > self.settings.lease_s / 4:
+        self.last_question_at[question.asker] = now
+        if now - self.evidence.last_sync_sent_at > self.settings.lease_s / 4:
             self.on_question_synced(question.machines, reply, None)
             return
         send(self.store.on_sync, callback(self.on_question_synced, question.machines, reply))
@@ -159,7 +164,7 @@
             200,
             peer_wire.write_machine_view(
                 now - self.evidence.began_at,
-                now - self.evidence.last_contact,
+                now - self.evidence.last_sync_sent_at,
                 revision,
                 self.committed.revision,
                 self.records.known_machines(now, 2 * self.settings.lease_s, machines),
