--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -105,7 +105,7 @@
         identity = (node, controller.job_manager.incarnation)
         return {
             "node": node,
-            "leads": controller.autoscaler.leading,
+            "leads": controller.autoscaler.is_leader,
             "shards": sum(
                 owner[:2] == identity for owner in list(controller.job_manager.owners.values())
             ),
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -85,9 +85,9 @@
         )
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this controller acts as leader."""
-        return self.leadership.leading
+        return self.leadership.is_leader
 
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes, starts the tick and the watch."""
@@ -122,11 +122,11 @@
 
     def _follow_leadership(self) -> None:
         leads = self.leadership.is_held_by(self.settings.node, self.incarnation)
-        if leads and not self.leading:
+        if leads and not self.is_leader:
             self._begin_leadership()
-        elif self.leading and not leads:
+        elif self.is_leader and not leads:
             log.info("no longer leading")
-        self.leadership.leading = leads
+        self.leadership.is_leader = leads
 
     def _begin_leadership(self) -> None:
         log.info("leading: the demand history and the weights start anew")
@@ -148,7 +148,7 @@
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every second: asks for news, and plays a round if due."""
         send_after(TICK_S, self.on_tick)
-        if not self.leading or not self.loaded:
+        if not self.is_leader or not self.loaded:
             return
         now = self.now()
         self.ticks += 1
--- a/emberglade/fleet/catalog.py
+++ b/emberglade/fleet/catalog.py
@@ -54,7 +54,7 @@
             log.info("no catalog from the cloud (status %s); asking again", status or "no answer")
             self.asked_at = self.now() - (REFRESH_S - RETRY_S)
             return
-        if not self.leadership.leading or machine_types == self.machine_types:
+        if not self.leadership.is_leader or machine_types == self.machine_types:
             return
         self.leadership.commit(
             [],
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -91,7 +91,7 @@
 
     def on_candidate(self, machine: str | None, replicas: int) -> None:
         """Handles the job manager's answer: drains the machine whose replicas fit elsewhere."""
-        if machine is None or not self.leadership.leading or machine not in self.machines.by_name:
+        if machine is None or not self.leadership.is_leader or machine not in self.machines.by_name:
             return
         self.moves -= replicas
         log.info(
--- a/emberglade/fleet/leadership.py
+++ b/emberglade/fleet/leadership.py
@@ -16,7 +16,7 @@
 
     Attributes:
         owner: Who holds the leader's key; None: nobody.
-        leading: Whether this controller acts as leader. It follows the replica, not the identity:
+        is_leader: Whether this controller acts as leader. It follows the replica, not the identity:
             a process that has lost its lease acts until a change is seen, and its writes fail.
         since: When this controller began to lead, by its steady clock.
     """
@@ -24,7 +24,7 @@
     def __init__(self, store: Store) -> None:
         self.store = store
         self.owner: Owner | None = None
-        self.leading = False
+        self.is_leader = False
         self.since = 0.0
 
     def note(self, data: dict | None, mod_revision: int) -> None:
@@ -48,7 +48,7 @@
         values: Iterable[tuple[str, Any]],
         reply: Callable[..., Any],
     ) -> None:
-        """Writes keys in one transaction, if this is still the leader; only while leading.
+        """Writes keys in one transaction, if this is still the leader; only while is_leader.
 
         Args:
             conditions: `(key without LIVE_PREFIX, mod revision)` that must hold besides.
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -90,7 +90,7 @@
             self._ask_page(page.rows[-1].name)
             return
         self.reading = False
-        if self.leadership.leading:
+        if self.leadership.is_leader:
             self._take_over_list()
             self.read_once = True
 
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -58,7 +58,7 @@
         Tasks of a silent machine wait for proof that its lease is over: asked more often.
         """
         send_after(self.settings.agent_heartbeat_s / WATCHES_PER_HEARTBEAT, self.on_watch)
-        if self.leadership.leading and self._awaits_proof():
+        if self.leadership.is_leader and self._awaits_proof():
             self.ask(tainted_only=True)
 
     def _awaits_proof(self) -> bool:
@@ -73,7 +73,7 @@
             liveness_of: {machine: MachineLiveness}.
             slack_s: How much older than usual this knowledge may be.
         """
-        if not self.leadership.leading:
+        if not self.leadership.is_leader:
             return
         now = self.now()
         self._note(liveness_of, now)
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -164,7 +164,7 @@
         Without it they stay as they are, and the next round asks again.
         """
         self.machines.scaling_in.difference_update(names)
-        if status != HTTPStatus.OK or not self.leadership.leading:
+        if status != HTTPStatus.OK or not self.leadership.is_leader:
             return
         now = self.now()
         for name in names:
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -233,7 +233,7 @@
         machines = wire.read_scaled_out(body) if status == HTTPStatus.OK else None
         if machines is None and not wire.is_refusal(status, body):
             # Perhaps carried out: only the same name asked again tells, and adds nothing twice.
-            if retries < MAX_RETRIES and self.leadership.leading:
+            if retries < MAX_RETRIES and self.leadership.is_leader:
                 send_after(RETRY_S, self.on_retry, name, requested_at, retries)
             else:
                 del self.pending[name]
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -62,7 +62,7 @@
 
     def _write(self) -> None:
         """Writes pending changes, of all machines in one transaction: keys hold many taints."""
-        if self.in_flight or not self.pending or not self.leadership.leading:
+        if self.in_flight or not self.pending or not self.leadership.is_leader:
             return
         limits = ChangeLimits(self.settings.value_bytes, self.settings.txn_ops, self.format_raised)
         values, self.in_flight = plan_change(self.taints, self.pending, limits)
