--- a/emberglade/fleet/__init__.py
+++ b/emberglade/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet: the leader scales it out and in, taints lost or drained machines, keeps the catalog."""
+"""Fleet management by the leader: scaling out and in, machine taints and the machine catalog."""
 
 from .autoscaler import Autoscaler
 from .states import MachineState, Taint
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -1,8 +1,9 @@
-"""The autoscaler of the fleet. Only the leader's acts; every controller's follows the replica.
+"""The autoscaler of the fleet: it runs on every controller, and acts only on the leader.
 
-Every durable step is conditional on the leader's key, so a former leader can't write any more.
-What it may still do at the cloud harms nobody: names of requests are never used twice, and a
-machine's scale-in is proof for moving its tasks only to the leader that then writes the taint.
+Every write is conditional on the mod revision of the leader's key, so a previous leader can no
+longer write. Requests that it still sends to the cloud do no harm: the names of requests are never
+reused, and the tasks of a machine that was scaled in move only after the current leader has written
+its taint.
 """
 
 import logging
@@ -33,15 +34,19 @@
 
 START_DELAY_S = 0.5
 TICK_S = 1.0
-# The first round comes soon: after a failover or at the very start nothing is on its way.
+# The first cost round is early: at a start or after a failover no request for machines is pending.
 FIRST_ROUND_TICKS = 3
 
 
 class Autoscaler(ReplicaSubscriber):
-    """Sizes the fleet while this controller leads; otherwise only follows what the leader wrote.
+    """Sizes the fleet while this controller is leader; otherwise only follows the leader's writes.
 
-    Its parts each do one job, in its turn: they share the leadership, the taints as committed and
-    the account of machines, and hold what else they need themselves.
+    Its parts run in the actor's turns. They share the leadership state, the committed taints and
+    the machine records; all other state is private to one part.
+
+    Attributes:
+        is_loaded: Whether the replica has been read.
+        ticks: Seconds counted towards the next cost round.
     """
 
     def __init__(
@@ -57,7 +62,7 @@
         self.operators = operators
         self.store = store
         self.job_manager = job_manager
-        self.loaded = False  # whether the replica has been read
+        self.is_loaded = False
         self.ticks = 0
         self.taints = Taints()
         self.leadership = Leadership(store)
@@ -90,7 +95,7 @@
         return self.leadership.is_leader
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes, starts the tick and the watch."""
+        """Handles `begin` from the actor system: subscribes, and starts the two timers."""
         super().on_begin()
         send_after(START_DELAY_S, self.on_tick)
         send_after(START_DELAY_S, self.liveness.on_watch)
@@ -100,10 +105,10 @@
     def on_changed(self, events: list, revision: int, is_snapshot: bool) -> None:
         """Handles `changed(events, revision, is_snapshot)` from the store.
 
-        Notes taints, the leader's key, the catalog, the record format and the controllers' tables;
-        leadership begins or ends as the leader's key then shows.
+        Applies changes of taints, the leader's key, the catalog, the record format and the
+        controllers' tables, and then begins or ends leadership as the leader's key states.
         """
-        self.loaded = True
+        self.is_loaded = True
         if is_snapshot:
             self.leadership.owner = None
             self.taints.forget()
@@ -111,25 +116,25 @@
             if key.startswith(TAINT_PREFIX):
                 self.taints.apply(key, data, mod_revision, self.now())
             elif key == LEADER_KEY:
-                self.leadership.note(data, mod_revision)
+                self.leadership.apply(data, mod_revision)
             elif key == CATALOG_KEY and data is not None:
-                self.catalog.note(data)
+                self.catalog.apply(data)
             elif key == FORMAT_KEY:
                 self.taint_writer.format_raised = self.taint_writer.format_raised or is_raised(data)
             elif key.startswith(NODE_PREFIX):
-                self.demand.note_controller(key.removeprefix(NODE_PREFIX), data)
+                self.demand.apply_controller_record(key.removeprefix(NODE_PREFIX), data)
         self._follow_leadership()
 
     def _follow_leadership(self) -> None:
-        leads = self.leadership.is_held_by(self.settings.node, self.incarnation)
-        if leads and not self.is_leader:
+        owns_leader_key = self.leadership.is_owned_by(self.settings.node, self.incarnation)
+        if owns_leader_key and not self.is_leader:
             self._begin_leadership()
-        elif self.is_leader and not leads:
-            log.info("no longer leading")
-        self.leadership.is_leader = leads
+        elif self.is_leader and not owns_leader_key:
+            log.info("no longer leader; this controller stops scaling the fleet")
+        self.leadership.is_leader = owns_leader_key
 
     def _begin_leadership(self) -> None:
-        log.info("leading: the demand history and the weights start anew")
+        log.info("became leader; demand history and expert weights are reset")
         self.leadership.since = self.now()
         self.machines.begin_leadership()
         self.demand.begin_leadership()
@@ -137,18 +142,18 @@
         self.taint_writer.begin_leadership()
         self.listing.begin_leadership()
         self.ticks = max(0, int(self.operators.cost_round_s) - FIRST_ROUND_TICKS)
-        # What every controller knows of silent machines is the new leader's account of them.
-        self.liveness.ask(tainted_only=True)
+        # A new leader's own data is empty, so it starts from the heartbeats of all controllers.
+        self.liveness.request_liveness(tainted_only=True)
         if not self.catalog.machine_types:
-            # Until somebody has, no submission can be judged.
-            self.catalog.ask()
+            # Controllers can't validate submissions before a catalog is stored.
+            self.catalog.request()
 
     # --- every second
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every second: asks for news, and plays a round if due."""
+        """Handles `tick`, sent to itself every second: polls, and runs a cost round if due."""
         send_after(TICK_S, self.on_tick)
-        if not self.is_leader or not self.loaded:
+        if not self.is_leader or not self.is_loaded:
             return
         now = self.now()
         self.ticks += 1
@@ -157,12 +162,12 @@
             return
         self.listing.refresh(now)
         send(self.job_manager.on_occupied, callback(self.on_occupied))
-        self.liveness.ask()
+        self.liveness.request_liveness()
         total = self.demand.total()
         self.demand.record(total, self.catalog.machine_types)
-        if self.ticks % int(self.operators.cost_round_s) == 0 and self.listing.read_once:
-            self.cost_round.play(total, now)
+        if self.ticks % int(self.operators.cost_round_s) == 0 and self.listing.has_complete_list:
+            self.cost_round.run(total, now)
 
     def on_occupied(self, occupied: set[str]) -> None:
-        """Handles the job manager's answer: which machines tasks are bound to."""
-        self.machines.note_occupied(occupied, self.now())
+        """Handles the job manager's answer: the machines that tasks are bound to."""
+        self.machines.update_occupied(occupied, self.now())
--- a/emberglade/fleet/balance.py
+++ b/emberglade/fleet/balance.py
@@ -1,4 +1,4 @@
-"""How many machines of a type there are, against its targets."""
+"""Compares the machines of a type with its targets."""
 
 from typing import NamedTuple
 
@@ -7,17 +7,17 @@
 
 
 class TypeBalance(NamedTuple):
-    """Machines of one type against the targets of its two pools.
+    """The machines of one type and the targets of its two pools.
 
-    Demand that may use spot machines is met by ordinary ones beyond their own target too.
+    Ordinary machines above their own target also serve demand that may use spot machines.
 
     Attributes:
         machine_type: The type.
-        machines: Those that count towards the targets, being there or booting.
-        ordinary: Ordinary machines, those asked for included.
-        spot: Spot machines, those asked for included.
+        machines: The running and booting machines that count towards the targets.
+        ordinary: Number of ordinary machines, including pending requests.
+        spot: Number of spot machines, including pending requests.
         ordinary_target: Machines for demand that may not use spot machines.
-        spot_target: Machines for demand that may.
+        spot_target: Machines for demand that may use spot machines.
     """
 
     machine_type: MachineType
@@ -29,19 +29,19 @@
 
     @property
     def ordinary_shortage(self) -> int:
-        """Ordinary machines missing; negative: those beyond their target."""
+        """Ordinary machines missing; negative if there are more than their target."""
         return self.ordinary_target - self.ordinary
 
     @property
     def spot_shortage(self) -> int:
-        """Machines missing for demand that may use spot ones."""
+        """Machines missing for demand that may use spot machines."""
         return self.spot_target - self.spot - max(0, -self.ordinary_shortage)
 
     @property
     def surplus(self) -> int:
-        """Machines beyond both targets."""
+        """Machines above the sum of both targets."""
         return self.ordinary + self.spot - self.ordinary_target - self.spot_target
 
     def idle(self, spot: bool) -> int:
-        """Idle machines of one pool."""
+        """The number of idle machines in one pool."""
         return sum(machine.is_idle and machine.spot == spot for machine in self.machines)
--- a/emberglade/fleet/catalog.py
+++ b/emberglade/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""The machine catalog: the leader reads it from the cloud and keeps it in the store."""
+"""The machine catalog, which the leader reads from the cloud and writes to the store."""
 
 import logging
 from http import HTTPStatus
@@ -12,16 +12,17 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-REFRESH_S = 30.0  # prices of spot machines move
+REFRESH_S = 30.0  # prices of spot machines change
 RETRY_S = 2.0
 REQUEST_TIMEOUT_S = 3.0
 
 
 class MachineCatalog(ActorPart):
-    """The machine types, as every controller's replica shows them.
+    """The machine types as committed.
 
     Attributes:
-        machine_types: {name: MachineType}; empty until somebody has read the catalog.
+        machine_types: {name: MachineType}; empty until a leader has stored a catalog.
+        last_request_at: When the cloud was last asked, by the steady clock.
     """
 
     def __init__(self, actor: Actor, cloud: Client, leadership: Leadership) -> None:
@@ -29,35 +30,38 @@
         self.cloud = cloud
         self.leadership = leadership
         self.machine_types: dict[str, MachineType] = {}
-        self.asked_at = -1e9
+        self.last_request_at = -1e9
 
-    def note(self, data: dict) -> None:
-        """Notes a change of the catalog's key."""
+    def apply(self, data: dict) -> None:
+        """Applies a new value of the catalog's key."""
         self.machine_types = read_machine_types(data)
 
     def refresh(self, now: float) -> None:
-        """Asks the cloud for the catalog if that is due; the leader's only."""
-        if now - self.asked_at > (REFRESH_S if self.machine_types else RETRY_S):
-            self.ask()
+        """Requests the catalog from the cloud if a refresh is due; called on the leader only."""
+        if now - self.last_request_at > (REFRESH_S if self.machine_types else RETRY_S):
+            self.request()
 
-    def ask(self) -> None:
-        """Asks the cloud for the catalog now."""
-        self.asked_at = self.now()
+    def request(self) -> None:
+        """Requests the catalog from the cloud now."""
+        self.last_request_at = self.now()
         self.cloud.call(
             "GET", wire.CATALOG_PATH, None, REQUEST_TIMEOUT_S, callback(self.on_catalog)
         )
 
     def on_catalog(self, status: int, body: Any) -> None:
-        """Handles the cloud's answer: keeps a catalog that is new, or asks again soon."""
+        """Handles the cloud's answer: writes a changed catalog, or retries after RETRY_S."""
         machine_types = wire.read_catalog(body) if status == HTTPStatus.OK else None
         if machine_types is None:
-            log.info("no catalog from the cloud (status %s); asking again", status or "no answer")
-            self.asked_at = self.now() - (REFRESH_S - RETRY_S)
+            log.info(
+                "no valid catalog from the cloud (status %s); keeping the last one and retrying",
+                status or "no answer",
+            )
+            self.last_request_at = self.now() - (REFRESH_S - RETRY_S)
             return
         if not self.leadership.is_leader or machine_types == self.machine_types:
             return
         self.leadership.commit(
             [],
             [(wire.CATALOG_KEY, write_machine_types(machine_types))],
-            lambda *_: None,  # whatever became of it, the replica shows it
+            lambda *_: None,  # the replica shows the outcome
         )
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -1,7 +1,8 @@
-"""Empties machines above the target that hold but a few replicas of services.
+"""Empties surplus machines that run only a few service replicas.
 
-Replicas outlive all other work and end one by one, so machines stay that are mostly empty. A move
-costs a replica a second or two, so few are moved, and only to where their image is.
+Replicas run longer than other tasks and end one at a time, which leaves machines mostly empty. A
+move interrupts a replica for one to two seconds, so few are moved, and only to machines that have
+their image.
 """
 
 import logging
@@ -21,16 +22,16 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-# Of all replicas a second: with a second or two each, a loss of about 0.0005.
-MOVED_SHARE = 1 / 3000
-MAX_SAVED_S = 60  # of moves that were not needed may be made later at once
+# Share of all replicas moved per second; as a move takes 1 to 2 s, 0.0005 of their time is lost.
+MOVED_SHARE_PER_S = 1 / 3000
+MAX_BUDGET_S = 60  # an unused budget accumulates for this long
 
 
 class Consolidation(ActorPart):
-    """Drains ordinary machines whose replicas find capacity elsewhere.
+    """Drains ordinary machines whose replicas fit on other machines.
 
     Attributes:
-        moves: Replicas that may be moved by now.
+        move_budget: Number of replicas that may be moved now.
     """
 
     def __init__(
@@ -52,16 +53,17 @@
         self.catalog = catalog
         self.demand = demand
         self.taint_writer = taint_writer
-        self.moves = 0.0
+        self.move_budget = 0.0
 
     def begin_leadership(self) -> None:
-        """Begins without any moves granted."""
-        self.moves = 0.0
+        """Resets the budget to zero."""
+        self.move_budget = 0.0
 
-    def consider(self, machine_type: str) -> None:
-        """Looks for a machine of a type to empty, if there are more than are needed.
+    def consolidate(self, machine_type: str) -> None:
+        """Looks for a machine of a type to empty, if there are more than its targets.
 
-        Idle machines go first, without a move; and none is moved before new machines could be up.
+        Idle machines are removed first, as that moves no replica. No machine is emptied before this
+        controller has been leader for a boot time, so that requested machines could come up.
         """
         machines = self.machines.counted(machine_type)
         spot = sum(machine.spot for machine in machines)
@@ -73,29 +75,29 @@
         send(self.job_manager.on_replicas, callback(self.on_replicas))
         boot_s = self.catalog.machine_types[machine_type].boot_s
         led_for_s = self.now() - self.leadership.since
-        if surplus > idle and self.moves >= 1 and boot_s < led_for_s:
+        if surplus > idle and self.move_budget >= 1 and boot_s < led_for_s:
             send(
                 self.job_manager.on_underused_machine,
                 machine_type,
-                int(self.moves),
+                int(self.move_budget),
                 callback(self.on_candidate),
             )
 
     def on_replicas(self, total: int) -> None:
-        """Handles the job manager's answer, how many replicas are bound: grants a round's moves."""
-        per_second = MOVED_SHARE * total
-        self.moves = min(
-            self.moves + per_second * self.operators.cost_round_s,
-            max(1.0, per_second * MAX_SAVED_S),
+        """Handles the job manager's answer, the number of bound replicas: adds to the budget."""
+        per_second = MOVED_SHARE_PER_S * total
+        self.move_budget = min(
+            self.move_budget + per_second * self.operators.cost_round_s,
+            max(1.0, per_second * MAX_BUDGET_S),
         )
 
     def on_candidate(self, machine: str | None, replicas: int) -> None:
-        """Handles the job manager's answer: drains the machine whose replicas fit elsewhere."""
+        """Handles the job manager's answer: drains a machine whose replicas fit on others."""
         if machine is None or not self.leadership.is_leader or machine not in self.machines.by_name:
             return
-        self.moves -= replicas
+        self.move_budget -= replicas
         log.info(
-            "draining %s: above the target, and its %d replicas find capacity elsewhere",
+            "draining machine %s: surplus, and its %d service replicas fit on other machines",
             machine,
             replicas,
         )
--- a/emberglade/fleet/cost_round.py
+++ b/emberglade/fleet/cost_round.py
@@ -1,6 +1,6 @@
 """The cost round: draws targets, scales machine types out or in, and reviews all machines.
 
-Requests to the cloud are batched: a round makes a bounded number of them.
+Requests to the cloud are batched, and each round makes a bounded number of them.
 """
 
 import logging
@@ -27,16 +27,16 @@
 
 
 def requests_per_round(settings: Settings, operators: Operators) -> int:
-    """How many requests of one kind a cost round may make to the cloud.
+    """The number of requests of one kind that a cost round may send to the cloud.
 
-    A third of what the cloud answers in it, and at least one for each zone.
+    A third of the requests that the cloud's rate limit allows per round, and at least one per zone.
     """
-    a_third = settings.cloud_rps * operators.cost_round_s / 3
-    return max(len(settings.zones), int(a_third))
+    third_of_rate = settings.cloud_rps * operators.cost_round_s / 3
+    return max(len(settings.zones), int(third_of_rate))
 
 
 class CostRound:
-    """Plays the cost rounds of the leader, with the parts that scale out, in and consolidate."""
+    """Runs the leader's cost rounds, with the parts that scale out, scale in and consolidate."""
 
     def __init__(
         self,
@@ -65,26 +65,26 @@
         )
 
     def begin_leadership(self) -> None:
-        """Forgets what a former leadership asked for and was granted."""
+        """Discards requests and budgets of an earlier leadership."""
         self.scale_out.begin_leadership()
         self.consolidation.begin_leadership()
 
-    def play(self, total: dict[Pool, float], now: float) -> None:
-        """Plays one round: draws targets, and scales each machine type out or in towards them.
+    def run(self, total: dict[Pool, float], now: float) -> None:
+        """Runs one round: draws targets, and scales each machine type out or in towards them.
 
         Args:
-            total: Machines demanded of each pool now.
-            now: The steady clock.
+            total: The current demand for each pool, in machines.
+            now: The time by the steady clock.
         """
         machine_types = self.catalog.machine_types
         self.demand.draw(total, machine_types, now - self.leadership.since)
         for name, machine_type in machine_types.items():
             balance = self._balance(machine_type)
             self._log_balance(balance)
-            self.scale_out.fill(balance, now)
+            self.scale_out.fill_shortage(balance, now)
             self.scale_in.drain_idle(balance, now)
-            self.scale_out.serve_zones(machine_type, self.demand.zone_shortages(name), now)
-            self.consolidation.consider(name)
+            self.scale_out.fill_zone_shortages(machine_type, self.demand.zone_shortages(name), now)
+            self.consolidation.consolidate(name)
         self.scale_in.review(now)
 
     def _balance(self, machine_type: MachineType) -> TypeBalance:
@@ -103,7 +103,7 @@
     @staticmethod
     def _log_balance(balance: TypeBalance) -> None:
         log.info(
-            "%s: %d ordinary and %d spot machines, %d and %d of them idle; targets %d and %d",
+            "machine type %s: %d ordinary and %d spot machines (%d and %d idle), targets %d and %d",
             balance.machine_type.name,
             balance.ordinary,
             balance.spot,
--- a/emberglade/fleet/demand.py
+++ b/emberglade/fleet/demand.py
@@ -1,4 +1,4 @@
-"""Demand for machines by pool, and the targets that the weighted draw sets for it."""
+"""Demand for machines by pool, and the targets drawn for it."""
 
 import logging
 import math
@@ -11,18 +11,18 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-# A new leader's weights and history begin anew; until it has some, targets are bounded.
-NEW_LEADER_CAP_S = 300
-NEW_LEADER_CAP = 2  # times the demand
+# A new leader starts without weights and history, so its targets are bounded for some time.
+NEW_LEADER_LIMIT_S = 300
+NEW_LEADER_MAX_DEMAND_RATIO = 2  # of the target to the demand
 
 
 class DemandTargets:
-    """Follows the demand of all controllers, each second, and draws targets from it.
+    """Records the demand of all controllers every second, and draws targets from it.
 
     Attributes:
-        tables: The last table of each controller that has a key.
-        sizers: The weighted draw of each pool that there was ever demand for.
-        targets: Machines that each pool is to have.
+        tables: The latest table of each controller that has a key.
+        sizers: The sizer of each pool that had demand since this leadership began.
+        targets: The target of each pool, in machines.
     """
 
     def __init__(self, operators: Operators) -> None:
@@ -33,12 +33,12 @@
         self.targets: dict[Pool, int] = {}
 
     def begin_leadership(self) -> None:
-        """Forgets demand history, weights and targets."""
+        """Discards demand history, weights and targets."""
         self.sizers = {}
         self.targets = {}
 
-    def note_controller(self, node: str, data: dict | None) -> None:
-        """Notes the record of a controller's key; None if it was removed."""
+    def apply_controller_record(self, node: str, data: dict | None) -> None:
+        """Applies the record of a controller's key; None if the key was removed."""
         if data is None:
             self.tables.pop(node, None)
             return
@@ -47,11 +47,11 @@
             self.tables[node] = table
 
     def target(self, machine_type: str, spot: bool) -> int:
-        """Machines that a pool is to have."""
+        """The target of a pool, in machines."""
         return self.targets.get(Pool(machine_type, spot), 0)
 
     def total(self) -> dict[Pool, float]:
-        """Machines demanded of each pool, over all controllers."""
+        """The demand for each pool over all controllers, in machines."""
         total: dict[Pool, float] = {}
         for table in self.tables.values():
             for machine_type, spot, count in wire.read_demand(table):
@@ -60,7 +60,7 @@
         return total
 
     def zone_shortages(self, machine_type: str) -> dict[tuple[bool, str], float]:
-        """{(spot, zone): machines of a type that tasks bound to that zone lack there}."""
+        """{(spot, zone): machines of a type missing there for tasks bound to that zone}."""
         shortages: dict[tuple[bool, str], float] = {}
         for table in self.tables.values():
             for type_name, spot, zone, count in wire.read_zone_shortages(table):
@@ -69,7 +69,7 @@
         return shortages
 
     def record(self, total: dict[Pool, float], machine_types: dict[str, MachineType]) -> None:
-        """Adds one second to the history of each pool, with what a machine costs now."""
+        """Adds one second to the history of each pool, with the current price of a machine."""
         for pool in total:
             if pool.machine_type in machine_types and pool not in self.sizers:
                 self.sizers[pool] = self._sizer(pool)
@@ -93,12 +93,12 @@
     def draw(
         self, total: dict[Pool, float], machine_types: dict[str, MachineType], led_for_s: float
     ) -> None:
-        """One cost round: updates the weights, and draws the target of each pool.
+        """Runs one cost round: updates the weights, and draws the target of each pool.
 
         Args:
-            total: Machines demanded of each pool now.
+            total: The current demand for each pool, in machines.
             machine_types: The catalog.
-            led_for_s: How long this controller has been the leader.
+            led_for_s: How long this controller has been leader.
         """
         for pool, sizer in self.sizers.items():
             machine_type = machine_types.get(pool.machine_type)
@@ -108,10 +108,10 @@
             expert, target = sizer.run_cost_round(
                 machine_type.boot_s or self.operators.boot_guess_s
             )
-            if led_for_s < NEW_LEADER_CAP_S:
-                target = min(target, math.ceil(NEW_LEADER_CAP * demand))
+            if led_for_s < NEW_LEADER_LIMIT_S:
+                target = min(target, math.ceil(NEW_LEADER_MAX_DEMAND_RATIO * demand))
             log.info(
-                "drew target %d for %s: expert %d%% x %g over %d s, demand %.2f",
+                "target %d machines for %s: drew expert %d%% x %g over %d s, demand %.2f",
                 target,
                 pool,
                 expert.percentile,
--- a/emberglade/fleet/leadership.py
+++ b/emberglade/fleet/leadership.py
@@ -1,4 +1,4 @@
-"""Whether this controller is the leader, as its replica shows it, and the leader's writes."""
+"""Leadership as this controller's replica shows it, and the leader's writes."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -15,10 +15,10 @@
     """The owner of the leader's key, and whether this controller acts as leader.
 
     Attributes:
-        owner: Who holds the leader's key; None: nobody.
-        is_leader: Whether this controller acts as leader. It follows the replica, not the identity:
-            a process that has lost its lease acts until a change is seen, and its writes fail.
-        since: When this controller began to lead, by its steady clock.
+        owner: The owner of the leader's key; None if there is no owner.
+        is_leader: Whether this controller acts as leader, according to its replica. A process whose
+            lease has expired acts until the replica shows it; its writes fail meanwhile.
+        since: When this controller became leader, by its steady clock.
     """
 
     def __init__(self, store: Store) -> None:
@@ -27,15 +27,15 @@
         self.is_leader = False
         self.since = 0.0
 
-    def note(self, data: dict | None, mod_revision: int) -> None:
-        """Notes a change of the leader's key; None if it was removed."""
+    def apply(self, data: dict | None, mod_revision: int) -> None:
+        """Applies a change of the leader's key; `data` is None if the key was removed."""
         if data is None:
             self.owner = None
         else:
             self.owner = membership_wire.read_owner(data, mod_revision)
 
-    def is_held_by(self, node: str, incarnation: int | None) -> bool:
-        """Whether this process of a controller holds the leader's key."""
+    def is_owned_by(self, node: str, incarnation: int | None) -> bool:
+        """Whether this process of a controller owns the leader's key."""
         return (
             self.owner is not None
             and incarnation is not None
@@ -48,14 +48,16 @@
         values: Iterable[tuple[str, Any]],
         reply: Callable[..., Any],
     ) -> None:
-        """Writes keys in one transaction, if this is still the leader; only while is_leader.
+        """Writes keys in one transaction that fails if the leader's key has changed.
+
+        Called only while this controller is leader.
 
         Args:
-            conditions: `(key without LIVE_PREFIX, mod revision)` that must hold besides.
-            values: `(key without LIVE_PREFIX, data)`.
-            reply: As the store's: `reply(status, revision, failed)`.
+            conditions: Further conditions, as `(key without LIVE_PREFIX, mod revision)`.
+            values: `(key without LIVE_PREFIX, data)` to write.
+            reply: Called with the store's answer: `reply(status, revision, failed)`.
         """
-        assert self.owner is not None, "nobody holds the leader's key"
+        assert self.owner is not None, "the leader's key has no owner"
         leader = (membership_wire.LEADER_KEY, self.owner.mod_revision)
         send(
             self.store.on_commit,
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -1,4 +1,4 @@
-"""Scales the fleet in: drains machines beyond need, and gives empty ones back to the cloud."""
+"""Scales the fleet in: drains surplus machines, and returns empty ones to the cloud."""
 
 import logging
 from enum import Enum, auto
@@ -20,20 +20,20 @@
 log = logging.getLogger("emberglade.fleet")
 
 REQUEST_TIMEOUT_S = 4.0
-MAX_BOOTS = 3  # boot times of its type after which a machine has failed to come up
-SILENT_LEASES = 6  # after which a machine that nothing was bound to is drained
-REPLACED_LEASES = 4  # after which a machine that is lost is replaced for good
+MAX_BOOT_TIMES = 3  # boot times of its type without a heartbeat until a machine is drained
+DRAIN_AFTER_LEASES = 6  # lease durations without a heartbeat until a machine is drained
+REPLACE_AFTER_LEASES = 4  # lease durations until a lost or unreachable machine is replaced
 
 
 class Step(Enum):
-    """What is to become of a machine."""
+    """The next step in the removal of a machine."""
 
     DRAIN = auto()
     SCALE_IN = auto()
 
 
 class ScaleIn(ActorPart):
-    """Decides which machines go, and gives them back once nothing needs them any more."""
+    """Decides which machines to remove, and returns them to the cloud when they are empty."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         self.taints = machines.taints
         self.catalog = catalog
         self.taint_writer = taint_writer
-        self.max_requests = max_requests  # in a round
+        self.max_requests = max_requests  # per cost round
 
     def drain_idle(self, balance: TypeBalance, now: float) -> None:
-        """Drains machines above the targets that were idle for the hold time.
+        """Drains machines above the targets that have been idle for the hold time.
 
-        Ordinary machines go first, since they cost more, and those idle for longest.
+        Ordinary machines are drained first, since they cost more; then those idle for longest.
         """
         hold_s = self.operators.hold_idle_s
         idle = [
@@ -77,11 +77,13 @@
         names = ordinary[: max(0, ordinary_surplus)]
         names += spot[: max(0, spot_surplus - len(names))]
         if names:
-            log.info("draining %s: idle for %g s above the target", shorten_names(names), hold_s)
+            log.info(
+                "draining surplus machines %s: idle for at least %g s", shorten_names(names), hold_s
+            )
             self.taint_writer.change(names, Taint.DRAIN)
 
     def review(self, now: float) -> None:
-        """Takes the next step for machines that are drained, failed, silent or lost for good."""
+        """Takes the next step for drained, failed, unresponsive and permanently lost machines."""
         drain = []
         scale_in = []
         for machine in self.machines.by_name.values():
@@ -104,8 +106,8 @@
         if taint == Taint.DRAIN:
             return None if occupied else Step.SCALE_IN
         if taint == Taint.ENDED:
-            return Step.SCALE_IN if self._is_lost_for_good(machine, now) else None
-        if taint == Taint.LOST and self._is_unreachable_for_good(machine, now):
+            return Step.SCALE_IN if self._is_permanently_lost(machine, now) else None
+        if taint == Taint.LOST and self._is_permanently_unreachable(machine, now):
             return Step.DRAIN
         if taint != Taint.GONE and machine.state == MachineState.FAILED:
             return Step.SCALE_IN
@@ -113,14 +115,16 @@
 
     def _next_step_untainted(self, machine: FleetMachine, now: float) -> Step | None:
         if machine.state == MachineState.FAILED:
-            # It has stopped: nothing runs there, and the cloud's answer will prove it.
+            # It has stopped, so nothing runs there; the cloud's answer to the scale-in proves it.
             return Step.SCALE_IN
-        if machine.ever_heard:
-            silent = now - machine.last_heard > SILENT_LEASES * self.settings.lease_s
-            return Step.DRAIN if silent else None
+        if machine.has_sent_heartbeat:
+            is_unresponsive = (
+                now - machine.last_heartbeat_at > DRAIN_AFTER_LEASES * self.settings.lease_s
+            )
+            return Step.DRAIN if is_unresponsive else None
         waiting_since = max(machine.requested_at, self.leadership.since)
-        if now - waiting_since > MAX_BOOTS * self._boot_s(machine):
-            log.info("draining %s: it never came up", machine.name)
+        if now - waiting_since > MAX_BOOT_TIMES * self._boot_s(machine):
+            log.info("draining machine %s: no heartbeat since it was requested", machine.name)
             return Step.DRAIN
         return None
 
@@ -129,25 +133,26 @@
         boot_s = machine_type.boot_s if machine_type is not None else 0
         return boot_s or self.operators.boot_guess_s
 
-    def _is_lost_for_good(self, machine: FleetMachine, now: float) -> bool:
-        """Whether a machine whose lease is over has been away so long that it is replaced."""
-        # A new leader has heard of nobody yet; a machine behind a cut may well come back.
-        # Once broken: it gave such machines back at once (fleet/partition_across_failover.txt).
-        silent_since = max(machine.last_heard, self.leadership.since)
+    def _is_permanently_lost(self, machine: FleetMachine, now: float) -> bool:
+        """Whether a machine with an expired lease has been lost so long that it is replaced."""
+        # A new leader has no heartbeats yet. Without the start of its leadership as a lower bound
+        # it returns machines behind a network partition at once, though they may come back
+        # (fleet/partition_across_failover.txt).
+        no_heartbeat_since = max(machine.last_heartbeat_at, self.leadership.since)
         return (
-            now - silent_since > REPLACED_LEASES * self.settings.lease_s
-            or self._is_unreachable_for_good(machine, now)
+            now - no_heartbeat_since > REPLACE_AFTER_LEASES * self.settings.lease_s
+            or self._is_permanently_unreachable(machine, now)
         )
 
-    def _is_unreachable_for_good(self, machine: FleetMachine, now: float) -> bool:
-        """Whether answers have not reached a machine for so long that it is replaced."""
+    def _is_permanently_unreachable(self, machine: FleetMachine, now: float) -> bool:
+        """Whether a machine has been unreachable for so long that it is replaced."""
         return (
             machine.unreachable_since is not None
-            and now - machine.unreachable_since > REPLACED_LEASES * self.settings.lease_s
+            and now - machine.unreachable_since > REPLACE_AFTER_LEASES * self.settings.lease_s
         )
 
     def _request(self, names: list[str]) -> None:
-        """Gives up to MAX_SCALE_IN machines back to the cloud."""
+        """Returns up to MAX_SCALE_IN machines to the cloud."""
         self.machines.scaling_in.update(names)
         log.info("scaling in %d machines: %s", len(names), shorten_names(names))
         self.cloud.call(
@@ -159,9 +164,9 @@
         )
 
     def on_scaled_in(self, names: list[str], status: int, body: Any) -> None:
-        """Handles the cloud's answer: its 200 proves that these machines are gone.
+        """Handles the cloud's answer: status 200 proves that these machines are gone.
 
-        Without it they stay as they are, and the next round asks again.
+        After any other answer nothing changes, and the next cost round retries.
         """
         self.machines.scaling_in.difference_update(names)
         if status != HTTPStatus.OK or not self.leadership.is_leader:
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -1,7 +1,7 @@
-"""Scales the fleet out: asks for machines, up to the targets and for zones that lack some.
+"""Scales the fleet out: requests machines up to the targets, and for zones with a shortage.
 
-Names of requests hold this controller's name, its incarnation and a counter, so that none is ever
-used for a second request, not even by another controller.
+The name of a request contains this controller's name, its incarnation and a counter, so that no
+name is ever reused, not even by another controller.
 """
 
 import logging
@@ -25,11 +25,11 @@
 REQUEST_TIMEOUT_S = 4.0
 RETRY_S = 2.0
 MAX_RETRIES = 20
-BACK_OFF_ROUNDS = 4  # cost rounds without requests to a zone that gave less than was asked
+BACK_OFF_ROUNDS = 4  # cost rounds without requests to a zone that provided too few machines
 
 
 class CapacityPool(NamedTuple):
-    """What the cloud has or lacks capacity for by itself."""
+    """A machine type in one zone, spot or ordinary; the cloud has separate capacity for each."""
 
     machine_type: str
     zone: str
@@ -37,11 +37,13 @@
 
 
 class ScaleOut(ActorPart):
-    """Asks the cloud for machines.
+    """Requests machines from the cloud.
 
     Attributes:
-        pending: {name of a request: what it asks for}, until its outcome is known.
-        back_off_until: {capacity pool: when it may be asked again}.
+        request_count: Number of requests made by this process.
+        pending: {name of a request: the request}, until its outcome is known.
+        back_off_until: {capacity pool: end of its back-off, by the steady clock}.
+        previous_shortages: {machine type: {(spot, zone): machines missing in the last round}}.
     """
 
     actor: ReplicaSubscriber
@@ -62,96 +64,95 @@
         self.cloud = cloud
         self.leadership = leadership
         self.machines = machines
-        self.max_requests = max_requests  # of one kind in a round
-        self.requests = 0  # made by this process
+        self.max_requests = max_requests  # per call of `_scale_out`
+        self.request_count = 0
         self.pending: dict[str, ScaleOutRequest] = {}
         self.back_off_until: dict[CapacityPool, float] = {}
-        # Of each machine type, as of the last round: {(spot, zone): machines short}.
-        self.shortages_before: dict[str, dict[tuple[bool, str], float]] = {}
+        self.previous_shortages: dict[str, dict[tuple[bool, str], float]] = {}
 
     def begin_leadership(self) -> None:
-        """Forgets what a former leadership asked for, and which zones refused."""
+        """Discards requests, back-offs and shortages of an earlier leadership."""
         self.pending = {}
         self.back_off_until = {}
-        self.shortages_before = {}
+        self.previous_shortages = {}
 
     def pending_count(self, machine_type: str, spot: bool) -> int:
-        """Machines of a pool that were asked for and not granted or refused yet."""
+        """Machines of a pool in requests whose outcome is not known yet."""
         return sum(
             request.number
             for request in self.pending.values()
             if (request.machine_type, request.spot) == (machine_type, spot)
         )
 
-    def fill(self, balance: TypeBalance, now: float) -> None:
-        """Asks for the machines that a type is short of.
+    def fill_shortage(self, balance: TypeBalance, now: float) -> None:
+        """Requests the machines that are missing to reach the targets of a type.
 
-        For demand that may use spot machines only while these are cheaper, and ordinary ones where
-        every zone has refused spot machines lately.
+        For demand that may use spot machines it requests these while they are cheaper; otherwise,
+        or if every zone is in back-off for spot machines, it requests ordinary ones.
         """
         machine_type = balance.machine_type
         if balance.ordinary_shortage > 0:
             self._scale_out(machine_type, False, balance.ordinary_shortage, None, now)
         if balance.spot_shortage > 0:
             spot_is_cheaper = machine_type.spot_price < machine_type.price
-            asked = spot_is_cheaper and self._scale_out(
+            requested = spot_is_cheaper and self._scale_out(
                 machine_type, True, balance.spot_shortage, None, now
             )
-            if not asked:
+            if not requested:
                 self._scale_out(machine_type, False, balance.spot_shortage, None, now)
 
-    def serve_zones(
+    def fill_zone_shortages(
         self,
         machine_type: MachineType,
         shortages: dict[tuple[bool, str], float],
         now: float,
     ) -> None:
-        """Asks for machines for tasks that can run in one zone only, and find no capacity there.
+        """Requests machines for tasks that can run in one zone only and find no capacity there.
 
-        Once broken: enough machines by their count, all of them elsewhere, and such tasks waited
-        for ever (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a shortage
-        counts once it is seen twice.
+        The targets alone don't suffice: with enough machines, but all in other zones, such tasks
+        wait indefinitely (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a
+        shortage counts only if two rounds in a row see it.
 
         Args:
-            machine_type: The type that is short.
-            shortages: {(spot, zone): machines short there}.
-            now: The steady clock.
+            machine_type: The machine type.
+            shortages: {(spot, zone): machines missing there}.
+            now: The time by the steady clock.
         """
-        before = self.shortages_before.get(machine_type.name, {})
-        self.shortages_before[machine_type.name] = shortages
+        previous = self.previous_shortages.get(machine_type.name, {})
+        self.previous_shortages[machine_type.name] = shortages
         for (spot, zone), count in shortages.items():
-            seen_twice = min(count, before.get((spot, zone), 0.0))
+            confirmed = min(count, previous.get((spot, zone), 0.0))
             available = self._available_in_zone(machine_type.name, zone, spot)
-            missing = math.ceil(seen_twice) - available
+            missing = math.ceil(confirmed) - available
             if missing <= 0:
                 continue
-            asked = spot and self._scale_out(machine_type, True, missing, zone, now)
-            if not asked:
+            requested = spot and self._scale_out(machine_type, True, missing, zone, now)
+            if not requested:
                 self._scale_out(machine_type, False, missing, zone, now)
 
     def _available_in_zone(self, machine_type: str, zone: str, spot: bool) -> int:
-        """Machines in a zone that boot, are idle or are asked for; spot ones only if `spot`."""
+        """Booting, idle and requested machines in a zone; includes spot machines only if `spot`."""
         booting_or_idle = sum(
             machine.zone == zone
             and (spot or not machine.spot)
-            and (not machine.ever_heard or machine.is_idle)
+            and (not machine.has_sent_heartbeat or machine.is_idle)
             for machine in self.machines.counted(machine_type)
         )
-        asked_for = sum(
+        requested = sum(
             request.number
             for request in self.pending.values()
             if (request.machine_type, request.zone) == (machine_type, zone)
             and (spot or not request.spot)
         )
-        return booting_or_idle + asked_for
+        return booting_or_idle + requested
 
     def _scale_out(
         self, machine_type: MachineType, spot: bool, count: int, only_zone: str | None, now: float
     ) -> bool:
-        """Asks for machines in the zones that have fewest, or in one zone only.
+        """Requests machines in the zones that have the fewest, or only in `only_zone`.
 
         Returns:
-            Whether it asked for any: False if every zone is in back-off.
+            Whether there was a zone for requests: False if every zone is in back-off.
         """
         zones = [
             zone
@@ -163,14 +164,14 @@
             return False
         for zone, number in self._spread(machine_type, spot, zones, count).items():
             for first in range(0, number, MAX_SCALE_OUT):
-                part = min(MAX_SCALE_OUT, number - first)
-                self._request(ScaleOutRequest(machine_type.name, zone, spot, part), now)
+                batch = min(MAX_SCALE_OUT, number - first)
+                self._request(ScaleOutRequest(machine_type.name, zone, spot, batch), now)
         return True
 
     def _spread(
         self, machine_type: MachineType, spot: bool, zones: list[str], count: int
     ) -> dict[str, int]:
-        """{zone: machines to ask for}: each goes where there are fewest, by spot or not."""
+        """{zone: machines to request}: each in the zone that has the fewest, spot or ordinary."""
         in_zone = dict.fromkeys(machine_type.zones, 0)
         for machine in self.machines.by_name.values():
             if machine.zone in in_zone and machine.spot == spot:
@@ -178,7 +179,7 @@
         plan: dict[str, int] = {}
         requests_left = self.max_requests
         for _ in range(count):
-            # A zone whose last request is not full takes a further machine without another one.
+            # A zone whose last request is not full can get a machine without another request.
             open_zones = [
                 zone for zone in zones if plan.get(zone, 0) % MAX_SCALE_OUT or requests_left > 0
             ]
@@ -192,12 +193,12 @@
         return plan
 
     def _request(self, request: ScaleOutRequest, now: float) -> None:
-        """Sends one request, under a name that is never used again."""
-        self.requests += 1
-        name = f"{self.settings.node}-{self.actor.incarnation}-{self.requests}"
+        """Sends one request, under a name that is never reused."""
+        self.request_count += 1
+        name = f"{self.settings.node}-{self.actor.incarnation}-{self.request_count}"
         self.pending[name] = request
         log.info(
-            "scaling out: %d %s %s in %s (request %s)",
+            "requesting %d %s machines of type %s in zone %s (request %s)",
             request.number,
             "spot" if request.spot else "ordinary",
             request.machine_type,
@@ -218,33 +219,34 @@
     def on_scaled_out(
         self, name: str, requested_at: float, retries: int, status: int, body: Any
     ) -> None:
-        """Handles the cloud's answer to a request: counts its machines, or asks again.
+        """Handles the cloud's answer to a request: records its machines, or retries.
 
         Args:
             name: The request's name.
             requested_at: When it was first sent, by the steady clock.
-            retries: How often it was sent again.
+            retries: The number of retries so far.
             status: The answer's status.
-            body: The answer.
+            body: The answer's body.
         """
         request = self.pending.get(name)
         if request is None:
             return
         machines = wire.read_scaled_out(body) if status == HTTPStatus.OK else None
         if machines is None and not wire.is_refusal(status, body):
-            # Perhaps carried out: only the same name asked again tells, and adds nothing twice.
+            # The request may have been carried out. A retry under the same name shows the outcome
+            # and adds no further machines.
             if retries < MAX_RETRIES and self.leadership.is_leader:
                 send_after(RETRY_S, self.on_retry, name, requested_at, retries)
             else:
                 del self.pending[name]
             return
         del self.pending[name]
-        self._take_over(name, request, machines or [], requested_at)
+        self._record_outcome(name, request, machines or [], requested_at)
 
-    def _take_over(
+    def _record_outcome(
         self, name: str, request: ScaleOutRequest, machines: list[str], requested_at: float
     ) -> None:
-        """Counts the machines that a request got; a zone that gave less is in back-off."""
+        """Records the machines of a request; a zone that provided too few goes into back-off."""
         machine_type, zone, spot, number = request
         for machine in machines:
             self.machines.by_name.setdefault(
@@ -253,7 +255,8 @@
         if len(machines) < number:
             back_off_s = BACK_OFF_ROUNDS * self.operators.cost_round_s
             log.info(
-                "scaled out %d of %d %s %s in %s (request %s); the zone is in back-off for %g s",
+                "got %d of %d %s machines of type %s in zone %s (request %s); "
+                "no such requests to the zone for %g s",
                 len(machines),
                 number,
                 "spot" if spot else "ordinary",
@@ -265,7 +268,7 @@
             self.back_off_until[CapacityPool(machine_type, zone, spot)] = self.now() + back_off_s
 
     def on_retry(self, name: str, requested_at: float, retries: int) -> None:
-        """Handles `retry`, sent to itself: sends a request of unknown outcome again."""
+        """Handles `retry`, sent to itself: repeats a request whose outcome is not known yet."""
         request = self.pending.get(name)
         if request is not None:
             self._send(name, request, requested_at, retries + 1)
--- a/emberglade/fleet/states.py
+++ b/emberglade/fleet/states.py
@@ -1,20 +1,20 @@
-"""States of machines and taints on them; the values are what the cloud says and what is stored."""
+"""Machine states and taints; the values are those of the cloud's API and of stored records."""
 
 from enum import StrEnum
 
 
 class MachineState(StrEnum):
-    """What the cloud says of a machine."""
+    """The state of a machine as the cloud reports it."""
 
-    STARTING = "starting"  # boots; some stay so until they are scaled in
+    STARTING = "starting"  # boots; some never leave this state until they are scaled in
     RUNNING = "running"
-    FAILED = "failed"  # it has stopped by itself
+    FAILED = "failed"  # it has stopped without a scale-in
 
 
 class Taint(StrEnum):
-    """A mark of the leader on a machine; nothing is placed on a machine with any of them."""
+    """A taint that the leader sets on a machine; no task is placed on a tainted machine."""
 
-    LOST = "lost"  # cordoned: no controller is in touch with it, or it does not hear us
-    ENDED = "ended"  # its lease is proven over, so that its tasks may move
+    LOST = "lost"  # no controller receives its heartbeats, or it does not receive the answers
+    ENDED = "ended"  # its lease has provably expired, so its tasks may move
     DRAIN = "drain"  # its tasks are evicted gracefully; then it is scaled in
-    GONE = "gone"  # the cloud has taken it back: nothing runs there
+    GONE = "gone"  # scaled in, as the cloud has confirmed: nothing runs there
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -1,4 +1,4 @@
-"""Works out which keys to write for changes of taints, within the limits of the state service."""
+"""Plans which keys to write for changes of taints, within the limits of the state service."""
 
 import zlib
 from collections.abc import Iterable, Mapping
@@ -8,21 +8,21 @@
 from .states import Taint
 from .taints import KeyTaints, Taints
 
-KEYS = 4  # fewer are fewer writes; a value holds some hundred taints
-FRAME_BYTES = 2  # the braces of a value
-ROW_BYTES = 6  # of a machine's taint in a value: quotes, colon and comma
-# Of the values in one transaction: PROTOCOL's 64 KiB, less conditions and names of keys and fields.
+HOME_KEY_COUNT = 4  # few keys mean few writes; a value holds some hundred taints
+VALUE_OVERHEAD_BYTES = 2  # the braces
+ROW_OVERHEAD_BYTES = 6  # quotes, colon and comma of a machine's taint
+# All values in one transaction: PROTOCOL's 64 KiB, less conditions and names of keys and fields.
 MAX_CHANGE_BYTES = 48 * 1024
 
 
 class ChangeLimits(NamedTuple):
-    """What one transaction may do.
+    """The limits of one transaction.
 
     Attributes:
-        value_bytes: The most that one value may take.
-        keys: The most keys that may be written.
-        may_move: Whether a taint may be in another key than its machine's own: whether every
-            controller's version looks for it there.
+        value_bytes: Maximum size of one value.
+        keys: Maximum number of keys written.
+        may_move: Whether taints may be stored in other keys than their home key. Requires that
+            every controller runs a version that reads them there.
     """
 
     value_bytes: int
@@ -34,52 +34,52 @@
     """A transaction that changes taints.
 
     Attributes:
-        values: The new value of each key, and the revision at which the key was read.
-        carried_out: The changes that the values carry out, None where a taint is removed.
+        values: The new value of each key, and the mod revision of its current value.
+        applied: {machine: new taint} for the changes that the values contain; None removes a taint.
     """
 
     values: dict[str, KeyTaints]
-    carried_out: dict[str, Taint | None]
+    applied: dict[str, Taint | None]
 
 
 def plan_change(
     taints: Taints, pending: Mapping[str, Taint | None], limits: ChangeLimits
 ) -> PlannedChange:
-    """The transaction that carries out what it can of the pending changes; the rest waits.
+    """The transaction for as many of the pending changes as the limits allow.
 
-    A key that a smaller limit of values finds too large passes taints on to others.
+    Where a value is above the limit, as after the limit was lowered, some of its taints move to
+    other keys in the same transaction.
     """
     change = TaintChange(taints, limits)
-    carried_out = {
-        machine: taint for machine, taint in pending.items() if change.put(machine, taint)
-    }
+    applied = {machine: taint for machine, taint in pending.items() if change.put(machine, taint)}
     if limits.may_move:
         change.shrink()
-    return PlannedChange(change.values(), carried_out)
+    return PlannedChange(change.values(), applied)
 
 
 def home_key(machine: str) -> str:
-    """The key that keeps a machine's taint, unless that key is full."""
-    return wire.taint_key(zlib.crc32(machine.encode()) % KEYS)
+    """The key that stores a machine's taint unless that key is full."""
+    return wire.taint_key(zlib.crc32(machine.encode()) % HOME_KEY_COUNT)
 
 
 def row_bytes(machine: str, taint: str) -> int:
-    """Bytes of one machine's taint in a value."""
-    return len(machine) + len(taint) + ROW_BYTES
+    """The size of one machine's taint in a value."""
+    return len(machine) + len(taint) + ROW_OVERHEAD_BYTES
 
 
 def value_bytes(rows: Iterable[tuple[str, str]]) -> int:
-    """Bytes of a value that holds these `(machine, taint)`."""
-    return FRAME_BYTES + sum(row_bytes(machine, taint) for machine, taint in rows)
+    """The size of a value that consists of these `(machine, taint)`."""
+    return VALUE_OVERHEAD_BYTES + sum(row_bytes(machine, taint) for machine, taint in rows)
 
 
 class TaintChange:
-    """The new values of some keys, worked out change by change.
+    """The new values of some keys, built change by change.
 
     Attributes:
         rows: {key to be written: {machine: stored taint}}.
-        sizes: {key to be written: bytes of its value}.
-        reserved: How many further keys those which are too large will pass taints on to.
+        sizes: {key to be written: size of its value in bytes}.
+        reserved_keys: Number of overflow keys reserved for taints that `shrink` moves out of values
+            above the limit.
     """
 
     def __init__(self, taints: Taints, limits: ChangeLimits) -> None:
@@ -87,32 +87,32 @@
         self.limits = limits
         self.rows: dict[str, dict[str, str]] = {}
         self.sizes: dict[str, int] = {}
-        self.reserved = 0
+        self.reserved_keys = 0
 
     def values(self) -> dict[str, KeyTaints]:
-        """The new value of each key, with the revision at which the key was read."""
+        """The new value of each key, with the mod revision of its current value."""
         return {
             key: KeyTaints(self.taints.key_taints(key).mod_revision, rows)
             for key, rows in self.rows.items()
         }
 
     def put(self, machine: str, taint: Taint | None) -> bool:
-        """Carries out one change, if it fits; None removes the machine's taint."""
-        key = self.taints.key_holding(machine) or self.find_key(machine, taint)
+        """Adds one change, if it fits; `taint` None removes the machine's taint."""
+        key = self.taints.key_containing(machine) or self.find_key(machine, taint)
         if key is None or not self._include(key):
             return False
         old = self.rows[key].get(machine)
         before = row_bytes(machine, old) if old is not None else 0
         after = row_bytes(machine, taint) if taint is not None else 0
         growth = after - before
-        # Once broken: 4,000 machines fell silent together, their taints made a transaction above
-        # the limit, and then, each a byte longer, values above theirs; these were refused again
-        # and again (fleet/nearly_all_machines_fail.txt).
+        # Without these limits, taints of 4,000 machines that are lost together make a transaction
+        # above the size limit, and later, each a byte longer, values above the value limit. The
+        # state service rejects these at every retry (fleet/nearly_all_machines_fail.txt).
         if growth > 0 and sum(self.sizes.values()) + growth > MAX_CHANGE_BYTES:
             return False
         target: str | None = key
         if growth > 0 and self.sizes[key] + growth > self.limits.value_bytes:
-            target = self.find_key(machine, taint, full=key)
+            target = self.find_key(machine, taint, full_key=key)
         if target is None or not self._include(target):
             return False
         self._remove_row(key, machine)
@@ -120,28 +120,28 @@
             self._add_row(target, machine, taint.value)
         return True
 
-    def find_key(self, machine: str, taint: str | None, full: str | None = None) -> str | None:
-        """The key for a machine's taint: its home, or else the first further one where it fits.
+    def find_key(self, machine: str, taint: str | None, full_key: str | None = None) -> str | None:
+        """The key for a machine's taint: its home key, or the first overflow key where it fits.
 
         Args:
             machine: The machine's name.
-            taint: The taint that is to be written.
-            full: A key that is known to be full.
+            taint: The taint to be written.
+            full_key: A key known to be full.
 
         Returns:
-            The key; None if too many keys would be written.
+            The key; None if the transaction would write too many keys.
         """
-        need = row_bytes(machine, taint or "")
-        for key in [home_key(machine), *self._further_keys()]:
-            if key == full or (key not in self.rows and len(self.rows) >= self.limits.keys):
+        needed_bytes = row_bytes(machine, taint or "")
+        for key in [home_key(machine), *self._overflow_keys()]:
+            if key == full_key or (key not in self.rows and len(self.rows) >= self.limits.keys):
                 continue
-            if self._value_bytes(key) + need <= self.limits.value_bytes:
+            if self._value_bytes(key) + needed_bytes <= self.limits.value_bytes:
                 return key
         return None
 
     def shrink(self) -> None:
-        """Moves taints from keys that are too large to others, in the same transaction."""
-        self.reserved = 0
+        """Moves taints out of values above the limit to other keys."""
+        self.reserved_keys = 0
         for key in list(self.rows):
             self._shrink_key(key)
 
@@ -149,37 +149,39 @@
         for machine, taint in list(self.rows[key].items()):
             if self.sizes[key] <= self.limits.value_bytes:
                 return
-            target = self.find_key(machine, taint, full=key)
+            target = self.find_key(machine, taint, full_key=key)
             if target is None or not self._include(target):
                 return
             self._remove_row(key, machine)
             self._add_row(target, machine, taint)
 
     def _include(self, key: str) -> bool:
-        """Whether the key is among those to be written; adds it if the limits allow it."""
+        """Adds the key to those to be written, if the limits allow it; True if it is among them."""
         if key in self.rows:
             return True
         rows = dict(self.taints.key_taints(key).taints)
         size = value_bytes(rows.items())
         limit = self.limits.value_bytes
-        further = size // limit if size > limit else 0  # keys that it will pass taints on to
-        if len(self.rows) + self.reserved + 1 + further > self.limits.keys:
+        overflow_keys = size // limit if size > limit else 0  # that `shrink` moves taints to
+        if len(self.rows) + self.reserved_keys + 1 + overflow_keys > self.limits.keys:
             return False
-        free = MAX_CHANGE_BYTES - sum(self.sizes.values()) - self.reserved * limit
-        if self.rows and size + further * limit > free:
+        free = MAX_CHANGE_BYTES - sum(self.sizes.values()) - self.reserved_keys * limit
+        if self.rows and size + overflow_keys * limit > free:
             return False
         self.rows[key] = rows
         self.sizes[key] = size
-        self.reserved += further
+        self.reserved_keys += overflow_keys
         return True
 
-    def _further_keys(self) -> list[str]:
-        # The version before looks for a machine's taint in its home key alone.
-        last = KEYS + len(self.taints.by_key) + 1 if self.limits.may_move else KEYS
-        return [wire.taint_key(number) for number in range(KEYS, last)]
+    def _overflow_keys(self) -> list[str]:
+        # The previous version looks for a machine's taint only in its home key.
+        last = (
+            HOME_KEY_COUNT + len(self.taints.by_key) + 1 if self.limits.may_move else HOME_KEY_COUNT
+        )
+        return [wire.taint_key(number) for number in range(HOME_KEY_COUNT, last)]
 
     def _value_bytes(self, key: str) -> int:
-        """Bytes of a key's value: as it is to be written, or as it is."""
+        """The size of a key's new value, or of its current value if it is not to be written."""
         size = self.sizes.get(key)
         return value_bytes(self.taints.key_taints(key).taints.items()) if size is None else size
 
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -1,4 +1,4 @@
-"""Writes the leader's taints, one transaction at a time."""
+"""Writes the leader's changes of taints, one transaction at a time."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -17,11 +17,11 @@
 
 
 class TaintWriter(ActorPart):
-    """Makes changes of taints durable.
+    """Queues changes of taints and writes them to the store.
 
     Attributes:
-        pending: The taint that each machine is to get, None where it loses its taint.
-        in_flight: Those of them that are being written.
+        pending: {machine: new taint} for changes not sent yet; None removes the taint.
+        in_flight: {machine: new taint} for the changes in the current transaction.
         format_raised: Whether every controller reads the new record format.
     """
 
@@ -38,7 +38,7 @@
         self.format_raised = False
 
     def begin_leadership(self) -> None:
-        """Drops what a former leadership was about to write."""
+        """Discards the changes of an earlier leadership."""
         self.pending = {}
         self.in_flight = {}
 
@@ -47,10 +47,10 @@
         return machine in self.in_flight or machine in self.pending
 
     def change(self, machines: Iterable[str], taint: Taint | None) -> None:
-        """Gives machines a taint; None: removes theirs.
+        """Sets the taint of machines; None removes it.
 
-        A machine has one change at a time, so each follows from the taint that it was seen with.
-        Only proof that it is gone replaces a change that is pending.
+        Each machine has at most one change at a time, so that every change is decided on its
+        committed taint. Only GONE, which is proof, replaces a pending change.
         """
         replaces = taint == Taint.GONE
         self.pending.update(
@@ -61,7 +61,7 @@
         self._write()
 
     def _write(self) -> None:
-        """Writes pending changes, of all machines in one transaction: keys hold many taints."""
+        """Writes as many pending changes as fit in one transaction, as a key holds many taints."""
         if self.in_flight or not self.pending or not self.leadership.is_leader:
             return
         limits = ChangeLimits(self.settings.value_bytes, self.settings.txn_ops, self.format_raised)
@@ -77,27 +77,27 @@
         )
 
     def on_written(self, owner: Owner, status: int, revision: int | None, failed: Any) -> None:
-        """Handles the store's answer to a commit of taints: a sync shows what became of it.
+        """Handles the store's answer to a commit of taints: a sync will show its outcome.
 
-        `owner` is the leader's key as of the commit.
+        `owner` is the owner of the leader's key at the time of the commit.
         """
         send(self.store.on_sync, callback(self.on_taints_synced, owner, status))
 
     def on_taints_synced(self, owner: Owner, status: int, revision: int | None) -> None:
         """Handles the sync after a commit of taints that was answered with `status`.
 
-        Ignored if the leader's key has changed since. Writes what is pending meanwhile.
+        Ignored if the leader's key has changed since. Writes the changes that became pending.
         """
         if self.leadership.owner != owner:
             return
         if revision is None:
-            # The replica may not show what was written; the next change is worked out from it.
+            # The replica may not show this write yet, and the next change is based on the replica.
             send_after(SYNC_RETRY_S, self.on_written, owner, status, None, None)
             return
         written, self.in_flight = self.in_flight, {}
         if status != HTTPStatus.OK:
-            # Other changes are asked for again as long as they are due; this one is the proof that
-            # came once.
+            # Other changes are requested again while their cause persists. The proof that a machine
+            # is gone arrives only once, so that change must be kept.
             self.pending.update(
                 (name, taint)
                 for name, taint in written.items()
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -1,7 +1,8 @@
 """The leader's taints on machines, as the replica shows them.
 
-Many machines fall silent together, and each key that is written counts, so taints are kept in few
-keys: whatever happens to however many machines is a handful of writes (`taint_change.py`).
+Many machines can fail together, and the state service limits the keys written, so the taints of all
+machines are stored in a few keys. A change of any number of them takes few writes
+(`taint_change.py`).
 """
 
 from collections.abc import Iterator
@@ -17,9 +18,9 @@
     """The taint of a machine.
 
     Attributes:
-        taint: A Taint, or a stored value that this version does not know.
-        mod_revision: The revision of the store that wrote it.
-        seen_at: When it was seen here, by the steady clock.
+        taint: A Taint, or a stored value that is unknown to this version.
+        mod_revision: The store revision that wrote it.
+        seen_at: When this controller's replica first showed it, by the steady clock.
     """
 
     taint: str
@@ -28,21 +29,21 @@
 
 
 class KeyTaints(NamedTuple):
-    """The value of one key: {machine: stored taint}, and the revision that last wrote it."""
+    """The value of one key, {machine: stored taint}, and its mod revision."""
 
     mod_revision: int
     taints: dict[str, str]
 
 
-NO_KEY = KeyTaints(0, {})  # a key that does not exist
+MISSING_KEY = KeyTaints(0, {})  # a key that does not exist
 
 
 class Taints:
     """The taints as committed.
 
     Attributes:
-        by_machine: The taint of each tainted machine.
-        by_key: The keys that hold them.
+        by_machine: {machine: MachineTaint}.
+        by_key: {key: KeyTaints}.
     """
 
     def __init__(self) -> None:
@@ -50,7 +51,7 @@
         self.by_key: dict[str, KeyTaints] = {}
 
     def apply(self, key: str, data: dict | None, mod_revision: int, now: float) -> list[str]:
-        """Takes over the new value of one key, None if it was removed.
+        """Applies the new value of one key; None if the key was removed.
 
         Returns:
             The machines whose taints changed.
@@ -59,28 +60,28 @@
         changed = [machine for machine, taint in old.items() if new.get(machine) != taint]
         changed += [machine for machine in new if machine not in old]
         self.by_key[key] = KeyTaints(mod_revision if data is not None else 0, new)
-        # Machines that get the same taint share one row: thousands may change at once.
+        # Machines with the same new taint share one object, as thousands may change at once.
         rows = {
             value: MachineTaint(read_taint(value), mod_revision, now) for value in set(new.values())
         }
         for machine in changed:
             if machine in new:
                 self.by_machine[machine] = rows[new[machine]]
-            elif self.key_holding(machine) is None:
-                # Else it was moved to another key, and that one was seen first.
+            elif self.key_containing(machine) is None:
+                # Otherwise the taint was moved to another key, whose change was applied first.
                 self.by_machine.pop(machine, None)
         return changed
 
     def key_taints(self, key: str) -> KeyTaints:
-        """What a key holds; nothing if it does not exist."""
-        return self.by_key.get(key, NO_KEY)
+        """The taints in a key; empty if the key does not exist."""
+        return self.by_key.get(key, MISSING_KEY)
 
-    def key_holding(self, machine: str) -> str | None:
-        """The key that has a taint of this machine, or None."""
+    def key_containing(self, machine: str) -> str | None:
+        """The key that contains a taint of this machine, or None."""
         return next((key for key, row in self.by_key.items() if machine in row.taints), None)
 
     def forget(self) -> None:
-        """Forgets everything, before the whole replica is told anew."""
+        """Removes all taints, before a snapshot of the replica is applied."""
         self.by_machine = {}
         self.by_key = {}
 
@@ -91,7 +92,7 @@
         return iter(self.by_machine)
 
     def get(self, machine: str) -> str | None:
-        """The taint of a machine, or None: a Taint, or a value that this version does not know."""
+        """The taint of a machine: a Taint, a value unknown to this version, or None."""
         row = self.by_machine.get(machine)
         return None if row is None else row.taint
 
--- a/emberglade/fleet/wire.py
+++ b/emberglade/fleet/wire.py
@@ -1,6 +1,6 @@
-"""Names of fields, paths and keys: of the cloud's API, and of what the fleet keeps in the store.
+"""Field names, paths and keys of the cloud's API and of the fleet's records in the store.
 
-The one place that knows them. Keys are without the LIVE prefix, as the replica holds them.
+No other module uses these names. Keys are without LIVE_PREFIX, as in the replica.
 """
 
 import math
@@ -20,14 +20,14 @@
 
 
 def taint_key(number: int) -> str:
-    """The key that holds the taints of one number."""
+    """The key of the taints with this number."""
     return f"{TAINT_PREFIX}{number}"
 
 
 def read_taint(value: str) -> str:
-    """The Taint of a stored value; a value that is not known here stays as it is.
+    """The Taint for a stored value, or the value itself if it is unknown to this version.
 
-    It is no taint that this version acts on, but nothing is placed on that machine.
+    This version does not act on an unknown taint, but places no task on that machine.
     """
     return TAINTS_BY_VALUE.get(value, value)
 
@@ -36,17 +36,17 @@
 
 
 def read_table(data: dict) -> dict | None:
-    """The table in the record of a controller's key; None if it holds none yet."""
+    """The table in the record of a controller's key; None if there is none yet."""
     return data.get("table")
 
 
 def read_demand(table: dict) -> Iterable[tuple[str, bool, float]]:
-    """Rows `(machine type, spot, machines)` of demand."""
+    """The demand, in rows `(machine type, spot, machines)`."""
     return table.get("d", ())
 
 
 def read_zone_shortages(table: dict) -> Iterable[tuple[str, bool, str, float]]:
-    """Rows `(machine type, spot, zone, machines)` that tasks bound to one zone lack there."""
+    """Machines missing for tasks bound to one zone: `(machine type, spot, zone, machines)`."""
     return table.get("z", ())
 
 
@@ -63,12 +63,12 @@
 NO_CAPACITY = "no capacity"
 
 STATES_BY_VALUE = {state.value: state for state in MachineState}
-# A state that is not known here is neither booting nor failed.
+# An unknown state is treated as neither booting nor failed.
 UNKNOWN_STATE = MachineState.RUNNING
 
 
 class ListedMachine(NamedTuple):
-    """A machine as the cloud lists it; `age_s` is its age since it was requested."""
+    """A machine as the cloud lists it; `age_s` is the time since it was requested."""
 
     name: str
     type: str
@@ -79,14 +79,14 @@
 
 
 class MachinePage(NamedTuple):
-    """One page of the cloud's list, and whether there are more."""
+    """One page of the cloud's list, and whether more pages follow."""
 
     rows: list[ListedMachine]
-    more: bool
+    has_more: bool
 
 
 class ScaleOutRequest(NamedTuple):
-    """What one request to the cloud asks for: `number` machines of one kind in one zone."""
+    """A request to the cloud for `number` machines of one kind in one zone."""
 
     machine_type: str
     zone: str
@@ -94,14 +94,14 @@
     number: int
 
 
-def _amount(value: Any) -> float:
+def _read_amount(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{value!r} is not an amount")
+        raise ValueError(f"expected a finite number, got {value!r}")
     return float(value)
 
 
 def read_catalog(body: Any) -> dict[str, MachineType] | None:
-    """{name: MachineType}, or None when the answer is malformed or empty."""
+    """{name: MachineType}, or None if the answer is malformed or empty."""
     try:
         machine_types = {row["label"]: _read_machine_type(row) for row in body["hearth_kinds"]}
     except (KeyError, TypeError, ValueError):
@@ -110,23 +110,23 @@
 
 
 def _read_machine_type(row: Any) -> MachineType:
-    price = _amount(row["price"])
+    price = _read_amount(row["price"])
     return MachineType(
         row["label"],
-        _amount(row["cpus"]),
-        _amount(row.get("cards") or 0),
-        _amount(row["ram_gb"]),
-        _amount(row.get("local_gb") or 0),
-        _amount(row.get("fetch_gb_per_s") or 0),
+        _read_amount(row["cpus"]),
+        _read_amount(row.get("cards") or 0),
+        _read_amount(row["ram_gb"]),
+        _read_amount(row.get("local_gb") or 0),
+        _read_amount(row.get("fetch_gb_per_s") or 0),
         price,
-        _amount(row.get("spot_price") or price),
-        _amount(row.get("boot_s") or 0),
+        _read_amount(row.get("spot_price") or price),
+        _read_amount(row.get("boot_s") or 0),
         tuple(row["glades"]),
     )
 
 
 def scale_out_body(name: str, request: ScaleOutRequest) -> dict:
-    """The body of a request for machines; the cloud fills a request of the same name once."""
+    """The body of a request for machines; the cloud fulfils requests of one name only once."""
     return {
         "woodcall": name,
         "hearth_kind": request.machine_type,
@@ -137,7 +137,7 @@
 
 
 def read_scaled_out(body: Any) -> list[str] | None:
-    """The names of the machines that a request got, or None when the answer is malformed."""
+    """The names of the machines that a request provided, or None if the answer is malformed."""
     names = body.get("hearths") if isinstance(body, dict) else None
     if not isinstance(names, list):
         return None
@@ -145,7 +145,7 @@
 
 
 def is_refusal(status: int, body: Any) -> bool:
-    """Whether an answer to a request for machines says that it got none, and never will."""
+    """Whether an answer to a request for machines is final and provides none."""
     no_capacity = isinstance(body, dict) and body.get("error") == NO_CAPACITY
     return status == HTTPStatus.BAD_REQUEST or (
         status == HTTPStatus.SERVICE_UNAVAILABLE and no_capacity
@@ -153,17 +153,17 @@
 
 
 def scale_in_body(names: list[str]) -> dict:
-    """The body that gives machines back to the cloud."""
+    """The body of a request that returns machines to the cloud."""
     return {"hearths": names}
 
 
 def page_path(after: str) -> str:
-    """The path that lists the machines after one of them; "": from the first."""
+    """The path of the page that follows the machine `after`; "" for the first page."""
     return f"/hosts?since={after}&limit={PAGE_ROWS}"
 
 
 def read_page(body: Any) -> MachinePage | None:
-    """One page of the list, or None when the answer is malformed."""
+    """One page of the list, or None if the answer is malformed."""
     try:
         rows = [
             ListedMachine(
