--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -1,4 +1,4 @@
-"""Assembles one controller: its actors, and how they know of each other."""
+"""Assembles one controller: creates its actors and connects them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass
 class Controller:
-    """The actors of one controller, and the routes of the server that its peers use."""
+    """The actors of one controller, and the routes of the server for its peers."""
 
     store: Store
     job_manager: JobManager
@@ -30,10 +30,10 @@
     autoscaler: Autoscaler
     user_api: UserApi
     peer_routes: PeerRoutes
-    peer_monitor: "PeerMonitor | None" = None  # if failure detection is on
+    peer_monitor: "PeerMonitor | None" = None  # None if failure detection is off
 
     def actors(self) -> list[tuple[Actor, str]]:
-        """All actors with their names, in the order in which they begin."""
+        """All actors with their names, in start order."""
         actors: list[tuple[Actor, str]] = []
         if self.peer_monitor is not None:
             actors.append((self.peer_monitor, "failure_detection"))
@@ -48,28 +48,28 @@
         ]
         return actors
 
-    def notify_memory_pressure(self, short: bool) -> None:
-        """Memory has become short, or enough again."""
-        send(self.user_api.on_memory_pressure, short)
+    def notify_memory_pressure(self, is_low: bool) -> None:
+        """Notifies the user API that memory has become low, or sufficient again."""
+        send(self.user_api.on_memory_pressure, is_low)
 
     def describe(self) -> str:
-        """How much there is of what takes memory."""
+        """The sizes of the collections that use most memory, for a log line."""
         return (
             f"{len(self.store.replica)} live keys, {len(self.job_manager.jobs)} jobs, "
             f"{len(self.agents.evidence.last_seen)} machines, "
-            f"{len(self.user_api.lookup.final_states)} final states at hand"
+            f"{len(self.user_api.lookup.final_states)} cached final states"
         )
 
 
-def watch_peers(
+def create_peer_monitor(
     settings: Settings,
     operators: Operators,
     store: Store,
     member: Member,
     peer_clients: Mapping[str, Any],
 ) -> "PeerMonitor":
-    """The monitor of the other controllers, which the member's claims follow from now on."""
-    from .failure_detection import (  # a start without it does not pay for it
+    """Creates the monitor of the other controllers, and has the member follow its view."""
+    from .failure_detection import (  # a start without failure detection saves this import
         LeaderPlanner,
         PeerMonitor,
         ShardPlanner,
@@ -79,7 +79,7 @@
 
     bounds = detection_bounds(settings, operators)
     domains = failure_domains(settings, operators)
-    member.watch_peers(
+    member.set_planners(
         ShardPlanner(settings.node, settings.names, shard_count(settings), bounds.heartbeat_s),
         LeaderPlanner(settings.node, bounds.heartbeat_s),
     )
@@ -94,15 +94,15 @@
     peer_clients: dict[str, Any],
     workers: Any,
 ) -> Controller:
-    """The actors of one controller, not running yet.
+    """Creates the actors of one controller; none is running yet.
 
     Args:
         settings: The platform's settings.
         operators: The operators' settings.
         state_client: The client of the state service.
         cloud_client: The client of the cloud.
-        peer_clients: Peer's name -> its client.
-        workers: The pool of clients for direct commands to workers.
+        peer_clients: {name of a peer: its client}.
+        workers: The pool of clients for direct commands to agents.
     """
     store = Store(settings, state_client)
     job_manager = JobManager(settings, store)
@@ -110,7 +110,7 @@
     member = Member(settings, store, listeners)
     peer_monitor = None
     if operators.failure_detection:
-        peer_monitor = watch_peers(settings, operators, store, member, peer_clients)
+        peer_monitor = create_peer_monitor(settings, operators, store, member, peer_clients)
         peer_clients = peer_monitor.links_with_heartbeats()
     agents = AgentManager(settings, store, job_manager, member, peer_clients, workers)
     job_manager.agents = agents
--- a/emberglade/fleet/wire.py
+++ b/emberglade/fleet/wire.py
@@ -1,6 +1,6 @@
 """Field names, paths and keys of the cloud's API and of the fleet's records in the store.
 
-No other module uses these names. Keys are without LIVE_PREFIX, as in the replica.
+Other modules access them only through this one. Keys are without LIVE_PREFIX, as in the replica.
 """
 
 import math
--- a/emberglade/membership/__init__.py
+++ b/emberglade/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: the leased node key, shard ownership, leader election, the record format."""
+"""Membership: the leased node key, shard ownership, leader election and the record format."""
 
 from .format import FORMAT_KEY, FormatUpgrade, is_raised
 from .member import Member
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -1,9 +1,9 @@
-"""The cluster's record format: raised once, when every configured controller runs the new version.
+"""The cluster's record format: raised once, when every configured controller runs this version.
 
-The version in production reads and rewrites records of format 1 only. Each controller of this
-version states under a key of its own that it also reads format 2, naming its process. Once the live
-process of every configured controller has done so, one transaction raises the format for good. It
-is conditional on all of these keys, so it can't follow a controller's return to the older version.
+The previous version reads and rewrites records of format 1 only. Each controller of this version
+writes a reader key, which states that its process also reads format 2. Once the live process of
+every configured controller has done so, one transaction raises the format permanently. It is
+conditional on all reader keys, so it fails if a controller returns to the previous version first.
 """
 
 import logging
@@ -20,24 +20,24 @@
 
 log = logging.getLogger("emberglade.membership")
 
-NEW_FORMAT = 2  # from here on: jobs that await others, and parts laid out anew
+NEW_FORMAT = 2  # adds jobs with dependencies, and changes the layout of a job's parts
 TICK_S = 0.5
-CONDITIONS_PER_WRITE = 4  # a transaction may have so many times more conditions than writes
+CONDITIONS_PER_WRITE = 4  # a transaction may have this many conditions per allowed write
 
 
 class RecordError(ValueError):
-    """A key that the upgrade reads holds no record; its message names the key and the value."""
+    """A key read by the upgrade does not contain a record; the message states key and value."""
 
 
 class ProcessKey(NamedTuple):
-    """A key that names a process of a controller."""
+    """A key that identifies a process of a controller."""
 
     incarnation: int | None
     mod_revision: int
 
 
 def is_raised(data: Any) -> bool:
-    """Whether the value of FORMAT_KEY shows that records of the new format may be written."""
+    """Whether the value of FORMAT_KEY allows records of the new format."""
     return isinstance(data, dict) and wire.read_format(data) >= NEW_FORMAT
 
 
@@ -45,9 +45,9 @@
     """States that this controller reads the new format, and raises the cluster's when all do.
 
     Attributes:
-        raised: Whether the cluster's format is the new one.
-        processes: The key of each controller's live process, by the controller's name.
-        readers: The key of each process that reads the new format, by the controller's name.
+        raised: Whether the cluster uses the new format.
+        processes: {controller: the key of its live process}.
+        readers: {controller: the key of its process that reads the new format}.
     """
 
     def __init__(self, settings: "Settings", store: Store) -> None:
@@ -59,18 +59,18 @@
         self._is_committing = False
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes, and ticks every TICK_S."""
+        """Handles `begin` from the actor system: subscribes, and starts the tick."""
         super().on_begin()
         send_after(TICK_S, self.on_tick)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
-        Notes the format's key, the nodes' keys and the readers' keys, and takes the next step of
-        the upgrade.
+        Applies changes of the format key, node keys and reader keys, and takes the next step of the
+        upgrade.
 
         Raises:
-            RecordError: A node's or a reader's key holds something other than a JSON object.
+            RecordError: A node key or reader key does not contain a JSON object.
         """
         if is_snapshot:
             self.processes, self.readers = {}, {}
@@ -80,20 +80,20 @@
                 self.raised = self.raised or is_raised(change.data)
                 self._format_mod_revision = change.mod_revision
             elif key.startswith(wire.NODE_PREFIX):
-                self._note(self.processes, key[len(wire.NODE_PREFIX) :], change)
+                self._apply(self.processes, key[len(wire.NODE_PREFIX) :], change)
             elif key.startswith(wire.READER_PREFIX):
-                self._note(self.readers, key[len(wire.READER_PREFIX) :], change)
+                self._apply(self.readers, key[len(wire.READER_PREFIX) :], change)
         self.advance()
 
     @staticmethod
-    def _note(rows: dict[str, ProcessKey], node: str, change: Change) -> None:
-        """Notes the process that a key of a node names; `rows` are all keys of that kind."""
+    def _apply(keys: dict[str, ProcessKey], node: str, change: Change) -> None:
+        """Applies a change of a controller's key to `keys`, all keys of that kind."""
         if change.data is None:
-            rows.pop(node, None)
+            keys.pop(node, None)
         elif not isinstance(change.data, dict):
-            raise RecordError(f"the key {change.key!r} holds {change.data!r}, not a JSON object")
+            raise RecordError(f"key {change.key!r}: expected a JSON object, got {change.data!r}")
         else:
-            rows[node] = ProcessKey(wire.read_incarnation(change.data), change.mod_revision)
+            keys[node] = ProcessKey(wire.read_incarnation(change.data), change.mod_revision)
 
     def on_tick(self) -> None:
         """Handles `tick`, sent to itself every TICK_S: takes the next step, if one is due."""
@@ -114,9 +114,10 @@
             self._commit([], wire.reader_key(node), record)
         elif all(self.reads_new_format(name) for name in self.settings.names):
             log.info(
-                "all controllers run the new version; raising the record format to %d", NEW_FORMAT
+                "all controllers read the new record format; raising the cluster to format %d",
+                NEW_FORMAT,
             )
-            self._commit(self._raise_conditions(), FORMAT_KEY, wire.format_record(NEW_FORMAT))
+            self._commit(self._conditions_for_raise(), FORMAT_KEY, wire.format_record(NEW_FORMAT))
 
     def _names_this_process(self, key: ProcessKey | None) -> bool:
         return key is not None and key.incarnation == self.incarnation
@@ -128,10 +129,10 @@
             return False
         return process.incarnation == reader.incarnation
 
-    def _raise_conditions(self) -> list[tuple[str, int]]:
-        """The conditions `[(full key, mod_revision)]` that the raise hangs on.
+    def _conditions_for_raise(self) -> list[tuple[str, int]]:
+        """The conditions `[(full key, mod_revision)]` of the transaction that raises the format.
 
-        Those of the processes' keys, rewritten every few seconds, only where they fit.
+        Node keys, which are rewritten every few seconds, are included only if the limit allows it.
         """
         names = self.settings.names
         conditions = [(LIVE_PREFIX + FORMAT_KEY, self._format_mod_revision)]
@@ -146,7 +147,7 @@
         return conditions
 
     def _commit(self, conditions: list[tuple[str, int]], key: str, record: wire.Record) -> None:
-        """Writes one key under `conditions`; nothing else is sent until a sync shows it."""
+        """Writes one key under `conditions`; the next step waits until a sync shows the result."""
         self._is_committing = True
         send(
             self.store.on_commit,
@@ -157,7 +158,7 @@
         )
 
     def on_seen(self, revision: int | None) -> None:
-        """Handles the sync after a commit (`sync_after_commit`): the next step may be taken."""
+        """Handles the sync after a commit (`sync_after_commit`): takes the next step on success."""
         self._is_committing = False
         if revision is not None:
             self.advance()
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -1,4 +1,4 @@
-"""This controller's lease at the state service, and the incarnation that it gives the process."""
+"""This controller's lease at the state service, which also identifies the process."""
 
 import logging
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 
 log = logging.getLogger("emberglade.membership")
 
-LEASES_PER_AGENT_LEASE = 3  # how many times shorter it is than a worker's
-MIN_LIFE_S = 0.1
-RENEWALS_PER_LIFE = 3
+NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease to a controller's
+MIN_TTL_S = 0.1
+RENEWALS_PER_TTL = 3
 RETRY_S = 0.5  # after a lease was not granted
 MS_PER_S = 1000
 
 
 class NodeLease(ActorPart):
-    """The part of the member that takes, renews and replaces the lease.
+    """The part of the member that requests, renews and replaces the lease.
 
     Attributes:
-        number: The lease, None while there is none.
-        incarnation: The first lease of this process, which tells it from all others.
-        life_s: How long the lease lasts without renewal.
+        id: The ID of the current lease; None while there is none.
+        incarnation: The ID of this process's first lease, which identifies the process.
+        ttl_s: The time until the lease expires without a renewal.
     """
 
     def __init__(
@@ -37,66 +37,67 @@
         on_identified: Callable[[int], None],
         on_granted: Callable[[], None],
     ) -> None:
-        """Makes a lease that is taken once it is started.
+        """Creates the part; the lease is requested by `start`.
 
-        `on_identified(incarnation)` is called with the first lease, `on_granted()` with each.
+        Calls `on_identified(incarnation)` for the first lease, and `on_granted()` for every one.
         """
         super().__init__(actor)
         self.store = store
         self.on_identified, self.on_granted = on_identified, on_granted
-        self.number: int | None = None
+        self.id: int | None = None
         self.incarnation: int | None = None
-        # A crashed node is failed over within a third of a worker's lease; mostly it is back
-        # sooner.
-        self.life_s = max(MIN_LIFE_S, settings.lease_s / LEASES_PER_AGENT_LEASE)
+        # A crashed controller fails over within a third of an agent's lease. In most cases it has
+        # restarted before.
+        self.ttl_s = max(MIN_TTL_S, settings.lease_s / NODE_LEASES_PER_AGENT_LEASE)
 
     def start(self) -> None:
-        """Asks for the first lease, and renews it from then on."""
+        """Requests the first lease, and starts the renewals."""
         self.on_request()
-        send_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
+        send_after(self.ttl_s / RENEWALS_PER_TTL, self.on_renew)
 
     def on_request(self) -> None:
-        """Handles `request`, sent to itself: asks the store for a lease."""
-        life_ms = int(self.life_s * MS_PER_S)
-        send(self.store.on_grant_lease, life_ms, callback(self.on_answer))
+        """Handles `request`, sent to itself: requests a lease from the store."""
+        ttl_ms = int(self.ttl_s * MS_PER_S)
+        send(self.store.on_grant_lease, ttl_ms, callback(self.on_answer))
 
     def on_answer(self, lease: Any) -> None:
-        """Handles the store's answer to the request: the lease's number, or None.
+        """Handles the store's answer to the request: the lease's ID, or None.
 
-        Without a lease, asks again after RETRY_S.
+        Without a lease, retries after RETRY_S.
         """
         if not isinstance(lease, int):
             send_after(RETRY_S, self.on_request)
             return
-        self.number = lease
+        self.id = lease
         if self.incarnation is None:
-            # The state service never gives a lease's number twice, so neither is this.
+            # The state service never reuses the ID of a lease, so the incarnation is unique.
             self.incarnation = lease
             self.on_identified(lease)
         self.on_granted()
 
     def on_renew(self) -> None:
-        """Handles `renew`, sent to itself three times a life: renews the lease."""
-        send_after(self.life_s / RENEWALS_PER_LIFE, self.on_renew)
-        if self.number is not None:
-            send(self.store.on_keep_alive, self.number, callback(self.on_renewed, self.number))
+        """Handles `renew`, sent to itself RENEWALS_PER_TTL times per TTL: renews the lease."""
+        send_after(self.ttl_s / RENEWALS_PER_TTL, self.on_renew)
+        if self.id is not None:
+            send(self.store.on_keep_alive, self.id, callback(self.on_renewed, self.id))
 
     def on_renewed(self, lease: int, status: int) -> None:
-        """Handles the store's answer to a renewal of `lease`: a 404 takes a new lease."""
-        if status == 404 and lease == self.number:
-            log.info("the node's lease expired; taking a new one")
+        """Handles the store's answer to a renewal of `lease`: after a 404 requests a new lease."""
+        if status == 404 and lease == self.id:
+            log.info("lease of this controller expired; requesting a new one")
             self._replace()
 
-    def replace_if_lost(self, lease: int | None, status: int, failed: Any) -> bool:
-        """Takes a new lease if a transaction under `lease` failed for want of it; True if it did.
+    def replace_if_expired(self, lease: int | None, status: int, failed: Any) -> bool:
+        """Requests a new lease if a transaction failed because `lease` has expired.
 
-        `status` and `failed` are the store's answer to the transaction.
+        `status` and `failed` are the store's answer to the transaction. Returns whether a new lease
+        was requested.
         """
-        if status != 400 or failed != state_wire.NO_SUCH_LEASE or lease != self.number:
+        if status != 400 or failed != state_wire.NO_SUCH_LEASE or lease != self.id:
             return False
         self._replace()
         return True
 
     def _replace(self) -> None:
-        self.number = None
+        self.id = None
         self.on_request()
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -1,4 +1,4 @@
-"""The actor that keeps this node's lease and key alive, and follows who holds what."""
+"""The actor that maintains this controller's lease, node key, shards and leadership."""
 
 import logging
 from collections.abc import Sequence
@@ -20,13 +20,13 @@
 
 
 class Member(ReplicaSubscriber):
-    """Keeps this controller's lease and key alive, and takes shards and leadership.
+    """Renews this controller's lease, writes its key, and takes shards and leadership.
 
     Attributes:
-        listeners: Actors told `identity(incarnation)` once it is known which process this is.
-        lease: This controller's lease.
-        node_key: What writes its key.
-        ownership: What takes shards and leadership.
+        listeners: Actors that receive `identity(incarnation)` when the first lease is granted.
+        lease: The part that maintains this controller's lease.
+        node_key: The part that writes the node key.
+        ownership: The part that takes shards and leadership.
     """
 
     def __init__(
@@ -34,58 +34,61 @@
     ) -> None:
         self.settings, self.store = settings, store
         self.listeners = listeners
-        self.lease = NodeLease(self, settings, store, self.identify, self.rewrite_node_key)
+        self.lease = NodeLease(
+            self, settings, store, self.announce_incarnation, self.rewrite_node_key
+        )
         self.node_key = NodeKey(self, settings, store, self.lease)
         self.ownership = Ownership(self, settings, self.lease)
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes, asks for a lease, starts timers."""
+        """Handles `begin` from the actor system: subscribes, requests a lease, starts timers."""
         super().on_begin()
         self.lease.start()
         send_after(TICK_S, self.on_tick)
 
-    def identify(self, incarnation: int) -> None:
-        """This process has its first lease: tells the listeners which process this is."""
+    def announce_incarnation(self, incarnation: int) -> None:
+        """Sends the incarnation of this process to the listeners; called with the first lease."""
         self.incarnation = incarnation
-        log.info("this is incarnation %d of %s", incarnation, self.settings.node)
+        log.info("this process is incarnation %d of controller %s", incarnation, self.settings.node)
         for actor in self.listeners:
             send(actor.on_identity, incarnation)
 
     def rewrite_node_key(self) -> None:
-        """There is a new lease: the node's key is written again under it."""
+        """Writes the node key again, under the lease that was just granted."""
         self.node_key.rewrite()
 
     def on_table(self, table: Any, overflow: Sequence[Any]) -> None:
-        """Handles `table(table, overflow)` from the agents' tables: the 5 s table.
+        """Handles `table(table, overflow)` from the agents' tables: the table written every 5 s.
 
-        `table` holds counts and machines; `overflow` the values that didn't fit in the node's key.
+        `table` contains counts and machines; `overflow` the values that don't fit in the node key.
         """
         self.node_key.set_table(table, overflow)
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every TICK_S: rewrites a lost node key, takes shards."""
+        """Handles `tick`, sent to itself every TICK_S: rewrites a missing key, takes shards."""
         send_after(TICK_S, self.on_tick)
-        if self.settings.node not in self.ownership.nodes and self.lease.number is not None:
+        if self.settings.node not in self.ownership.nodes and self.lease.id is not None:
             self.node_key.is_stale = True
         self.node_key.write_if_stale()
         self.ownership.acquire()
 
-    # --- who holds what
+    # --- ownership
 
-    def watch_peers(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Takes shards and leadership by these plans, once the first view of peers is there."""
-        self.ownership.watch_peers(shard_planner, leader_planner)
+    def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
+        """Uses these planners to take shards and leadership after the first view of peers."""
+        self.ownership.set_planners(shard_planner, leader_planner)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
-        Notes the nodes' keys and the shards' and leader's keys, and takes what is due.
+        Applies changes of node keys, shard keys and the leader's key, and takes shards and
+        leadership where needed.
         """
-        self.ownership.note_changes(changes, revision, is_snapshot)
+        self.ownership.apply_changes(changes, revision, is_snapshot)
 
     def on_liveness(self, view: "LivenessView") -> None:
-        """Handles `liveness(view)` from the peer monitor: who can be relied on has changed."""
+        """Handles `liveness(view)` from the peer monitor: a new view of peers."""
         self.ownership.set_view(view)
 
     def on_peer_dead(self, name: str) -> None:
-        """Handles `peer_dead(name)` from the peer monitor; the view that came before says so."""
+        """Handles `peer_dead(name)` from the peer monitor; the last view already shows it."""
--- a/emberglade/membership/node_key.py
+++ b/emberglade/membership/node_key.py
@@ -1,7 +1,7 @@
-"""This controller's key in the store, and the table of machines that stands there.
+"""This controller's key in the store, which contains its table of machines.
 
-Values and transactions are limited, so a long table takes several keys and perhaps several
-transactions; who reads it waits until all parts of one number are there.
+The sizes of values and transactions are limited, so a long table takes several keys and perhaps
+several transactions. Readers wait until all parts with the same table number are present.
 """
 
 import logging
@@ -22,18 +22,18 @@
 
 log = logging.getLogger("emberglade.membership")
 
-TRANSACTION_BYTES = 48 * 1024  # PROTOCOL's 64 KiB, less keys, names of fields and a reserve
+MAX_TRANSACTION_BYTES = 48 * 1024  # PROTOCOL's 64 KiB, less keys, field names and a reserve
 
 
 class OverflowValue(NamedTuple):
-    """A part of the table that stands under a key of its own."""
+    """A part of the table that has a key of its own."""
 
     number: int
     data: Any
 
 
 class NodeKey(ActorPart):
-    """The part of the member that writes the node's key and the overflow values of its table.
+    """The part of the member that writes the node key and the overflow values of its table.
 
     Attributes:
         is_stale: Whether the key has to be written.
@@ -48,17 +48,17 @@
         self._table: Any = None
         self._overflow: Sequence[Any] = ()
         self._unwritten: list[OverflowValue] = []
-        self._overflow_key_count = 0  # so many keys of overflow values may be there
+        self._overflow_key_count = 0  # keys of overflow values that may exist
         self._is_writing = False
 
     def set_table(self, table: Any, overflow: Sequence[Any]) -> None:
-        """Writes a new table; `overflow` are the values that don't fit in the node's key."""
+        """Writes a new table; `overflow` are the values that don't fit in the node key."""
         self._table = table
         self._overflow = overflow
         self.rewrite()
 
     def rewrite(self) -> None:
-        """Writes the key again, with what is known now."""
+        """Writes the key again, with the current lease and table."""
         self.is_stale = True
         self.write_if_stale()
 
@@ -67,7 +67,7 @@
 
         Keys of overflow values that are no longer needed are removed first.
         """
-        if self._is_writing or self.lease.number is None or not self.is_stale:
+        if self._is_writing or self.lease.id is None or not self.is_stale:
             return
         self._is_writing = True
         self.is_stale = False
@@ -91,12 +91,12 @@
         return state_wire.put(
             LIVE_PREFIX + wire.node_key(self.settings.node),
             wire.node_record(self.lease.incarnation, self._table),
-            self.lease.number,
+            self.lease.id,
         )
 
     def _next_batch(self) -> list[OverflowValue]:
-        """Takes as many overflow values as one transaction holds besides what is already in it."""
-        limit_bytes = TRANSACTION_BYTES - self.settings.value_bytes
+        """Removes from `_unwritten` the overflow values that fit in one more transaction."""
+        limit_bytes = MAX_TRANSACTION_BYTES - self.settings.value_bytes
         size = 0
         batch: list[OverflowValue] = []
         while self._unwritten and len(batch) < self.settings.txn_ops - 1:
@@ -112,35 +112,34 @@
             state_wire.put(
                 LIVE_PREFIX + wire.overflow_key(self.settings.node, value.number),
                 value.data,
-                self.lease.number,
+                self.lease.id,
             )
             for value in batch
         ]
 
     def _commit(self, writes: Sequence[dict[str, Any]]) -> None:
         """Sends writes in one transaction; the answer goes to `on_written`."""
-        reply = callback(self.on_written, self.lease.number)
+        reply = callback(self.on_written, self.lease.id)
         send(self.store.on_commit, Priority.DECISIONS, [], writes, reply)
 
     def on_written(self, lease: int | None, status: int, revision: int | None, failed: Any) -> None:
-        """Handles the store's answer to a write of the node's key or overflow values.
+        """Handles the store's answer to a write of the node key or overflow values.
 
-        Writes the next batch while there is one; a refused table is logged, other failures write
-        the key again on the next tick.
+        Writes the next batch, if there is one. A rejected table is logged; after other failures the
+        key is written again on the next tick.
         """
-        is_current = lease == self.lease.number and not self.is_stale
+        is_current = lease == self.lease.id and not self.is_stale
         if status == 200 and self._unwritten and is_current:
             self._commit(self._overflow_writes(self._next_batch()))
             return
         self._is_writing = False
-        if self.lease.replace_if_lost(lease, status, failed):
+        if self.lease.replace_if_expired(lease, status, failed):
             return
         if status == 400 and failed != state_wire.NO_SUCH_LEASE:
-            # Not the lease: asking for another would not help, and the next try would end the same
-            # way.
+            # The lease is valid, so neither a new lease nor a retry of the same table would help.
             log.error(
-                "the state service refuses this node's table (%s); "
-                "its machines are told directly only",
+                "state service rejected this controller's table (%s); "
+                "peers receive its machines only in direct answers",
                 failed,
             )
         elif status != 200:
--- a/emberglade/membership/owner.py
+++ b/emberglade/membership/owner.py
@@ -1,15 +1,15 @@
-"""Who holds a shard or the leadership."""
+"""The owner of a shard or of the leader's key."""
 
 from typing import NamedTuple
 
 
 class Owner(NamedTuple):
-    """Who holds a shard or the leader's key.
+    """The process that owns a shard or the leader's key.
 
     Attributes:
-        node: The controller; None if nobody holds it.
-        incarnation: Which process of that controller.
-        mod_revision: Of the key: the epoch that this owner's writes are conditional on.
+        node: The controller; None if there is no owner.
+        incarnation: The process of that controller.
+        mod_revision: The key's mod revision, the epoch that the owner's writes are conditional on.
     """
 
     node: str | None
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -1,8 +1,8 @@
-"""Shard ownership and leader election: takes this node's shards, and the leader's key if free.
+"""Shard ownership and leader election: takes this controller's shards and a free leader's key.
 
 Taking a shard writes its key, and every write to a job is conditional on that key's mod revision,
-the shard's epoch: a former owner can't write any more, however late it learns of it. So nothing
-here has to be exact about who is alive; wrong guesses cost time, never safety.
+the shard's epoch. A previous owner can therefore no longer write, however late it learns of the
+change. Wrong assumptions about which controllers are alive cost time, but never safety.
 """
 
 import logging
@@ -26,12 +26,12 @@
 
 
 def shard_count(settings: "Settings") -> int:
-    """How many shards the jobs are spread over."""
+    """The number of shards that jobs are distributed over."""
     return SHARDS_PER_NODE * settings.size
 
 
 def ownership_revision(changes: Iterable[Change], revision: int, is_snapshot: bool) -> int | None:
-    """The revision of the last change of a node's, a shard's or the leader's key; None: none."""
+    """The revision of the last change of a node, shard or leader key; None if there is none."""
     if is_snapshot:
         return revision
     return max(
@@ -45,14 +45,15 @@
 
 
 class Ownership(ActorPart):
-    """The part of the member that follows who holds what, and takes shards and leadership.
+    """The part of the member that tracks owners, and takes shards and leadership.
 
-    Without a view of peers (failure detection off), the nodes' keys alone say who is alive.
+    Without a view of peers (failure detection off), a controller counts as alive while its node key
+    exists.
 
     Attributes:
-        nodes: The incarnation of the live process of each controller whose key is there.
-        shards: The owner of each shard that has one.
-        leader: The owner of the leader's key, None if it is missing.
+        nodes: {controller with a node key: incarnation of its live process}.
+        shards: {shard: its owner} for shards with an owner.
+        leader: The owner of the leader's key; None if the key does not exist.
     """
 
     def __init__(self, member: ReplicaSubscriber, settings: "Settings", lease: NodeLease) -> None:
@@ -61,59 +62,59 @@
         self.nodes: dict[str, int | None] = {}
         self.shards: dict[int, Owner] = {}
         self.leader: Owner | None = None
-        # The failure detection's plans, once peers are watched, and its view once that is there.
+        # Set if failure detection is on; the view, when the peer monitor sends its first one.
         self._shard_planner: ShardPlanner | None = None
         self._leader_planner: LeaderPlanner | None = None
         self._view: LivenessView | None = None
-        self._revision = -1  # of the last change of a node's, shard's or leader's key
-        self._is_loaded = False  # whether the replica was read
+        self._revision = -1  # of the last change of a node, shard or leader key
+        self._is_loaded = False  # whether the replica has been read
         self._is_taking_shards = False
         self._is_taking_leadership = False
 
-    def watch_peers(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Takes shards and leadership by these plans, once the first view of peers is there."""
+    def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
+        """Uses these planners to take shards and leadership after the first view of peers."""
         self._shard_planner, self._leader_planner = shard_planner, leader_planner
 
     def set_view(self, view: "LivenessView") -> None:
-        """Takes in who can be relied on."""
+        """Applies a new view of which controllers are alive."""
         self._view = view
         self.acquire()
 
-    # --- who holds what
+    # --- current owners
 
-    def note_changes(self, changes: Iterable[Change], revision: int, is_snapshot: bool) -> None:
-        """Takes in what the replica shows, and takes what is due if that concerns ownership."""
+    def apply_changes(self, changes: Iterable[Change], revision: int, is_snapshot: bool) -> None:
+        """Applies changes of the replica, and takes shards and leadership if they affect these."""
         self._is_loaded = True
         if is_snapshot:
             self.nodes, self.shards, self.leader = {}, {}, None
-        # Each of them is noted, also after the first that concerns ownership.
-        touched = [change for change in changes if self._note_change(change)]
+        # A list, as every change has to be applied, also after the first relevant one.
+        relevant = [change for change in changes if self._apply_change(change)]
         changed = ownership_revision(changes, revision, is_snapshot)
         if changed is not None:
             self._revision = max(self._revision, changed)
-        if touched:
+        if relevant:
             self.acquire()
 
-    def _note_change(self, change: Change) -> bool:
-        """Notes a change of a node's, a shard's or the leader's key; False if it is none."""
+    def _apply_change(self, change: Change) -> bool:
+        """Applies a change of a node, shard or leader key; False for other keys."""
         key, record, mod_revision = change
         if key.startswith(wire.NODE_PREFIX):
-            self._note_node(key[len(wire.NODE_PREFIX) :], record)
+            self._apply_node(key[len(wire.NODE_PREFIX) :], record)
         elif key.startswith(wire.SHARD_PREFIX):
-            self._note_shard(wire.read_shard_key(key), record, mod_revision)
+            self._apply_shard(wire.read_shard_key(key), record, mod_revision)
         elif key == wire.LEADER_KEY:
             self.leader = None if record is None else wire.read_owner(record, mod_revision)
         else:
             return False
         return True
 
-    def _note_node(self, node: str, record: Any) -> None:
+    def _apply_node(self, node: str, record: Any) -> None:
         if record is None:
             self.nodes.pop(node, None)
         else:
             self.nodes[node] = wire.read_incarnation(record)
 
-    def _note_shard(self, shard: int, record: Any, mod_revision: int) -> None:
+    def _apply_shard(self, shard: int, record: Any, mod_revision: int) -> None:
         if record is None:
             self.shards.pop(shard, None)
         else:
@@ -122,7 +123,7 @@
     # --- what to take
 
     def desired_owner(self, shard: int) -> str | None:
-        """Who should hold the shard: its home node, or if that is not alive the next live one."""
+        """The controller that should own the shard: its home, or a live one while that is down."""
         names = self.settings.names
         home = names[shard % len(names)]
         if home in self.nodes:
@@ -131,9 +132,9 @@
         return live[(shard // len(names)) % len(live)] if live else None
 
     def shards_to_take(self) -> list[int]:
-        """The shards that this process should take now and does not hold.
+        """The shards that this process should take now and does not own.
 
-        From the shard planner once a view of peers is there, else from the nodes' keys alone.
+        Decided by the shard planner once there is a view of peers, else by the node keys alone.
         """
         node, incarnation = self.settings.node, self.lease.incarnation
         if self._view is not None and self._shard_planner is not None:
@@ -154,13 +155,13 @@
             return self._leader_planner.should_take(
                 incarnation, self.leader, self._view, self.now()
             )
-        # A node that is back at once finds its former process as leader, which is no more.
+        # After a quick restart the leader's key still names this controller's previous process.
         return self.leader is None or (
             self.leader.node == node and self.leader.incarnation != incarnation
         )
 
     def acquire(self) -> None:
-        """Takes the shards and the leader's key that are due, unless a take is on its way."""
+        """Takes shards and leadership where needed, unless such a transaction is in progress."""
         if not self._may_take():
             return
         if not self._is_taking_shards:
@@ -171,26 +172,27 @@
             self._take_leadership()
 
     def _may_take(self) -> bool:
-        """Whether this process may take anything.
+        """Whether this process may take shards or leadership.
 
-        Not before the replica is read, not without a lease, nor while the view of peers lags behind
-        the last change of a node's, a shard's or the leader's key.
+        It needs a loaded replica, a lease and a node key that the replica shows. With failure
+        detection it also needs a view of peers that includes the last change of a node, shard or
+        leader key.
         """
-        if not self._is_loaded or self.lease.number is None:
+        if not self._is_loaded or self.lease.id is None:
             return False
         if self.nodes.get(self.settings.node) != self.lease.incarnation:
             return False
         if self._shard_planner is None:
             return True
-        # Once broken: a controller that was in contact again after long took all shards in the
-        # moment in which its replica showed their owners and its view did not
+        # With an outdated view, a controller that regains contact after a long time takes all
+        # shards as soon as its replica shows their owners
         # (failure_detection/late_first_contact.txt).
         return self._view is not None and self._view.revision >= self._revision
 
-    # --- taking it
+    # --- transactions
 
     def _take_shards(self, shards: list[int]) -> None:
-        """Takes shards in one compare-and-swap on their keys' mod revisions."""
+        """Takes shards in one transaction that compares their keys' mod revisions."""
         self._is_taking_shards = True
         conditions = [
             (LIVE_PREFIX + wire.shard_key(shard), self.shards.get(shard, NO_OWNER).mod_revision)
@@ -198,7 +200,7 @@
         ]
         record = wire.owner_record(self.settings.node, self.lease.incarnation)
         writes = [state_wire.put(LIVE_PREFIX + wire.shard_key(shard), record) for shard in shards]
-        log.info("taking shards %s", shards)
+        log.info("taking ownership of shards %s", shards)
         send(
             self.member.store.on_commit,
             Priority.DECISIONS,
@@ -208,13 +210,13 @@
         )
 
     def on_shards_seen(self, revision: int | None) -> None:
-        """Handles the sync after a take of shards (`sync_after_commit`): takes more if it came."""
+        """Handles the sync after taking shards (`sync_after_commit`): takes more on success."""
         self._is_taking_shards = False
         if revision is not None:
             self.acquire()
 
     def _take_leadership(self) -> None:
-        """Takes the leader's key in a compare-and-swap, under this controller's lease."""
+        """Takes the leader's key under this controller's lease, comparing its mod revision."""
         self._is_taking_leadership = True
         key = LIVE_PREFIX + wire.LEADER_KEY
         record = wire.owner_record(self.settings.node, self.lease.incarnation)
@@ -222,23 +224,23 @@
             self.member.store.on_commit,
             Priority.DECISIONS,
             [(key, NO_OWNER.mod_revision if self.leader is None else self.leader.mod_revision)],
-            [state_wire.put(key, record, self.lease.number)],
-            callback(self.on_leader_written, self.lease.number),
+            [state_wire.put(key, record, self.lease.id)],
+            callback(self.on_leader_written, self.lease.id),
         )
 
     def on_leader_written(
         self, lease: int | None, status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to a take of the leader's key made with `lease`.
+        """Handles the store's answer to a write of the leader's key under `lease`.
 
-        A refused lease takes a new one; either way, a sync shows what became of it.
+        Requests a new lease if this one has expired. In every case a sync will show the outcome.
         """
         if status == 200:
-            log.info("leader from revision %s", revision)
+            log.info("wrote the leader's key at revision %s; this controller is leader", revision)
         else:
-            self.lease.replace_if_lost(lease, status, failed)
+            self.lease.replace_if_expired(lease, status, failed)
         send(self.member.store.on_sync, callback(self.on_leader_seen))
 
     def on_leader_seen(self, revision: int | None) -> None:
-        """Handles the sync after a take of the leader's key: another may be tried."""
+        """Handles the sync after a write of the leader's key: allows the next attempt."""
         self._is_taking_leadership = False
--- a/emberglade/membership/wire.py
+++ b/emberglade/membership/wire.py
@@ -1,6 +1,6 @@
-"""Membership's keys and records in the store: the one place that knows their names and fields.
+"""Keys and records of membership in the store, which other modules access through this one.
 
-Keys are without LIVE_PREFIX, as the replica holds them. Records are JSON objects.
+Keys are without LIVE_PREFIX, as in the replica. Records are JSON objects.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 LEADER_KEY = "lead"  # the leader's key: an owner record, under the leader's lease
 FORMAT_KEY = "format"  # the cluster's record format
 NODE_PREFIX = "n/"  # n/NODE: a controller's key, under its lease
-SHARD_PREFIX = "s/"  # s/SHARD: who holds a shard
+SHARD_PREFIX = "s/"  # s/SHARD: the owner of a shard
 READER_PREFIX = "v/"  # v/NODE: the format that a controller's process reads
 
 Record = Mapping[str, Any]
@@ -31,7 +31,7 @@
 
 
 def read_shard_key(key: str) -> int:
-    """The shard that a key is of."""
+    """The shard of a shard key."""
     return int(key[len(SHARD_PREFIX) :])
 
 
@@ -41,7 +41,7 @@
 
 
 def overflow_key(node: str, number: int) -> str:
-    """The key of a controller's overflow value `number` of its table."""
+    """The key of overflow value `number` of a controller's table."""
     return f"r/{node}/{number}"
 
 
@@ -49,12 +49,12 @@
 
 
 def owner_record(node: str, incarnation: int | None) -> Record:
-    """The record of a shard's or the leader's key."""
+    """The record of a shard key or the leader's key."""
     return {"node": node, "inc": incarnation}
 
 
 def read_owner(record: Record, mod_revision: int) -> Owner:
-    """The owner that a shard's or the leader's key names."""
+    """The owner in the record of a shard key or the leader's key."""
     return Owner(record.get("node"), record.get("inc"), mod_revision)
 
 
@@ -64,12 +64,12 @@
 
 
 def read_incarnation(record: Record) -> int | None:
-    """The incarnation of a controller's or a reader's record."""
+    """The incarnation in the record of a controller's key or a reader key."""
     return record.get("inc")
 
 
 def reader_record(incarnation: int, record_format: int) -> Record:
-    """The record that states which format a controller's process reads."""
+    """The record of a reader key: the format that a controller's process reads."""
     return {"inc": incarnation, "format": record_format}
 
 
@@ -79,5 +79,5 @@
 
 
 def read_format(record: Record) -> int:
-    """The format that the record of FORMAT_KEY names; 1 if it names none."""
+    """The format in the record of FORMAT_KEY; 1 by default."""
     return record.get("format", 1)
--- a/emberglade/peer_paths.py
+++ b/emberglade/peer_paths.py
@@ -1,11 +1,11 @@
-"""The paths of the internal server: what controllers ask and tell each other.
+"""The paths of the internal server, for requests between controllers.
 
-The bodies are read and written in the `wire` modules of the slices that use them.
+Their bodies are read and written in the `wire` modules of the packages that use them.
 """
 
-MACHINES = "/peer/heard"  # asks for a peer's view of the machines; carries heartbeats
-TASK_UPDATES = "/peer/facts"  # tells an owner of its jobs' tasks
-REPLICA_CHANGES = "/peer/changes"  # asks for what a replica lacks
-CANCELLATION = "/peer/withdrawn"  # tells of a cancellation that was committed
-PING = "/peer/ping"  # asks for a sign of life
-PROBE = "/peer/probe"  # asks whether a peer reaches another one
+MACHINES = "/peer/heard"  # requests a peer's view of the machines; carries heartbeats
+TASK_UPDATES = "/peer/facts"  # reports task updates to the owner of their jobs
+REPLICA_CHANGES = "/peer/changes"  # requests the changes that a replica has not applied yet
+CANCELLATION = "/peer/withdrawn"  # notifies of a committed cancellation
+PING = "/peer/ping"  # checks whether a peer is alive
+PROBE = "/peer/probe"  # requests a ping of a third controller
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -1,4 +1,4 @@
-"""The routes of the internal server, which the other controllers use."""
+"""The routes of the internal server, which serves the other controllers."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -24,12 +24,12 @@
 
 
 def reply_no_such_path(reply: Reply) -> None:
-    """Answers a request for which there is no route, or whose body is not what its path takes."""
+    """Answers a request to an unknown path, or with a body that its path does not accept."""
     reply(404, {"error": "no such path"})
 
 
 class PeerRoutes:
-    """Hands each request of a peer to the actor that answers it; called by the server's threads."""
+    """Dispatches each request of a peer to an actor; called by the server's threads."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             self.handlers[peer_paths.PROBE] = self._probe
 
     def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
-        """Leads one request to one call of `reply(status, body)`."""
+        """Handles one request with exactly one call of `reply(status, body)`."""
         try:
             data = orjson.loads(body) if body else None
         except ValueError:
@@ -66,24 +66,24 @@
             handler(data, reply)
 
     def _machines(self, data: Any, reply: Reply) -> None:
-        """A peer asks what is known here of machines; its question may carry a heartbeat."""
+        """Answers with this controller's view of machines; a request may carry a heartbeat."""
         if self.peer_monitor is not None:
             send_inline(self.peer_monitor.on_hear_question, data)
             reply = self.peer_monitor.answering(reply)
         send_inline(self.agents.on_machine_question, read_question(data), reply)
 
     def _ping(self, data: Any, reply: Reply) -> None:
-        """A peer wants a sign of life."""
+        """Answers a ping."""
         assert self.peer_monitor is not None
         send_inline(self.peer_monitor.probing.on_ping, data, reply)
 
     def _probe(self, data: Any, reply: Reply) -> None:
-        """A peer asks whether this controller reaches another one."""
+        """Answers whether this controller can reach a third one."""
         assert self.peer_monitor is not None
         send_inline(self.peer_monitor.probing.on_probe, data, reply)
 
     def _task_updates(self, data: Any, reply: Reply) -> None:
-        """A peer tells what it saw of tasks whose jobs this controller holds."""
+        """Accepts a peer's updates of tasks whose jobs this controller owns."""
         if not isinstance(data, list):
             reply_no_such_path(reply)
             return
@@ -92,7 +92,7 @@
         reply(200, {})
 
     def _replica_changes(self, data: Any, reply: Reply) -> None:
-        """A peer without the state service asks for the changes after its replica's revision."""
+        """Answers with the changes after the replica revision of a peer without state service."""
         since = read_changes_request(data)
         if since is None:
             reply_no_such_path(reply)
@@ -100,7 +100,7 @@
         send_inline(self.store.on_changes_for_peer, since, reply)
 
     def _cancellation(self, data: Any, reply: Reply) -> None:
-        """A peer tells of a cancellation that it has seen committed."""
+        """Accepts a peer's notification that a cancellation is committed."""
         cancellation = read_cancellation(data)
         if cancellation is None:
             reply_no_such_path(reply)
--- a/emberglade/sizing/__init__.py
+++ b/emberglade/sizing/__init__.py
@@ -1,6 +1,6 @@
-"""Sizing: the experts of the Cackle paper (section 4.4), their weights and the draw.
+"""Sizing of machine pools by weighted experts, as in the Cackle paper (section 4.4).
 
-Pure and seeded: without messages, and the same history and seed give the same targets.
+Pure and deterministic: it sends no messages, and equal history and seed give equal targets.
 """
 
 from .experts import Expert, expert_family
--- a/emberglade/sizing/experts.py
+++ b/emberglade/sizing/experts.py
@@ -1,4 +1,4 @@
-"""The family of percentile experts, as in Cackle, section 4.4.5."""
+"""The family of percentile experts of the Cackle paper, section 4.4.5."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -7,17 +7,17 @@
 PERCENTILES = range(1, 101)  # each with the multiplier 1
 MULTIPLIED_PERCENTILE = 80  # with each of the multipliers below
 MULTIPLIERS = (1.1, 1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0, 5.0, 7.0, 10.0, 15.0, 20.0)
-ROUNDING_TOLERANCE = 1e-9  # sums of decimal numbers are not exact
+ROUNDING_TOLERANCE = 1e-9  # floating-point sums are not exact
 
 
 @dataclass(frozen=True)
 class Expert:
-    """A rule that turns the workload history into a target.
+    """A rule that computes a target from the workload history.
 
     Attributes:
-        lookback_s: So many of the last seconds count.
-        percentile: Of the demand in these seconds, 1 to 100.
-        multiplier: The target is so many times that percentile.
+        lookback_s: Length of the history that it uses, in seconds.
+        percentile: Percentile of the demand in this history, 1 to 100.
+        multiplier: Ratio of the target to that percentile.
     """
 
     lookback_s: int
@@ -25,16 +25,16 @@
     multiplier: float
 
     def target(self, ordered_demand: Sequence[int]) -> int:
-        """Its target, in machines.
+        """The expert's target, in machines.
 
         Args:
-            ordered_demand: The demand of each second of its lookback, the lowest first.
+            ordered_demand: The demand of each second of its lookback, in ascending order.
         """
         return whole_machines(nearest_rank(ordered_demand, self.percentile) * self.multiplier)
 
 
 def expert_family(min_lookback_s: float, max_lookback_s: float) -> tuple[Expert, ...]:
-    """All experts; lookbacks double from the shortest to the longest."""
+    """All experts, with lookbacks that double from the shortest to the longest."""
     return tuple(
         expert
         for lookback_s in _lookbacks(min_lookback_s, max_lookback_s)
@@ -54,10 +54,10 @@
 
 
 def nearest_rank(ordered: Sequence[int], percent: float) -> int:
-    """The percentile by nearest rank: the smallest value that `percent` of all do not exceed."""
+    """The nearest-rank percentile: the smallest value that `percent` % of all don't exceed."""
     return ordered[max(0, math.ceil(percent / 100 * len(ordered)) - 1)]
 
 
 def whole_machines(amount: float) -> int:
-    """An amount of machines, rounded up."""
+    """An amount of machines, rounded up to an integer."""
     return math.ceil(amount - ROUNDING_TOLERANCE)
--- a/emberglade/sizing/sizer.py
+++ b/emberglade/sizing/sizer.py
@@ -1,7 +1,8 @@
-"""Multiplicative weights over the experts, as in Cackle, section 4.4.
+"""Multiplicative weights over the experts, as in the Cackle paper, section 4.4.
 
-Once a second the demand is recorded. Once a cost round every expert states a target, is charged
-for what its earlier targets would have cost, and one expert is drawn by weight.
+The demand is recorded every second. In each cost round, the weight of every expert is reduced by
+what its earlier target would have cost, every expert computes a new target, and one expert is drawn
+by weight.
 """
 
 import math
@@ -11,15 +12,15 @@
 
 from .experts import Expert, whole_machines
 
-# Rounds of targets that are kept: an allocation is looked up as many rounds back as a boot takes.
+# The machines of a round were requested by a target one boot time earlier, so old targets are kept.
 MAX_TARGET_ROUNDS = 64
 
 
 class Draw(NamedTuple):
-    """The outcome of a cost round.
+    """The result of a cost round.
 
     Attributes:
-        expert: The expert that was drawn.
+        expert: The drawn expert.
         target: Its target, in machines.
     """
 
@@ -28,12 +29,12 @@
 
 
 class Sizer:
-    """Weighs the experts by what they would have cost, and draws one each cost round.
+    """Weights the experts by what their targets would have cost, and draws one each round.
 
     Attributes:
-        workload_history: Demand of each second, in whole machines, the oldest first.
-        prices: What a machine cost per hour in each second of the last cost round.
-        target_history: The targets of all experts, by cost round, the oldest first.
+        workload_history: The demand of each second, in whole machines, the oldest first.
+        prices: The price of a machine per hour in each second of the last cost round.
+        target_history: The targets of all experts in each cost round, the oldest first.
         weights: The weight of each expert.
     """
 
@@ -47,16 +48,16 @@
         share: float,
         rng: random.Random,
     ) -> None:
-        """Begins without history, all weights alike.
+        """Creates a sizer without history and with equal weights.
 
         Args:
-            experts: The family.
-            epsilon: How fast weights learn, above 0 and at most 0.5.
+            experts: The family of experts.
+            epsilon: The learning rate of the weights, above 0 and at most 0.5.
             cost_round_s: Length of a cost round, in seconds.
-            pool_premium: What unmet demand costs, in prices of a machine.
-            cost_spread: Costs above this many times the best count as this.
-            share: Share of all weight that is spread anew each round.
-            rng: What draws experts.
+            pool_premium: The cost of unmet demand, as a multiple of a machine's price.
+            cost_spread: Costs are capped at this multiple of the lowest one.
+            share: The fraction of the total weight that is redistributed evenly each round.
+            rng: The random generator for draws.
         """
         self.experts = experts
         self.epsilon = epsilon
@@ -75,14 +76,14 @@
         """Adds one second to the workload history.
 
         Args:
-            demand: Machines that were asked for; rounded up.
-            price: What one machine costs now, per hour.
+            demand: The demand in machines; it is rounded up.
+            price: The current price of one machine, per hour.
         """
         self.workload_history.append(whole_machines(demand))
         self.prices.append(price)
 
     def run_cost_round(self, boot_s: float) -> Draw:
-        """One cost round: charges the experts, records their targets, and draws one.
+        """Runs one cost round: updates the weights, records all targets, and draws an expert.
 
         Args:
             boot_s: The time from a rental until the machine runs tasks, in seconds.
@@ -93,11 +94,11 @@
             self._share_weight()
         targets = self.expert_targets()
         self.target_history.append(targets)
-        number = self.rng.choices(range(len(targets)), self.weights)[0]
-        return Draw(self.experts[number], targets[number])
+        index = self.rng.choices(range(len(targets)), self.weights)[0]
+        return Draw(self.experts[index], targets[index])
 
     def expert_targets(self) -> list[int]:
-        """The target of each expert now, in machines."""
+        """The current target of each expert, in machines."""
         history = list(self.workload_history)
         ordered: dict[int, list[int]] = {}  # by lookback
         targets = []
@@ -109,12 +110,12 @@
         return targets
 
     def costs(self, boot_s: float) -> list[float] | None:
-        """What each expert would have cost in the last round, or None without enough history.
+        """The cost of each expert's target in the last round, or None without enough history.
 
         Args:
             boot_s: The time from a rental until the machine runs tasks, in seconds.
         """
-        # What was allocated during this round was asked for a boot time earlier.
+        # The machines allocated in the last round were requested a boot time earlier.
         rounds_back = max(1, math.ceil(boot_s / self.cost_round_s))
         if len(self.target_history) < rounds_back or len(self.workload_history) < self.cost_round_s:
             return None
@@ -124,27 +125,28 @@
         return [cost_of[allocation] for allocation in allocations]
 
     def _last_round(self) -> list[tuple[int, float]]:
-        """Demand and price of each second of the last cost round."""
+        """The demand and price of each second of the last cost round."""
         demand = list(self.workload_history)[-self.cost_round_s :]
         return list(zip(demand, self.prices, strict=True))
 
     def _cost(self, allocation: int, seconds: list[tuple[int, float]]) -> float:
-        """What an allocation costs in these seconds: its machines, and demand beyond them."""
+        """The cost of an allocation in these seconds: its machines, and the unmet demand."""
         return sum(
             price * (allocation + self.pool_premium * max(0, demand - allocation))
             for demand, price in seconds
         )
 
     def _update_weights(self, costs: list[float]) -> None:
-        """Takes weight from each expert by its regret: what it cost beyond the best one.
+        """Reduces each expert's weight by its regret: its cost minus the lowest cost.
 
-        Regrets are relative to the largest; as the 20-fold experts would make every other
-        difference look small, the largest is bounded by `cost_spread`.
+        Regrets are relative to the largest one. That is bounded by `cost_spread`, as otherwise the
+        cost of the experts with multiplier 20 makes all other differences negligible.
         """
         best = min(costs)
         largest = min(max(costs), self.cost_spread * best) - best
         if largest <= 0:
-            # With nothing to do the best cost nothing: whoever paid at all pays in full.
+            # Without demand the lowest cost is 0, so `cost_spread` gives no scale: every expert
+            # with a higher cost gets the full reduction.
             largest = min((cost - best for cost in costs if cost > best), default=1.0)
         self.weights = [
             weight * (1 - self.epsilon * min(1.0, (cost - best) / largest))
@@ -152,7 +154,12 @@
         ]
 
     def _share_weight(self) -> None:
-        """Spreads a share of all weight anew, or experts of another hour could not come back."""
+        """Redistributes a share of the total weight evenly (fixed share).
+
+        Without it, experts whose weight has become tiny can't recover when the workload changes.
+        """
         total = sum(self.weights)
-        even = self.share / len(self.weights)
-        self.weights = [weight / total * (1 - self.share) + even for weight in self.weights]
+        uniform_weight = self.share / len(self.weights)
+        self.weights = [
+            weight / total * (1 - self.share) + uniform_weight for weight in self.weights
+        ]
