--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -26,7 +26,7 @@
 SendInline = Callable[[Handler, tuple[Any, ...]], None]  # send_inline(handler, arguments)
 
 HANDLER_PREFIX = "on_"
-AT_ONCE = 0.0  # in the place of a due time: in the order in which messages were told
+IMMEDIATE = 0.0  # in the place of a due time: in the order in which messages were told
 
 
 class ActorSystem(Protocol):
@@ -100,12 +100,12 @@
     Messages from one sender are handled in the order in which they were told.
     """
     assert not kwargs, "messages have no keyword arguments"
-    _owner(handler)._post(0.0, handler, args)
+    _receiver(handler)._post(0.0, handler, args)
 
 
 def send_after(delay_s: float, handler: Handler, *args: Any) -> None:
     """Like `send`, but `delay_s` seconds from now."""
-    _owner(handler)._post(delay_s, handler, args)
+    _receiver(handler)._post(delay_s, handler, args)
 
 
 def send_inline(handler: Handler, *args: Any) -> None:
@@ -114,7 +114,7 @@
     It is still one message at a time, in the actor's own turn. Two changes of threads a heartbeat
     cost more than the heartbeat.
     """
-    actor = _owner(handler)
+    actor = _receiver(handler)
     if actor._send_inline is None:
         actor._post(0.0, handler, args)
     else:
@@ -123,7 +123,7 @@
 
 def callback(handler: Handler, *context: Any) -> Callable[..., None]:
     """A callable that tells `handler` with `context` and whatever it is called with."""
-    post = _owner(handler)._post
+    post = _receiver(handler)._post
     return lambda *result: post(0.0, handler, context + result)
 
 
@@ -132,7 +132,7 @@
     return lambda *result: send_inline(handler, *context, *result)
 
 
-def _owner(handler: Handler) -> Actor | ActorPart:
+def _receiver(handler: Handler) -> Actor | ActorPart:
     """The actor, or the part of one, whose bound method a handler is."""
     return handler.__self__  # type: ignore[attr-defined]
 
@@ -142,7 +142,7 @@
     return handler_name.removeprefix(HANDLER_PREFIX)
 
 
-# One message in an actor's mailbox: (due by the steady clock in seconds or AT_ONCE, handler,
+# One message in an actor's mailbox: (due by the steady clock in seconds or IMMEDIATE, handler,
 # arguments). A plain tuple, since making a NamedTuple is a noticeable part of a message's cost.
 Message = tuple[float, Handler, tuple[Any, ...]]
 
@@ -189,13 +189,13 @@
 
     def post(self, delay_s: float, handler: Handler, args: tuple[Any, ...]) -> None:
         """Puts a message into the mailbox, from any thread."""
-        due = self._now() + delay_s if delay_s > 0 else AT_ONCE
+        due = self._now() + delay_s if delay_s > 0 else IMMEDIATE
         self._mailbox.put((due, handler, args))
 
     def send_inline(self, handler: Handler, args: tuple[Any, ...]) -> None:
         """Delivers in the caller's thread if nothing else waits; else puts it into the mailbox."""
         if not self._mailbox.empty() or not self._turn.acquire(blocking=False):
-            self._mailbox.put((AT_ONCE, handler, args))
+            self._mailbox.put((IMMEDIATE, handler, args))
             return
         try:
             self._deliver(handler, args)
@@ -216,7 +216,7 @@
                 due, handler, args = self._mailbox.get(wait_s != 0.0, wait_s)
             except queue.Empty:
                 continue
-            if due == AT_ONCE:
+            if due == IMMEDIATE:
                 self._deliver_in_turn(handler, args)
             else:
                 number = next(self._timer_numbers)
@@ -240,7 +240,7 @@
             log.exception(
                 "message %s to %s failed; it is dropped",
                 _message_name(handler.__name__),
-                type(_owner(handler)).__name__,
+                type(_receiver(handler)).__name__,
             )
         usage = self.usage.get(handler.__name__)
         if usage is None:
--- a/emberglade/failure_detection/__init__.py
+++ b/emberglade/failure_detection/__init__.py
@@ -1,6 +1,6 @@
-"""Which controllers are alive: suspicion, confirmation by others, and failover plans.
+"""Failure detection of controllers: suspicion, confirmation by peers, and failover plans.
 
-Nothing here proves that a task ended or that a worker's lease is over (docs/failure-detection.md).
+Nothing here proves that a task ended or that a worker's lease expired (docs/failure-detection.md).
 """
 
 from .bounds import DetectionBounds, describe_detection, detection_bounds, failure_domains
--- a/emberglade/failure_detection/arrivals.py
+++ b/emberglade/failure_detection/arrivals.py
@@ -1,31 +1,31 @@
-"""Arrival times of one peer's heartbeats, and how surprising a silence is (phi accrual)."""
+"""Phi accrual failure detection: the intervals between one peer's heartbeats."""
 
 import math
 from collections import deque
 
-WINDOW = 64  # intervals that are remembered
-MIN_SAMPLES = 4  # with fewer, only the bounds of the settings speak
-# The least standard deviation, as a share of the heartbeat interval: timers are that exact at best.
+WINDOW_INTERVALS = 64
+MIN_SAMPLES = 4  # with fewer, only the configured bounds apply
+# Minimum standard deviation as a share of the heartbeat interval; timers are no more precise.
 MIN_DEVIATION_SHARE = 0.1
-ITERATIONS = 4  # of the approximation of a quantile
+QUANTILE_ITERATIONS = 4
 
 
 class ArrivalWindow:
-    """The last intervals between heartbeats, after Hayashibara et al. 2004."""
+    """A sliding window of heartbeat intervals (Hayashibara et al. 2004)."""
 
     def __init__(self, heartbeat_s: float) -> None:
         self.heartbeat_s = heartbeat_s
-        self.intervals_s: deque[float] = deque(maxlen=WINDOW)
+        self.intervals_s: deque[float] = deque(maxlen=WINDOW_INTERVALS)
 
     def add(self, interval_s: float) -> None:
-        """Notes the time between two heartbeats that came one after the other."""
+        """Adds the time between two consecutive heartbeats."""
         self.intervals_s.append(interval_s)
 
-    def silence_at_phi(self, phi: float) -> float:
-        """The silence in seconds at which the suspicion level reaches `phi`.
+    def timeout_at_phi(self, phi: float) -> float:
+        """Seconds without a heartbeat after which the suspicion level reaches `phi`.
 
-        The chance that a heartbeat is still to come is 10^-phi then. Zero while too little is
-        known.
+        At that level, the probability that a heartbeat still arrives is 10^-phi. Zero with fewer
+        than MIN_SAMPLES intervals.
         """
         count = len(self.intervals_s)
         if count < MIN_SAMPLES:
@@ -37,13 +37,13 @@
 
 
 def normal_quantile_of_phi(phi: float) -> float:
-    """Standard deviations above the mean that a normal variable exceeds with chance 10^-phi.
+    """Standard deviations above the mean that a normal variable exceeds with probability 10^-phi.
 
-    An approximation of the tail, Q(x) = exp(-x*x/2) / (x*sqrt(2*pi)), solved by iteration; within
-    2 % for phi of at least 1.
+    Solves an approximation of the tail, Q(x) = exp(-x*x/2) / (x*sqrt(2*pi)), by iteration. The
+    result is within 2 % for phi >= 1.
     """
     target = phi * math.log(10)
     quantile = math.sqrt(2 * target)
-    for _ in range(ITERATIONS):
+    for _ in range(QUANTILE_ITERATIONS):
         quantile = math.sqrt(max(1.0, 2 * (target - math.log(quantile * math.sqrt(2 * math.pi)))))
     return quantile
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of failure detection, as ratios to the settings, checked against each other."""
+"""The time bounds of failure detection, derived from the settings and validated."""
 
 import math
 from dataclasses import dataclass
@@ -11,24 +11,25 @@
     from ..config import Operators, Settings
 
 MAX_PHI = 16.0
-# A node's lease at the state service is a third of a worker's, renewed at each third of it: when
-# its key ends, its last renewal is at least two thirds of it old.
+# A controller's lease at the state service is a third of a worker's and is renewed every third of
+# its length: when it expires, the last renewal is at least two thirds of that length ago.
 SERVES_WITHOUT_KEY_LEASES = 2 / 9
-FAILBACK_DOUBLINGS = 6  # a controller that is lost again and again waits up to 2^6 times as long
+FAILBACK_DOUBLINGS = 6  # repeated outages of a controller lengthen its failback delay up to 2^6
 
 
 @dataclass(frozen=True, slots=True)
 class DetectionBounds:
-    """All times in seconds of the steady clock.
+    """The time bounds, all in seconds of the monotonic clock.
 
     Attributes:
-        heartbeat_s: The interval of the exchange that heartbeats ride on.
-        suspect_s: The shortest silence that is suspected.
-        confirm_s: The silence that counts as an end once the peer's key is gone.
-        suspect_phi: The suspicion level (phi) from which on a silence is suspected.
-        serves_without_key_s: So old may a peer's contact with the state service be if its key is
-            missing.
-        skew_s: The most that the time of day differs between any machine and the true one.
+        heartbeat_s: The interval of the peer exchange, whose messages carry the heartbeats.
+        suspect_s: Minimum time without a heartbeat before a peer is suspected.
+        confirm_s: Time without a heartbeat after which a peer whose key has expired may be
+            declared dead.
+        suspect_phi: The suspicion level (phi) from which on a peer is suspected.
+        serves_without_key_s: Maximum age of a peer's contact with the state service at which it
+            counts as serving although its key is missing.
+        skew_s: Maximum difference between the wall clock of any machine and the true time.
     """
 
     heartbeat_s: float
@@ -40,17 +41,17 @@
 
     @property
     def min_failback_delay_s(self) -> float:
-        """How long a returned controller serves before it gets shards back, the first time."""
+        """How long a controller must serve after its first outage before it takes shards back."""
         return self.confirm_s
 
     @property
     def max_failback_delay_s(self) -> float:
-        """The longest that a controller which was lost again and again has to wait."""
+        """Upper bound of the failback delay, reached after repeated outages."""
         return self.confirm_s * 2**FAILBACK_DOUBLINGS
 
 
 def detection_bounds(settings: "Settings", operators: "Operators") -> DetectionBounds:
-    """The bounds for these settings; DetectionError if they contradict one another."""
+    """The bounds for these settings; raises DetectionError if they contradict each other."""
     _check_range("suspect_after", operators.suspect_after, 1, math.inf)
     _check_range("confirm_after", operators.confirm_after, 0, 1)
     _check_range("suspect_phi", operators.suspect_phi, 1, MAX_PHI)
@@ -61,7 +62,7 @@
         _refuse_contradiction(operators, suspect_s, confirm_s)
     return DetectionBounds(
         heartbeat_s=heartbeat_s,
-        # Leases so short that the defaults cross: both are the shorter one.
+        # With very short leases the defaults contradict each other; the smaller one applies.
         suspect_s=min(suspect_s, confirm_s),
         confirm_s=confirm_s,
         suspect_phi=operators.suspect_phi,
@@ -76,7 +77,7 @@
 
 
 def _refuse_contradiction(operators: "Operators", suspect_s: float, confirm_s: float) -> None:
-    """Names the bound that operators have set so that the two cross, if it was one of them."""
+    """Raises DetectionError if operators set one of the two contradicting bounds."""
     defaults = type(operators)()
     if operators.suspect_after != defaults.suspect_after:
         reason = f"is {suspect_s:g} s, above confirm_after ({confirm_s:g} s)"
@@ -87,19 +88,19 @@
 
 
 def describe_detection(settings: "Settings", operators: "Operators") -> str:
-    """One line for operators: whether it is on, and what its bounds are."""
+    """One line for operators: whether failure detection is on, and its bounds."""
     if not operators.failure_detection:
-        return "failure detection: off, leased keys alone decide"
+        return "failure detection: off; liveness is decided by leased keys alone"
     bounds = detection_bounds(settings, operators)
     domains = sorted(set(failure_domains(settings, operators).domains.values()))
     return (
-        f"failure detection: on, suspected after {bounds.suspect_s:g} s at the earliest, "
-        f"confirmed after {bounds.confirm_s:.3g} s; domains {', '.join(domains)}"
+        f"failure detection: on; minimum time to suspicion {bounds.suspect_s:g} s, "
+        f"time to confirmation {bounds.confirm_s:.3g} s; domains {', '.join(domains)}"
     )
 
 
 def failure_domains(settings: "Settings", operators: "Operators") -> FailureDomains:
-    """The domains of all controllers; DetectionError if a network is wrong."""
+    """The failure domains of all controllers; raises DetectionError for an invalid network."""
     addresses = {peer.name: peer.address[0] for peer in settings.peers}
     addresses[settings.node] = settings.internal[0]
     zones = {peer.name: peer.zone for peer in settings.peers}
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -1,4 +1,4 @@
-"""What confirms the end of a suspected controller."""
+"""The rules by which a suspected controller is confirmed dead."""
 
 from collections.abc import Collection
 
@@ -9,37 +9,37 @@
 def death_evidence(
     peer: Peer,
     relays: Collection[str],
-    key_shown_gone: bool,
+    key_expired: bool,
     domains: FailureDomains,
     now: float,
 ) -> str | None:
-    """What confirms the end of a suspected peer, in words for the log; None: nothing does.
+    """Describes for the log what confirms that a suspected peer is dead; None if unconfirmed.
 
     Args:
-        peer: The suspected one.
-        relays: Whom this controller can ask about it now.
-        key_shown_gone: Whether the state service itself shows that the peer's key has ended.
-        domains: Those of all controllers.
-        now: By the steady clock, in seconds.
+        peer: The suspected peer.
+        relays: The controllers that this one can ask to probe it now.
+        key_expired: Whether the state service itself shows that the peer's key has expired.
+        domains: The failure domains of all controllers.
+        now: The monotonic time, in seconds.
     """
     refuses = peer.refuses_connections(now)
-    if key_shown_gone and refuses:
-        # Two sources of evidence: the state service, and the machine where nobody listens any
-        # more. Once slower than keys alone, when most controllers ended at once
-        # (failure_detection/majority_lost.txt).
-        return "refuses, and the state service has ended its key"
+    if key_expired and refuses:
+        # Two independent sources: the state service, and the machine, where nothing listens on the
+        # port any more. Without this rule, failover after the loss of most controllers is slower
+        # than with keys alone (failure_detection/majority_lost.txt).
+        return "refuses connections, and its key has expired"
     if not relays:
-        # The state service alone is the evidence.
-        if key_shown_gone and peer.silence_s(now) >= peer.bounds.confirm_s:
-            return "silent, and the state service has ended its key"
+        # No relay can be asked: the state service is the only evidence.
+        if key_expired and peer.time_since_alive_s(now) >= peer.bounds.confirm_s:
+            return "sends no heartbeats, and its key has expired"
         return None
-    outcomes = peer.confirming_outcomes(now, key_shown_gone)
-    denying = {domains.of(relay) for relay in peer.failed_relays(outcomes, now)}
-    if len(denying) < _needed_domains(peer.relays or relays, domains):
+    outcomes = peer.confirming_outcomes(now, key_expired)
+    confirming = {domains.of(relay) for relay in peer.failed_relays(outcomes, now)}
+    if len(confirming) < _needed_domains(peer.relays or relays, domains):
         return None
-    return f"{'refuses' if refuses else 'silent'}; others confirm"
+    return f"{'refuses connections' if refuses else 'sends no heartbeats'}; relays confirm"
 
 
 def _needed_domains(relays: Collection[str], domains: FailureDomains) -> int:
-    """How many domains have to confirm an end: a majority of those of the relays asked."""
+    """How many domains must confirm a death: a majority of the domains of the relays."""
     return len({domains.of(relay) for relay in relays}) // 2 + 1
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -1,6 +1,6 @@
 """The state machine of failure detection: messages and time in, transitions and probes out.
 
-Pure: it sends nothing and reads no clock. docs/failure-detection.md says why each rule is there.
+It sends nothing and reads no clock. docs/failure-detection.md gives the reason for each rule.
 """
 
 from collections.abc import Iterable
@@ -22,17 +22,18 @@
 from .relays import choose_relays
 from .view import IndirectProbe, LivenessView, Transition, TurnResult
 
-FAILBACK_GRACE_INTERVALS = 2  # after its start, for peers to say how long it should wait
-RECENT_CONTACT_INTERVALS = 2  # so old may this controller's contact with the state service be
+# Heartbeat intervals after the start in which peers report this controller's failback delay.
+FAILBACK_GRACE_INTERVALS = 2
+RECENT_CONTACT_INTERVALS = 2  # maximum age of this controller's contact with the state service
 
 
 class PeerDetector:
-    """Takes in what is heard of the other controllers, and says what to take them for.
+    """Derives the state of each other controller from heartbeats, keys, calls and probes.
 
     Attributes:
-        peers: What is known of each of them, by name.
+        peers: The record of each other controller, by name.
         health: Whether this controller is itself slow.
-        store_contact_at: This controller's own last contact with the state service.
+        store_contact_at: When this controller last had contact with the state service.
     """
 
     def __init__(
@@ -42,26 +43,26 @@
         bounds: DetectionBounds,
         domains: FailureDomains,
     ) -> None:
-        """Makes the detector of the controller `node`; `start` has to come before all else."""
+        """Creates the detector of the controller `node`; call `start` before anything else."""
         self.node, self.bounds, self.domains = node, bounds, domains
         self.peers = {name: Peer(name, bounds) for name in peer_names}
         self.health = LocalHealth(bounds.heartbeat_s)
         self.store_contact_at = NEVER
         self._began_at = NEVER
-        self._failback_at = NEVER  # when this controller may have its shards back
+        self._failback_at = NEVER  # from when on this controller may take its home shards back
         self._new_transitions: list[Transition] = []  # since the last turn
 
     def start(self, now: float) -> None:
-        """This process began."""
+        """Notes the start of this process."""
         self._began_at = now
         grace_s = FAILBACK_GRACE_INTERVALS * self.bounds.heartbeat_s
         self._failback_at = max(self._failback_at, now + grace_s)
 
     def note_first_replica(self, now: float) -> None:
-        """The replica was read for the first time: keys that are missing mean something."""
+        """Restarts the startup period: from the first replica on, a missing key is meaningful."""
         self.start(now)
 
-    # --- what comes in
+    # --- inputs
 
     def peer(self, name: str) -> Peer:
         """The record of the peer `name`.
@@ -70,32 +71,33 @@
             MalformedPeerMessageError: `name` is not another controller of this cluster.
         """
         if name not in self.peers:
-            raise MalformedPeerMessageError(f"{name!r} is no other controller of this cluster")
+            raise MalformedPeerMessageError(f"{name!r} is not another controller of this cluster")
         return self.peers[name]
 
-    def receive_heartbeat(self, heartbeat: Heartbeat, now: float, wall: float) -> bool:
-        """A heartbeat that came from its sender; False if it is a copy or came out of order.
+    def receive_heartbeat(self, heartbeat: Heartbeat, now: float, wall_time: float) -> bool:
+        """Applies a heartbeat received from its sender; False if it is duplicate or out of order.
 
         Raises:
-            MalformedPeerMessageError: Its sender is unknown, or it comes from the future.
+            MalformedPeerMessageError: The sender is unknown, or its time of sending is in the
+                future.
         """
         peer = self.peer(heartbeat.sender)
-        self._check_clock(heartbeat, wall)
+        self._check_clock(heartbeat, wall_time)
         if peer.direct_version is not None and heartbeat.version <= peer.direct_version:
             return False
         if not peer.note_version(heartbeat.version):
             return False
-        delay_s = max(0.0, wall - heartbeat.sent_wall - 2 * self.bounds.skew_s)
+        delay_s = max(0.0, wall_time - heartbeat.sent_wall_time - 2 * self.bounds.skew_s)
         self._note_direct_heartbeat(peer, heartbeat, now - delay_s, now)
         for opinion in heartbeat.opinions:
-            self._take_opinion(opinion, delay_s, now)
+            self._apply_opinion(opinion, delay_s, now)
         return True
 
-    def _check_clock(self, heartbeat: Heartbeat, wall: float) -> None:
-        if heartbeat.sent_wall > wall + 2 * self.bounds.skew_s + self.bounds.heartbeat_s:
+    def _check_clock(self, heartbeat: Heartbeat, wall_time: float) -> None:
+        if heartbeat.sent_wall_time > wall_time + 2 * self.bounds.skew_s + self.bounds.heartbeat_s:
             raise MalformedPeerMessageError(
-                f"{heartbeat.sender} sent its heartbeat at wall time {heartbeat.sent_wall:.3f},"
-                f" later than this controller's {wall:.3f} allows"
+                f"the heartbeat of {heartbeat.sender} was sent at {heartbeat.sent_wall_time:.3f},"
+                f" too far ahead of this controller's wall time {wall_time:.3f}"
             )
 
     def _note_direct_heartbeat(
@@ -109,9 +111,9 @@
         peer.direct_store_contact_at = sent_at - heartbeat.store_contact_age_s
         peer.store_contact_at = max(peer.store_contact_at, peer.direct_store_contact_at)
         peer.slow = heartbeat.slow
-        self._note_sign_of_life(peer, sent_at, now, "heard")
+        self._note_alive(peer, sent_at, now, "heartbeat received")
 
-    def _take_opinion(self, opinion: Opinion, delay_s: float, now: float) -> None:
+    def _apply_opinion(self, opinion: Opinion, delay_s: float, now: float) -> None:
         if opinion.peer == self.node:
             self._failback_at = max(self._failback_at, now + opinion.failback_delay_s)
             return
@@ -126,22 +128,22 @@
     def _note_indirect_heartbeat(
         self, peer: Peer, version: HeartbeatVersion, sent_at: float, now: float
     ) -> bool:
-        """Another controller received this heartbeat; False if it was of a former process."""
+        """Notes a heartbeat received by another controller; False if a previous process sent it."""
         if not peer.note_version(version):
             return False
-        self._note_sign_of_life(peer, sent_at, now, "heard by another")
+        self._note_alive(peer, sent_at, now, "heartbeat received by another controller")
         return True
 
-    def _note_sign_of_life(self, peer: Peer, at: float, now: float, reason: str) -> None:
-        """Notes a sign of life, which refutes a suspicion if it is recent enough."""
-        peer.note_sign_of_life(at)
-        silent = peer.silence_s(now) >= peer.suspicion_timeout_s()
-        if not silent and peer.state is not PeerState.ALIVE:
-            peer.forget_evidence()
-            self._move(peer, PeerState.ALIVE, reason)
+    def _note_alive(self, peer: Peer, at: float, now: float, reason: str) -> None:
+        """Notes evidence that a peer was alive; recent evidence refutes a suspicion."""
+        peer.note_alive(at)
+        overdue = peer.time_since_alive_s(now) >= peer.suspicion_timeout_s()
+        if not overdue and peer.state is not PeerState.ALIVE:
+            peer.clear_failure_evidence()
+            self._set_state(peer, PeerState.ALIVE, reason)
 
     def note_key(self, name: str, lease: int | None) -> None:
-        """A controller's key as the replica shows it; `lease` None: it is missing."""
+        """Notes the lease of a controller's key in the replica; None if the key is missing."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -153,19 +155,19 @@
             and peer.version is not None
             and lease != peer.version.incarnation.lease
         ):
-            # A process that was not heard yet, or one that sends no heartbeats.
+            # A new process, whose heartbeats have not arrived yet or which sends none.
             peer.begin_incarnation()
-            self._move(peer, PeerState.UNKNOWN, "its key names another process")
+            self._set_state(peer, PeerState.UNKNOWN, "its key belongs to another process")
 
     def note_call_outcome(self, name: str, outcome: PingOutcome, now: float) -> None:
-        """How this controller's own question to a peer, or its ping, ended."""
+        """Notes the outcome of a request or a ping from this controller to a peer."""
         self.peers[name].refused_at = now if outcome is PingOutcome.REFUSED else NEVER
 
     def note_probe_result(self, relay: str, result: ProbeResult, now: float) -> None:
-        """A relay says whether it reaches the controller that it was asked about.
+        """Notes whether a relay reached the target of a probe.
 
         Raises:
-            MalformedPeerMessageError: That is no other controller of this cluster.
+            MalformedPeerMessageError: The target is not another controller of this cluster.
         """
         peer = self.peer(result.target)
         if result.outcome is not PingOutcome.ANSWERED:
@@ -174,20 +176,20 @@
             self._note_indirect_heartbeat(peer, result.version, now - result.age_s, now)
 
     def note_store_contact(self, at: float) -> None:
-        """This controller's contact with the state service."""
+        """Notes a contact of this controller with the state service."""
         self.store_contact_at = max(self.store_contact_at, at)
 
-    # --- what goes out
+    # --- outputs
 
     def opinions(self, now: float) -> tuple[Opinion, ...]:
-        """What this controller's heartbeats say of the others."""
+        """This controller's opinions on its peers, for its heartbeats."""
         return tuple(peer.opinion(now) for peer in self.peers.values())
 
     def turn(self, now: float, late_s: float) -> TurnResult:
-        """One turn of the loop, which came `late_s` after its time."""
+        """Runs one turn of the detection loop, which started `late_s` after its due time."""
         if self.health.note_turn(now, late_s):
             self._allow_for_pause(late_s, now)
-        suspected = self._suspect_silent(now)
+        suspected = self._suspect_overdue(now)
         isolated = self._is_isolated()
         probes = []
         for peer in suspected:
@@ -201,48 +203,48 @@
         return TurnResult(transitions, tuple(probes), view)
 
     def _allow_for_pause(self, pause_s: float, now: float) -> None:
-        """While this controller stood still it could hear nobody."""
+        """Leaves a pause of this process out of the time since each peer was last alive."""
         for peer in self.peers.values():
             if peer.state in (PeerState.ALIVE, PeerState.SUSPECTED):
-                peer.alive_at = min(now, peer.alive_at + pause_s)
+                peer.last_alive_at = min(now, peer.last_alive_at + pause_s)
 
-    def _suspect_silent(self, now: float) -> list[Peer]:
-        """Suspects whoever is silent for too long; all who are suspected now."""
-        paused_lately = self.health.paused_lately(now)
+    def _suspect_overdue(self, now: float) -> list[Peer]:
+        """Suspects peers without recent heartbeats; returns all peers that are suspected now."""
+        recently_paused = self.health.recently_paused(now)
         for peer in self.peers.values():
-            silence_s = peer.silence_s(now)
+            elapsed_s = peer.time_since_alive_s(now)
             if (
                 peer.state is PeerState.ALIVE
-                and silence_s >= peer.suspicion_timeout_s()
-                and not paused_lately
+                and elapsed_s >= peer.suspicion_timeout_s()
+                and not recently_paused
             ):
-                self._move(peer, PeerState.SUSPECTED, f"silent for {silence_s:.1f} s")
+                self._set_state(peer, PeerState.SUSPECTED, f"no heartbeat for {elapsed_s:.1f} s")
         return [peer for peer in self.peers.values() if peer.state is PeerState.SUSPECTED]
 
     def _is_isolated(self) -> bool:
-        """Whether most of the controllers that were heard are silent: it may be this one."""
+        """Whether most known peers are suspected: this controller may be the isolated one."""
         states = [peer.state for peer in self.peers.values()]
-        silent = states.count(PeerState.SUSPECTED)
-        return silent >= 2 and 2 * silent > silent + states.count(PeerState.ALIVE)
+        suspected = states.count(PeerState.SUSPECTED)
+        return suspected >= 2 and 2 * suspected > suspected + states.count(PeerState.ALIVE)
 
-    def _in_store_contact(self, now: float) -> bool:
+    def _has_recent_store_contact(self, now: float) -> bool:
         age_s = now - self.store_contact_at
         return age_s <= RECENT_CONTACT_INTERVALS * self.bounds.heartbeat_s
 
     def _confirm(self, peer: Peer, isolated: bool, now: float) -> bool:
-        """Takes a suspected peer for dead if there is evidence for it; True if so."""
-        if self.health.paused_lately(now):
+        """Declares a suspected peer dead if there is evidence for it; returns whether it did."""
+        if self.health.recently_paused(now):
             return False
         relays = () if isolated else self._relays(peer)
-        key_shown_gone = peer.key_lease is None and self._in_store_contact(now)
-        reason = death_evidence(peer, relays, key_shown_gone, self.domains, now)
+        key_expired = peer.key_lease is None and self._has_recent_store_contact(now)
+        reason = death_evidence(peer, relays, key_expired, self.domains, now)
         if reason is None:
             return False
-        self._move(peer, PeerState.DEAD, reason)
+        self._set_state(peer, PeerState.DEAD, reason)
         return True
 
     def _relays(self, target: Peer) -> tuple[str, ...]:
-        """Whom to ask about the target."""
+        """The controllers that are asked to probe the target."""
         alive = [
             peer.name
             for peer in self.peers.values()
@@ -251,8 +253,8 @@
         return choose_relays(self.node, alive, self.domains)
 
     def _indirect_probe(self, peer: Peer, isolated: bool, now: float) -> IndirectProbe | None:
-        """A probe of a suspected peer through others, once an interval."""
-        if isolated or self.health.paused_lately(now):
+        """The next indirect probe of a suspected peer, at most one per heartbeat interval."""
+        if isolated or self.health.recently_paused(now):
             return None
         if now - peer.probed_at < self.bounds.heartbeat_s:
             return None
@@ -264,8 +266,8 @@
         return IndirectProbe(peer.name, relays)
 
     def view(self, now: float) -> LivenessView:
-        """Whom to rely on, as of now."""
-        paused_lately = self.health.paused_lately(now)
+        """The liveness of all controllers as of now."""
+        recently_paused = self.health.recently_paused(now)
         slow = {peer.name for peer in self.peers.values() if peer.slow}
         if self.health.slow:
             slow.add(self.node)
@@ -273,23 +275,23 @@
             states={peer.name: peer.state for peer in self.peers.values()},
             serving=self._serving(now),
             slow=frozenset(slow),
-            may_fail_over=not paused_lately,
+            may_fail_over=not recently_paused,
             may_fail_back=(
-                now >= self._failback_at and not self._is_isolated() and not paused_lately
+                now >= self._failback_at and not self._is_isolated() and not recently_paused
             ),
         )
 
     def _serving(self, now: float) -> frozenset[str]:
-        """Who can commit, this controller among them; notes it for each peer."""
-        startup_over = now - self._began_at >= self.bounds.confirm_s
+        """The controllers that can commit, this one included; notes each peer's result."""
+        startup_complete = now - self._began_at >= self.bounds.confirm_s
         serving = {self.node}
         for peer in self.peers.values():
-            serves = peer.serves(now, startup_over)
+            serves = peer.serves(now, startup_complete)
             peer.note_serving(serves, now)
             if serves:
                 serving.add(peer.name)
         return frozenset(serving)
 
-    def _move(self, peer: Peer, state: PeerState, reason: str) -> None:
+    def _set_state(self, peer: Peer, state: PeerState, reason: str) -> None:
         self._new_transitions.append(Transition(peer.name, peer.state, state, reason))
         peer.state = state
--- a/emberglade/failure_detection/domains.py
+++ b/emberglade/failure_detection/domains.py
@@ -1,4 +1,4 @@
-"""Failure domains: which controllers are likely to fail, or to be cut off, together."""
+"""Failure domains: groups of controllers that may fail or become unreachable together."""
 
 from collections.abc import Collection, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -13,14 +13,14 @@
 
 
 class DomainAddresses(NamedTuple):
-    """The addresses of one domain, or some of them."""
+    """A network of one failure domain."""
 
     network: Any  # a netaddr.IPNetwork
     domain: str
 
 
 class FailureDomains:
-    """The domain of each controller: by its address if a network names it, else its zone.
+    """The domain of each controller: that of the network of its address, else its zone.
 
     Attributes:
         domains: The name of each controller's domain.
@@ -30,7 +30,7 @@
         self.domains = domains
 
     def of(self, controller: str) -> str:
-        """The domain of a controller."""
+        """The failure domain of a controller."""
         return self.domains[controller]
 
     @classmethod
@@ -40,10 +40,10 @@
         addresses: Mapping[str, str],
         zones: Mapping[str, str],
     ) -> "FailureDomains":
-        """The domains that the operators' rows name; `addresses` and `zones` by controller.
+        """Reads the operators' rows; `addresses` and `zones` are by controller.
 
         Raises:
-            DetectionError: A row is wrong, or no controller is in its network.
+            DetectionError: A row is invalid, or no controller is in its domain's networks.
         """
         domains = dict(zones)
         if rows:
@@ -54,8 +54,8 @@
 def _domains_by_address(
     rows: Collection["DomainNetwork"], addresses: Mapping[str, str]
 ) -> dict[str, str]:
-    """{controller: domain} of those whose address is in one of the networks."""
-    import netaddr  # only where networks are named: starting has to be cheap
+    """{controller: domain} for the controllers whose address is in one of the networks."""
+    import netaddr  # only if networks are configured: keeps the start-up fast
 
     networks = []
     for row in rows:
@@ -78,7 +78,7 @@
 
 
 def _parse_network(netaddr: Any, text: str) -> Any:
-    """The netaddr.IPNetwork that a text like 10.0.0.0/24 names."""
+    """Parses a text like 10.0.0.0/24 into a netaddr.IPNetwork."""
     reason = "is not a network like 10.0.0.0/24"
     if "/" not in text:
         raise DetectionError(NETWORK_FIELD, text, reason)
--- a/emberglade/failure_detection/errors.py
+++ b/emberglade/failure_detection/errors.py
@@ -1,13 +1,13 @@
-"""What can be wrong with the operators' settings of failure detection."""
+"""Errors in the operators' settings of failure detection."""
 
 
 class DetectionError(Exception):
-    """A bound that contradicts another, or a domain that is wrong.
+    """A bound is out of range or contradicts another, or a failure domain is invalid.
 
     Attributes:
-        field: The operators' setting.
-        value: Its value.
-        reason: What is wrong with it, like "is not a name".
+        field: The name of the setting.
+        value: The value that was set.
+        reason: Why the value is invalid, such as "is not a name".
     """
 
     def __init__(self, field: str, value: object, reason: str) -> None:
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,6 +1,6 @@
 """Failover plans: which shards this controller takes, and when it takes leadership.
 
-Both planners decide from one liveness view of who serves; they are pure but for their memory of
+Both planners decide from a liveness view. Their only state is when each claim was last written and
 how long a shard or the leader's key has been free.
 """
 
@@ -10,16 +10,16 @@
 from .view import LivenessView
 
 NEVER = float("-inf")
-LEADERSHIP = "leadership"  # the one claim that the leader's planner follows
-SLOW_DELAY_INTERVALS = 2  # a slow controller leaves free leadership to faster ones for so long
+LEADERSHIP = "leadership"  # the name of the leader's claim in its history
+SLOW_DELAY_INTERVALS = 2  # heartbeat intervals for which a slow controller lets others lead
 
 
 class ClaimHistory:
-    """When each claim's key was last written, as seen here.
+    """When this controller last saw the key of each claim (shard or leadership) change.
 
-    Whoever has just written a claim was alive a moment ago, whatever the last view says. Once
-    broken: a controller that was back took its shards, and a peer whose view was a quarter of a
-    second older took them again (failure_detection/beside_previous_version.txt).
+    The writer of a recent claim was alive when it wrote, whatever the last view shows. Without this
+    check, a peer with a view a quarter of a second old takes back the shards that a returned
+    controller has just taken (failure_detection/beside_previous_version.txt).
     """
 
     def __init__(self, heartbeat_s: float) -> None:
@@ -28,19 +28,24 @@
         self._written_at: dict[int | str, float] = {}
 
     def note(self, claims: Mapping[int, Owner] | Mapping[str, Owner], now: float) -> None:
-        """Takes in the claims as they are, {name: Owner}; what was there at first is old."""
+        """Notes the current claims, {name: Owner}; a claim seen for the first time is not fresh."""
         for name, owner in claims.items():
             if self._mod_revisions.get(name, owner.mod_revision) != owner.mod_revision:
                 self._written_at[name] = now
             self._mod_revisions[name] = owner.mod_revision
 
     def is_fresh(self, name: int | str, now: float) -> bool:
-        """Whether the claim was written less than a heartbeat's interval ago."""
+        """Whether the claim was written less than a heartbeat interval ago."""
         return now - self._written_at.get(name, NEVER) < self.heartbeat_s
 
 
 class ShardPlanner:
-    """Gives each free shard to the serving controller with the fewest, and home shards back."""
+    """Assigns free shards to the serving controllers with the fewest, and returns home shards.
+
+    A shard is free if its owner does not serve, is a previous process of this controller, or is
+    slow, not the shard's home, and other serving controllers are not slow. A shard whose key
+    another controller has just written is not free.
+    """
 
     def __init__(
         self, node: str, names: Iterable[str], shard_count: int, heartbeat_s: float
@@ -50,10 +55,10 @@
         self.shard_count = shard_count
         self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
-        self._free_since: dict[int, float] = {}  # shard -> when no serving owner was first seen
+        self._free_since: dict[int, float] = {}  # shard -> when it was first seen to be free
 
     def home(self, shard: int) -> str:
-        """The controller that holds the shard while all is well."""
+        """The controller that owns the shard while all controllers serve."""
         return self.names[shard % len(self.names)]
 
     def shards_to_take(
@@ -63,34 +68,34 @@
         view: LivenessView,
         now: float,
     ) -> list[int]:
-        """The shards that this controller should take now, in their order."""
+        """The shards that this controller should take now, in ascending order."""
         self.history.note(owners, now)
-        free = self._free(incarnation, owners, view, now)
+        free = self._free_shards(incarnation, owners, view, now)
         self._free_since = {shard: self._free_since.get(shard, now) for shard in free}
         counts = {name: 0 for name in view.serving}
         for shard, owner in owners.items():
             if shard not in free and owner.node in counts:
                 counts[owner.node] += 1
-        taken = []
+        to_take = []
         for shard in range(self.shard_count):
             owner = owners.get(shard, NO_OWNER)
             if shard in free:
                 successors = self._successors(shard, counts, view)
                 counts[successors[0]] = counts.get(successors[0], 0) + 1
                 if self._is_due(shard, owner, successors, view, now):
-                    taken.append(shard)
+                    to_take.append(shard)
             elif self._is_failback_due(shard, owner, view):
-                taken.append(shard)
-        return taken
+                to_take.append(shard)
+        return to_take
 
-    def _free(
+    def _free_shards(
         self,
         incarnation: int | None,
         owners: Mapping[int, Owner],
         view: LivenessView,
         now: float,
     ) -> set[int]:
-        """Shards whose owner does not serve, is a former process of ours, or is slow."""
+        """The shards that are free, as the class defines it."""
         return {
             shard
             for shard in range(self.shard_count)
@@ -118,7 +123,7 @@
         )
 
     def _successors(self, shard: int, counts: Mapping[str, int], view: LivenessView) -> list[str]:
-        """Who should take a free shard: the first, and who comes next should that one not."""
+        """The serving controllers in the order in which they should take a free shard."""
         home = self.home(shard)
         start = self.names.index(home)
         distance = {name: (self.names.index(name) - start) % len(self.names) for name in self.names}
@@ -137,15 +142,16 @@
     ) -> bool:
         """Whether this controller should take a free shard now."""
         if owner.node == self.node:
-            return True  # our former process held it; nobody else has it
-        place = successors.index(self.node)
-        if not view.may_fail_over and not (owner is NO_OWNER and place == 0):
+            return True  # owned by a previous process of this controller, so there is no rival
+        rank = successors.index(self.node)
+        if not view.may_fail_over and not (owner is NO_OWNER and rank == 0):
             return False
-        # Views differ for a moment: who comes next waits, so that a shard is not left to nobody.
-        return now - self._free_since[shard] >= place * self.heartbeat_s
+        # Views may differ briefly. Later successors wait longer, and take the shard only if the
+        # earlier ones did not.
+        return now - self._free_since[shard] >= rank * self.heartbeat_s
 
     def _is_failback_due(self, shard: int, owner: Owner, view: LivenessView) -> bool:
-        """Whether this controller should take its home shard back from who serves it."""
+        """Whether this controller should take its home shard back from the current owner."""
         return (
             self.home(shard) == self.node
             and owner.node != self.node
@@ -155,13 +161,13 @@
 
 
 class LeaderPlanner:
-    """Says when to take leadership: if the leader's key is free, or its owner does not serve."""
+    """Decides when to take leadership: its key is missing, or the leader does not serve."""
 
     def __init__(self, node: str, heartbeat_s: float) -> None:
         self.node = node
         self.heartbeat_s = heartbeat_s
         self.history = ClaimHistory(heartbeat_s)
-        self._former = NO_OWNER
+        self._previous_leader = NO_OWNER
         self._free_since: float | None = None
 
     def should_take(
@@ -169,10 +175,10 @@
     ) -> bool:
         """Whether this controller should write the leader's key now.
 
-        `leader` is the key's owner, or None if the key is missing.
+        `leader` is the owner of the leader's key, or None if the key is missing.
         """
         if leader is not None:
-            self._former = leader
+            self._previous_leader = leader
             if leader.node == self.node:
                 self._free_since = None
                 return leader.incarnation != incarnation
@@ -184,18 +190,20 @@
             self._free_since = now
         waited_s = now - self._free_since
         if leader is None:
-            return waited_s >= self._delay_s(view)
-        return view.may_fail_over and waited_s >= self._place(view) * self.heartbeat_s
+            return waited_s >= self._takeover_delay_s(view)
+        return view.may_fail_over and waited_s >= self._rank(view) * self.heartbeat_s
 
-    def _place(self, view: LivenessView) -> int:
-        """How many serving controllers come first if the leader does not serve."""
+    def _rank(self, view: LivenessView) -> int:
+        """How many serving controllers come before this one in the order of succession."""
         successors = sorted(view.serving, key=lambda name: (name in view.slow, name))
         return successors.index(self.node)
 
-    def _delay_s(self, view: LivenessView) -> float:
-        """How long a missing leader's key is left to others."""
-        # Its lease expired, but the process goes on: it takes leadership again by itself.
-        left_to_former = self._former.node != self.node and self._former.node in view.serving
+    def _takeover_delay_s(self, view: LivenessView) -> float:
+        """How long this controller leaves a missing leader's key to others."""
+        # If only the previous leader's lease expired, its process takes leadership again by itself.
+        left_to_previous = (
+            self._previous_leader.node != self.node and self._previous_leader.node in view.serving
+        )
         others_are_faster = self.node in view.slow and bool(view.serving - view.slow)
-        intervals = int(left_to_former) + SLOW_DELAY_INTERVALS * int(others_are_faster)
+        intervals = int(left_to_previous) + SLOW_DELAY_INTERVALS * int(others_are_faster)
         return self.heartbeat_s * intervals
--- a/emberglade/failure_detection/heartbeats.py
+++ b/emberglade/failure_detection/heartbeats.py
@@ -1,4 +1,4 @@
-"""The heartbeats of this process, and those that it receives."""
+"""Creates the heartbeats of this process, and receives those of its peers."""
 
 import logging
 from collections import Counter
@@ -12,17 +12,17 @@
 
 log = logging.getLogger("emberglade.failure_detection")
 
-MAX_CONTACT_AGE_S = 1e6  # stated by a process that had no contact with the state service yet
+MAX_CONTACT_AGE_S = 1e6  # sent by a process that had no contact with the state service yet
 UNKNOWN_SENDER = "an unknown sender"
 
 
 class HeartbeatSource(ActorPart):
-    """The part of the monitor that makes this process's heartbeats.
+    """The part of the monitor that creates this process's heartbeats.
 
     Attributes:
-        first_revision: Of the first replica of this process; None until it was read.
+        first_revision: The revision of this process's first replica; None before it was read.
         lease: The number of this process's first lease, its incarnation; None until it is known.
-        turn_due: When the monitor's next turn should come.
+        turn_due: When the monitor's next turn is due.
     """
 
     def __init__(self, actor: Actor, node: str, detector: PeerDetector) -> None:
@@ -34,43 +34,43 @@
         self._sequence = 0
 
     def next(self) -> Heartbeat | None:
-        """The next heartbeat, or None before it is known which process this is."""
+        """The next heartbeat, or None while the incarnation of this process is unknown."""
         if self.lease is None or self.first_revision is None:
             return None
         now = self.now()
         self._sequence += 1
-        # While this process stood still it could be in contact with nobody; it will be at once.
+        # A pause of this process is left out of the age: contact resumes as soon as it runs again.
         pause_s = self.detector.health.recent_pause_s(now, now - self.turn_due)
         contact_age_s = max(0.0, now - self.detector.store_contact_at - pause_s)
         return Heartbeat(
             sender=self.node,
             version=HeartbeatVersion(Incarnation(self.first_revision, self.lease), self._sequence),
-            sent_wall=self.system.wall_time(),
+            sent_wall_time=self.system.wall_time(),
             store_contact_age_s=min(MAX_CONTACT_AGE_S, contact_age_s),
             slow=self.detector.health.slow,
             opinions=self.detector.opinions(now),
         )
 
     def add_to(self, body: Any) -> Any:
-        """A message's body with the next heartbeat."""
+        """The body of a message with the next heartbeat added."""
         return wire.add_heartbeat(body, self.next())
 
 
 class HeartbeatReceiver(ActorPart):
-    """The part of the monitor that takes in heartbeats, and refuses what can't be one."""
+    """The part of the monitor that receives heartbeats, and rejects invalid messages."""
 
     def __init__(self, actor: Actor, peers: Collection[str], detector: PeerDetector) -> None:
         super().__init__(actor)
         self.peers, self.detector = peers, detector
-        self._refused: Counter[str] = Counter()  # peer -> its messages that were refused
+        self._refused: Counter[str] = Counter()  # peer -> number of its messages that were rejected
 
     @property
     def refused_count(self) -> int:
-        """How many messages were refused since the process began."""
+        """How many messages were rejected since the start of the process."""
         return sum(self._refused.values())
 
     def receive(self, peer: str, body: Any) -> None:
-        """Takes in the heartbeat that a message of a peer carries, or refuses it."""
+        """Applies the heartbeat that a peer's message carries, or rejects the message."""
         try:
             heartbeat = wire.read_carried_heartbeat(body)
             self.detector.receive_heartbeat(heartbeat, self.now(), self.system.wall_time())
@@ -78,8 +78,12 @@
             self.refuse(peer, error)
 
     def refuse(self, peer: str, error: MalformedPeerMessageError) -> None:
-        """Counts a message that can't be taken, and logs the first of each peer."""
+        """Counts a rejected message, and logs the first one of each peer."""
         peer = peer if peer in self.peers else UNKNOWN_SENDER
         self._refused[peer] += 1
         if self._refused[peer] == 1:
-            log.warning("a message of %s is refused, as will be others: %s", peer, error)
+            log.warning(
+                "rejected a message of %s; further rejections of this peer are only counted: %s",
+                peer,
+                error,
+            )
--- a/emberglade/failure_detection/local_health.py
+++ b/emberglade/failure_detection/local_health.py
@@ -1,20 +1,20 @@
-"""Whether this controller is itself the one that is slow or cut off (after Lifeguard, 2018)."""
+"""Local health: detects that this controller itself is slow (after Lifeguard, 2018)."""
 
-LATE_SHARE = 0.5  # of a heartbeat interval: later than this is a late turn
+LATE_SHARE = 0.5  # of a heartbeat interval: the delay from which on a turn counts as late
 MAX_SCORE = 8
-SLOW_SCORE = 4  # from here on this controller calls itself slow
-INTERVALS_PER_POINT = 4  # a turn that is late by so many intervals adds one more to the score
-ON_TIME_TURNS = 4  # turns on time that undo one late turn
-PAUSED_INTERVALS = 2  # so many intervals after a pause nobody is accused
+SLOW_SCORE = 4  # from this score on, the controller reports itself as slow
+INTERVALS_PER_POINT = 4  # each so many heartbeat intervals of delay add a point to the score
+ON_TIME_TURNS_PER_POINT = 4  # consecutive turns on time that take one point off the score
+PAUSED_INTERVALS = 2  # heartbeat intervals after a pause in which no peer is suspected
 
 
 class LocalHealth:
-    """Follows how late this controller's own loop runs.
+    """Tracks the delay of this controller's own detection loop.
 
-    A turn that comes later than a whole heartbeat interval counts as a pause of this process.
+    A turn that is late by more than a heartbeat interval counts as a pause of this process.
 
     Attributes:
-        score: The local health score: 0 is healthy, MAX_SCORE the worst.
+        score: The local health score, from 0 (healthy) to MAX_SCORE.
     """
 
     def __init__(self, heartbeat_s: float) -> None:
@@ -22,10 +22,10 @@
         self.score = 0
         self._turns_on_time = 0
         self._paused_until = float("-inf")
-        self._pause_s = 0.0  # how long the last pause was
+        self._pause_s = 0.0  # duration of the last pause
 
     def note_turn(self, now: float, late_s: float) -> bool:
-        """Notes a turn of the loop that came so late; True if that was a pause."""
+        """Notes a turn of the loop that was late by `late_s`; returns whether that was a pause."""
         if late_s > LATE_SHARE * self.heartbeat_s:
             points = 1 + int(late_s / (INTERVALS_PER_POINT * self.heartbeat_s))
             self.score = min(MAX_SCORE, self.score + points)
@@ -40,19 +40,19 @@
 
     def _note_turn_on_time(self) -> None:
         self._turns_on_time += 1
-        if self._turns_on_time >= ON_TIME_TURNS:
+        if self._turns_on_time >= ON_TIME_TURNS_PER_POINT:
             self.score = max(0, self.score - 1)
             self._turns_on_time = 0
 
     @property
     def slow(self) -> bool:
-        """Whether late turns are the rule here, so that others should do this controller's work."""
+        """Whether turns are often late, so that other controllers should take over work."""
         return self.score >= SLOW_SCORE
 
     def recent_pause_s(self, now: float, overdue_s: float) -> float:
-        """For how long this controller stood still of late; `overdue_s`: its next turn is late."""
-        return max(overdue_s, self._pause_s if self.paused_lately(now) else 0.0)
+        """Duration of a recent or current pause; `overdue_s`: the delay of the next turn so far."""
+        return max(overdue_s, self._pause_s if self.recently_paused(now) else 0.0)
 
-    def paused_lately(self, now: float) -> bool:
-        """Whether a pause was so recent that others' silence may be this controller's own."""
+    def recently_paused(self, now: float) -> bool:
+        """Whether a recent pause of this process may explain missing heartbeats."""
         return now < self._paused_until
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -1,29 +1,29 @@
-"""What controllers tell each other of who is alive; `wire.py` has its form in messages."""
+"""The messages of failure detection; `wire.py` defines their encoding."""
 
 import enum
 from typing import NamedTuple
 
 
 class MalformedPeerMessageError(Exception):
-    """A peer's message that can't be taken for what it should be; the text says which part."""
+    """A peer's message is invalid; the text names the field, the expectation and the value."""
 
 
 class Incarnation(NamedTuple):
-    """A process of a controller; the newer process has the larger one."""
+    """Identifies a process of a controller; a newer process has a larger incarnation."""
 
-    revision: int  # of the replica that the process first had
-    lease: int  # number of its first lease, never given twice
+    revision: int  # of the first replica of the process
+    lease: int  # number of its first lease; numbers are never reused
 
 
 class HeartbeatVersion(NamedTuple):
-    """A heartbeat's place in the order of all heartbeats of its controller."""
+    """The position of a heartbeat in the order of all heartbeats of its controller."""
 
     incarnation: Incarnation
     sequence: int
 
 
 class PeerState(enum.StrEnum):
-    """What a controller takes another one for."""
+    """The state of a controller as a peer sees it."""
 
     UNKNOWN = "unknown"
     ALIVE = "alive"
@@ -32,45 +32,47 @@
 
 
 class PingOutcome(enum.StrEnum):
-    """What a controller learnt when it tried to reach another one."""
+    """The outcome of an attempt to reach a controller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"  # the connection was refused
-    SILENT = "silent"
+    UNANSWERED = "silent"
 
 
 class Opinion(NamedTuple):
-    """What the sender of a heartbeat takes a third controller for."""
+    """What the sender of a heartbeat knows about a third controller."""
 
     peer: str
     state: PeerState
-    # Of the newest heartbeat that the sender itself received; None: there is none.
+    # Of the newest heartbeat that the sender received directly; None if there is none.
     version: HeartbeatVersion | None
-    age_s: float  # since that one was sent
-    store_contact_age_s: float  # of the peer with the state service, as that one said
-    failback_delay_s: float  # how long the peer should still serve before it gets shards back
+    age_s: float  # since that heartbeat was sent
+    store_contact_age_s: (
+        float  # age of the peer's contact with the state service when that heartbeat was sent
+    )
+    failback_delay_s: float  # how long the peer must still serve before it takes shards back
 
 
 class Heartbeat(NamedTuple):
-    """A sign of life of one process."""
+    """Evidence that one process is alive, with its opinions on its peers."""
 
     sender: str
     version: HeartbeatVersion
-    sent_wall: float  # time of day, in seconds
+    sent_wall_time: float  # seconds since 1970
     store_contact_age_s: float  # since its last answered contact with the state service
-    slow: bool  # its own loop runs late
+    slow: bool  # whether the sender's own detection loop runs late
     opinions: tuple[Opinion, ...]
 
 
 class ProbeRequest(NamedTuple):
-    """Asks a controller, the relay, to reach another one."""
+    """Asks a controller, the relay, to ping another one."""
 
     sender: str
     target: str
 
 
 class ProbeResult(NamedTuple):
-    """The relay's answer; if it heard the target, with the newest heartbeat's version and age."""
+    """The relay's response; version and age are of the target's newest heartbeat at the relay."""
 
     target: str
     outcome: PingOutcome
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -1,4 +1,4 @@
-"""The actor that sends and hears heartbeats, and tells the others of this process who serves."""
+"""The actor that exchanges heartbeats, and notifies the process's other actors of liveness."""
 
 import logging
 from collections import Counter
@@ -29,13 +29,13 @@
 
 
 class MonitoredLink:
-    """A link to a peer whose questions carry heartbeats; everything else goes its own way."""
+    """A link to a peer that adds heartbeats to machine queries and passes other calls through."""
 
     def __init__(self, monitor: "PeerMonitor", peer: str, link: "Client") -> None:
         self.monitor, self.peer, self.link = monitor, peer, link
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: "Reply") -> None:
-        """Like the link's own `call`."""
+        """Same contract as `Client.call`."""
         if path == peer_paths.MACHINES:
             send_inline(self.monitor.on_ask, self.peer, body, timeout, reply)
         else:
@@ -43,15 +43,15 @@
 
 
 class PeerMonitor(ReplicaSubscriber):
-    """Drives the state machine, carries its messages, and tells of what changes.
+    """Runs the failure detector, exchanges its messages, and notifies listeners of changes.
 
     Attributes:
-        listeners: Told `liveness(view)` when the view changes, and `peer_dead(name)` once an end
-            is confirmed.
-        detector: The state machine.
-        heartbeats: The heartbeats of this process.
-        receiver: What takes in the heartbeats of peers.
-        probing: What pings peers, and sends and answers probes.
+        listeners: Receive `liveness(view)` when the view changes, and `peer_dead(name)` when a
+            death is confirmed.
+        detector: The state machine of failure detection.
+        heartbeats: Creates the heartbeats of this process.
+        receiver: Receives the heartbeats of peers.
+        probing: Pings peers, and sends and answers probes.
     """
 
     follows_syncs = True
@@ -71,24 +71,24 @@
         self.heartbeats = HeartbeatSource(self, node, self.detector)
         self.receiver = HeartbeatReceiver(self, links, self.detector)
         self.probing = PeerProbing(self, node, links, self.detector, self.heartbeats, self.receiver)
-        self._view: LivenessView | None = None  # the last that the listeners were told
-        # Of the last change of a node's, a shard's or the leader's key.
+        self._view: LivenessView | None = None  # the last one sent to the listeners
+        # Revision of the last change of a node's, a shard's or the leader's key.
         self._ownership_revision = -1
-        self._transition_counts: Counter[PeerState] = Counter()  # by the state that came
+        self._transition_counts: Counter[PeerState] = Counter()  # by the new state
 
     def on_begin(self) -> None:
-        """Handles `begin`, from the actor system: subscribes, starts the detector and its turns."""
+        """Handles `begin` from the actor system: subscribes to the store, starts the detector."""
         super().on_begin()
         self.detector.start(self.now())
         self.schedule_turn()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: heartbeats name it from now on."""
+        """Handles `identity(incarnation)` from the member, which heartbeats contain from now on."""
         super().on_identity(incarnation)
         self.heartbeats.lease = incarnation
 
     def links_with_heartbeats(self) -> dict[str, MonitoredLink]:
-        """The links to the peers, each adding this controller's heartbeat to its questions."""
+        """The links to the peers, which add this controller's heartbeats to machine queries."""
         return {name: MonitoredLink(self, name, link) for name, link in self.links.items()}
 
     # --- the replica
@@ -96,8 +96,8 @@
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
-        The first replica starts the detector. The nodes' keys tell the detector which process of
-        each peer holds its key; a change of ownership publishes a new view.
+        The first replica restarts the detector's startup period. Node keys show the detector
+        which process of each peer is registered; a change of ownership publishes a new view.
         """
         now = self.now()
         if self.heartbeats.first_revision is None:
@@ -113,7 +113,7 @@
             self.publish(self.detector.view(now))
 
     def publish(self, view: LivenessView) -> None:
-        """Tells the listeners if anything in the view has changed."""
+        """Sends the view to the listeners if it has changed."""
         if self.heartbeats.first_revision is None:
             return
         view = view._replace(revision=self._ownership_revision)
@@ -123,22 +123,22 @@
                 send(listener.on_liveness, view)
 
     def on_sync_answered(self, sent_at: float, revision: int) -> None:
-        """Handles `sync_answered`, from the store: a sync sent at `sent_at` was answered."""
+        """Handles `sync_answered` from the store: notes the contact with the state service."""
         self.detector.note_store_contact(sent_at)
 
     # --- the loop
 
     def schedule_turn(self) -> None:
-        """Tells this actor `turn` after a quarter of the heartbeat interval."""
+        """Schedules the next turn in a quarter of the heartbeat interval."""
         period_s = self.bounds.heartbeat_s / TURNS_PER_HEARTBEAT
         self.heartbeats.turn_due = self.now() + period_s
         send_after(period_s, self.on_turn)
 
     def on_turn(self) -> None:
-        """Handles `turn`, from `schedule_turn`: one step of the detector.
+        """Handles `turn` from `schedule_turn`: runs one turn of the detector.
 
-        Logs each transition, sends the probes the detector orders, publishes the view, and tells
-        the listeners `peer_dead(name)` for each peer whose death is now confirmed.
+        Logs each transition, sends the requested probes, publishes the view, and then sends
+        `peer_dead(name)` to the listeners for each peer whose death is now confirmed.
         """
         now = self.now()
         result = self.detector.turn(now, max(0.0, now - self.heartbeats.turn_due))
@@ -156,7 +156,7 @@
     def _note_transition(self, transition: Transition) -> None:
         self._transition_counts[transition.after] += 1
         log.info(
-            "%s is %s, was %s: %s",
+            "peer %s is %s, was %s: %s",
             transition.peer,
             transition.after,
             transition.before,
@@ -164,7 +164,7 @@
         )
 
     def account(self) -> dict[str, Any]:
-        """What an account of the process says of its peers, since the process began."""
+        """The account line's fields on peers; counts are since the start of the process."""
         return {
             "peers": {name: peer.state.value for name, peer in self.detector.peers.items()},
             "suspicions": self._transition_counts[PeerState.SUSPECTED],
@@ -173,12 +173,12 @@
             "slow": self.detector.health.slow,
         }
 
-    # --- heartbeats carried by the questions between controllers
+    # --- heartbeats on machine queries between controllers
 
     def on_ask(self, peer: str, body: Any, timeout: float, reply: "Reply") -> None:
-        """Handles `ask(peer, body, timeout, reply)` from a link: a question of this controller.
+        """Handles `ask(peer, body, timeout, reply)` from a link: a query of this controller.
 
-        It goes to the peer with a heartbeat; `reply` gets the answer.
+        Sends it to the peer with a heartbeat; `reply` receives the response.
         """
         self.links[peer].call(
             "POST",
@@ -189,29 +189,29 @@
         )
 
     def on_asked(self, peer: str, deadline: float, reply: "Reply", status: int, body: Any) -> None:
-        """Handles the answer to a question of `on_ask`, from the peer's link.
+        """Handles the response to a query of `on_ask`, from the peer's link.
 
-        Notes how the call ended, hears the heartbeat in the answer, and hands status and body on
-        to the asker's `reply`.
+        Notes the outcome of the call, applies the heartbeat in the response, and passes status and
+        body on to `reply`.
         """
-        was_quick = self.now() < deadline - self.bounds.heartbeat_s
-        self.probing.note_call_outcome(peer, status, was_quick)
+        ended_early = self.now() < deadline - self.bounds.heartbeat_s
+        self.probing.note_call_outcome(peer, status, ended_early)
         if status == 200 and wire.has_heartbeat(body):
             self.receiver.receive(peer, body)
         reply(status, body)
 
     def on_hear_question(self, data: Any) -> None:
-        """Handles `hear_question(data)` from the server: a peer's question came in.
+        """Handles `hear_question(data)` from the server: a query of a peer was received.
 
-        What it asks is answered elsewhere; the heartbeat that it carries is heard here.
+        Applies the heartbeat that it carries; the query itself is answered elsewhere.
         """
         if wire.has_heartbeat(data):
             self.receiver.receive(wire.read_sender(data), data)
 
-    def answering(self, reply: "Reply") -> Callable[..., None]:
-        """A reply whose answer carries a heartbeat."""
+    def reply_with_heartbeat(self, reply: "Reply") -> Callable[..., None]:
+        """Wraps `reply` so that a successful response carries a heartbeat."""
         return callback_inline(self.on_answer, reply)
 
     def on_answer(self, reply: "Reply", status: int, body: Any) -> None:
-        """Handles this controller's answer to a question: a heartbeat goes with it."""
+        """Handles this controller's response to a query: adds a heartbeat and sends it."""
         reply(status, self.heartbeats.add_to(body) if status == 200 else body)
--- a/emberglade/failure_detection/peer.py
+++ b/emberglade/failure_detection/peer.py
@@ -1,4 +1,4 @@
-"""What is known of one other controller."""
+"""The record of one other controller."""
 
 from collections import deque
 from collections.abc import Collection
@@ -9,34 +9,36 @@
 from .messages import HeartbeatVersion, Opinion, PeerState, PingOutcome
 
 NEVER = float("-inf")
-MAX_OUTAGES = 16  # remembered of each peer
+MAX_OUTAGES = 16  # recorded per peer
 
 
 class FailedProbe(NamedTuple):
-    """What a relay found that could not reach the peer."""
+    """The outcome at a relay that could not reach the peer."""
 
     outcome: PingOutcome
     at: float
 
 
 class Peer:
-    """One controller as messages, keys and the results of probes show it; pure bookkeeping.
+    """What heartbeats, keys, calls and probes show of one controller.
 
-    All times are of this controller's steady clock, in seconds; NEVER: there was none.
+    All times are in seconds of this controller's monotonic clock; NEVER if there is none.
 
     Attributes:
-        version: Of the newest heartbeat that anybody told of.
-        direct_version: Of the newest heartbeat that came here.
-        direct_sent_at: When that one was sent.
-        direct_store_contact_at: The contact with the state service that it stated.
-        arrived_at: When it came.
-        alive_at: When the newest sign of life was given, by any account.
-        store_contact_at: Its last contact with the state service, by any account.
-        slow: Whether it says that its own loop runs late.
-        key_lease: The process that its key names, by its lease; None if the key is missing.
-        refused_at: Since when its connections are refused here.
-        probed_at: When relays were last asked about it.
-        relays: Those that were asked.
+        version: Of the newest heartbeat that any controller received.
+        direct_version: Of the newest heartbeat that this controller received itself.
+        direct_sent_at: When that heartbeat was sent.
+        direct_store_contact_at: The peer's last contact with the state service, as that heartbeat
+            states it.
+        arrived_at: When that heartbeat arrived.
+        last_alive_at: The newest time for which there is evidence, direct or indirect, that the
+            peer was alive.
+        store_contact_at: The peer's last contact with the state service, from all heartbeats.
+        slow: Whether the peer reports that its own detection loop runs late.
+        key_lease: The lease of the process that owns the peer's key; None if the key is missing.
+        refused_at: When the latest call to the peer ended, if its connection was refused.
+        probed_at: When relays were last asked to probe the peer.
+        relays: The relays that were asked.
     """
 
     def __init__(self, name: str, bounds: DetectionBounds) -> None:
@@ -48,7 +50,7 @@
         self.direct_sent_at = NEVER
         self.direct_store_contact_at = NEVER
         self.arrived_at = NEVER
-        self.alive_at = NEVER
+        self.last_alive_at = NEVER
         self.arrivals = ArrivalWindow(bounds.heartbeat_s)
         self.store_contact_at = NEVER
         self.slow = False
@@ -59,27 +61,27 @@
         self.relays: tuple[str, ...] = ()
         self._was_serving = False
         self._serving_since = NEVER
-        self._outages: deque[float] = deque(maxlen=MAX_OUTAGES)  # when it stopped serving
+        self._outages: deque[float] = deque(maxlen=MAX_OUTAGES)  # times at which it stopped serving
 
-    # --- signs of life
+    # --- evidence that it is alive
 
     def begin_incarnation(self) -> None:
-        """Forgets what only its former process showed."""
+        """Resets what is known of the previous process only."""
         self.arrivals = ArrivalWindow(self.bounds.heartbeat_s)
         self.arrived_at = NEVER
         self.direct_sent_at = NEVER
         self.store_contact_at = NEVER
         self.slow = False
-        self.forget_evidence()
+        self.clear_failure_evidence()
 
-    def forget_evidence(self) -> None:
-        """Forgets what spoke for its end."""
+    def clear_failure_evidence(self) -> None:
+        """Clears the evidence that the peer is dead."""
         self.refused_at = NEVER
         self.failed_probes = {}
         self.probed_at = NEVER
 
     def note_version(self, version: HeartbeatVersion) -> bool:
-        """Notes a heartbeat that somebody received; True unless it is of a former process."""
+        """Notes a heartbeat that any controller received; False if a previous process sent it."""
         if self.version is None:
             self.version = version
             return True
@@ -91,26 +93,26 @@
         return True
 
     @property
-    def heard_directly(self) -> bool:
-        """Whether this controller itself has heard the process that is there now."""
+    def has_direct_heartbeat(self) -> bool:
+        """Whether this controller itself received a heartbeat of the current process."""
         return self.direct_sent_at > NEVER
 
-    def note_sign_of_life(self, at: float) -> None:
-        """Notes a sign of life given at that moment."""
-        self.alive_at = max(self.alive_at, at)
+    def note_alive(self, at: float) -> None:
+        """Notes evidence that the peer was alive at time `at`."""
+        self.last_alive_at = max(self.last_alive_at, at)
 
-    def silence_s(self, now: float) -> float:
-        """How long it has been silent."""
-        return now - self.alive_at
+    def time_since_alive_s(self, now: float) -> float:
+        """Seconds since the peer was last known to be alive."""
+        return now - self.last_alive_at
 
     def suspicion_timeout_s(self) -> float:
-        """The silence from which on it is suspected."""
-        surprising_s = self.arrivals.silence_at_phi(self.bounds.suspect_phi)
-        return min(max(surprising_s, self.bounds.suspect_s), self.bounds.confirm_s)
+        """Seconds without evidence that the peer is alive after which it is suspected."""
+        phi_timeout_s = self.arrivals.timeout_at_phi(self.bounds.suspect_phi)
+        return min(max(phi_timeout_s, self.bounds.suspect_s), self.bounds.confirm_s)
 
     def opinion(self, now: float) -> Opinion:
-        """What this controller's heartbeats say of it."""
-        if not self.heard_directly:
+        """This controller's opinion on the peer, for its heartbeats."""
+        if not self.has_direct_heartbeat:
             return Opinion(self.name, self.state, None, 0.0, 0.0, self.failback_delay_s(now))
         return Opinion(
             self.name,
@@ -121,14 +123,14 @@
             self.failback_delay_s(now),
         )
 
-    # --- what relays found
+    # --- evidence that it is dead
 
     def note_failed_probe(self, relay: str, outcome: PingOutcome, now: float) -> None:
-        """Notes that a relay could not reach it."""
+        """Notes that a relay could not reach the peer."""
         self.failed_probes[relay] = FailedProbe(outcome, now)
 
     def failed_relays(self, outcomes: Collection[PingOutcome], now: float) -> list[str]:
-        """The relays that were asked lately and found one of these outcomes."""
+        """The relays that recently reported one of these outcomes."""
         oldest = now - 2 * self.bounds.heartbeat_s
         return [
             relay
@@ -137,41 +139,42 @@
         ]
 
     def refuses_connections(self, now: float) -> bool:
-        """Whether its connections are refused here, as of lately."""
+        """Whether the peer recently refused a connection of this controller."""
         return now - self.refused_at <= 2 * self.bounds.heartbeat_s
 
-    def confirming_outcomes(self, now: float, key_shown_gone: bool) -> tuple[PingOutcome, ...]:
-        """The outcomes of relays' probes that would confirm its end now; none: nothing would."""
-        if key_shown_gone and self.silence_s(now) >= self.bounds.confirm_s:
-            return (PingOutcome.REFUSED, PingOutcome.SILENT)
+    def confirming_outcomes(self, now: float, key_expired: bool) -> tuple[PingOutcome, ...]:
+        """The probe outcomes that would confirm now that the peer is dead; empty if none would."""
+        if key_expired and self.time_since_alive_s(now) >= self.bounds.confirm_s:
+            return (PingOutcome.REFUSED, PingOutcome.UNANSWERED)
         if self.refuses_connections(now):
             return (PingOutcome.REFUSED,)
         return ()
 
     # --- whether it can commit
 
-    def serves(self, now: float, startup_over: bool) -> bool:
-        """Whether it can be relied on to do the work of its shards.
+    def serves(self, now: float, startup_complete: bool) -> bool:
+        """Whether the peer counts as able to commit for its shards.
 
-        `startup_over`: this controller has run for so long that missing keys mean something.
+        `startup_complete`: this controller has run long enough for a missing key to be meaningful.
         """
         if self.state is PeerState.DEAD:
             return False
         if self.key_lease is not None:
             return True
         if self.state is PeerState.UNKNOWN:
-            return not startup_over
-        # Its key is gone: what counts is how old its contact with the state service was when it was
-        # last heard. Once broken: a pause of two seconds made the contact of one that was not even
-        # suspected look old (failure_detection/short_pause.txt). A suspected one serves for a
-        # while, until others have been asked.
+            return not startup_complete
+        # The key has expired, so the age that counts is that of its contact with the state service
+        # at the time of its last heartbeat. Measured against the current time, a pause of two
+        # seconds makes the contact of a peer look old that is not even suspected
+        # (failure_detection/short_pause.txt). A suspected peer counts as serving for a limited
+        # time, until relays have been asked.
         return (
-            self.alive_at - self.store_contact_at < self.bounds.serves_without_key_s
-            and self.silence_s(now) < 2 * self.bounds.confirm_s
+            self.last_alive_at - self.store_contact_at < self.bounds.serves_without_key_s
+            and self.time_since_alive_s(now) < 2 * self.bounds.confirm_s
         )
 
     def note_serving(self, serving: bool, now: float) -> None:
-        """Keeps account of when it stopped serving and when it began again."""
+        """Records when the peer stopped serving and when it started again."""
         if self._was_serving and not serving:
             self._outages.append(now)
         if serving and not self._was_serving:
@@ -179,9 +182,9 @@
         self._was_serving = serving
 
     def failback_delay_s(self, now: float) -> float:
-        """How long it should still serve before it gets shards back.
+        """How long the peer must still serve before it takes its shards back.
 
-        It doubles with each outage of late.
+        The delay doubles with each recent outage.
         """
         oldest_s = 2 * self.bounds.max_failback_delay_s
         outages = sum(now - at < oldest_s for at in self._outages)
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -1,7 +1,8 @@
-"""Pings and indirect probes: how a controller looks for a sign of life of a suspected peer.
+"""Pings and indirect probes, which check whether a suspected peer is alive.
 
-A ping goes to the peer itself; a probe asks a relay whether it reaches the peer, and the relay
-pings it unless it heard it a moment ago. Every answer that carries a heartbeat is heard.
+A ping goes to the peer itself. A probe asks a relay whether it reaches the peer; the relay pings
+the peer unless it received its heartbeat within the last interval. Heartbeats in responses are
+applied.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,14 +21,14 @@
 if TYPE_CHECKING:
     from ..transport import Client, Reply
 
-PROBE_TIMEOUT_INTERVALS = 2  # heartbeat intervals: the relay's own ping takes one
+PROBE_TIMEOUT_INTERVALS = 2  # heartbeat intervals; the relay's own ping may take one
 
 
 def outcome_of(status: int) -> PingOutcome:
-    """What the status of a call to a peer says of it."""
+    """The ping outcome that the status of a call to a peer stands for."""
     if status == REFUSED:
         return PingOutcome.REFUSED
-    return PingOutcome.SILENT if status == NO_ANSWER else PingOutcome.ANSWERED
+    return PingOutcome.UNANSWERED if status == NO_ANSWER else PingOutcome.ANSWERED
 
 
 class PeerProbing(ActorPart):
@@ -46,53 +47,53 @@
         self.node, self.links, self.detector = node, links, detector
         self.heartbeats, self.receiver = heartbeats, receiver
         self.heartbeat_s = detector.bounds.heartbeat_s
-        # Peers with a ping on its way -> replies to the probes that wait for it.
+        # Peer with a ping in flight -> replies to the probes that wait for its outcome.
         self._pings: dict[str, list[Reply]] = {}
 
     # --- pings
 
     def ping(self, peer: str, waiting: Iterable["Reply"] = ()) -> None:
-        """Asks a peer for a sign of life; `waiting` are answered with what comes of it."""
+        """Pings a peer; the probes of the replies `waiting` are answered with the outcome."""
         self._pings[peer] = list(waiting)
         body = self.heartbeats.add_to({})
-        # The link may be busy with a question that nobody answers.
+        # The link may be blocked by a query without a response, so the ping has its own timeout.
         send_after(self.heartbeat_s, self.on_ping_overdue, peer)
         self.links[peer].call(
             "POST", peer_paths.PING, body, self.heartbeat_s, callback(self.on_pinged, peer)
         )
 
     def on_pinged(self, peer: str, status: int, body: Any) -> None:
-        """Handles the answer to `ping`, from the peer's link: hears it, answers waiting probes."""
-        self.note_call_outcome(peer, status, was_quick=False)
-        if status == 200 and body:  # empty while that process does not know which one it is
+        """Handles the response to a ping, from the peer's link: answers the waiting probes."""
+        self.note_call_outcome(peer, status, ended_early=False)
+        if status == 200 and body:  # empty while that process does not know its incarnation
             self.receiver.receive(peer, body)
         self._end_ping(peer, outcome_of(status))
 
     def on_ping_overdue(self, peer: str) -> None:
-        """Handles `ping_overdue`, a heartbeat interval after `ping`: the peer counts as silent."""
-        self._end_ping(peer, PingOutcome.SILENT)
+        """Handles `ping_overdue`, a heartbeat interval after a ping: it counts as unanswered."""
+        self._end_ping(peer, PingOutcome.UNANSWERED)
 
     def _end_ping(self, peer: str, outcome: PingOutcome) -> None:
-        """Answers the probes that waited for the ping of `peer` with `outcome`."""
+        """Answers the probes that wait for the ping of `peer` with `outcome`."""
         for reply in self._pings.pop(peer, ()):
             reply(200, wire.write_probe_result(self._probe_result(peer, outcome)))
 
-    def note_call_outcome(self, peer: str, status: int, was_quick: bool) -> None:
-        """Notes how a call to a peer ended, and pings it at once if its connection broke.
+    def note_call_outcome(self, peer: str, status: int, ended_early: bool) -> None:
+        """Notes the outcome of a call to a peer; pings it at once if the connection broke.
 
-        `was_quick`: the call ended long before its timeout.
+        `ended_early`: the call ended long before its timeout.
         """
         outcome = outcome_of(status)
         self.detector.note_call_outcome(peer, outcome, self.now())
-        if outcome is PingOutcome.SILENT and was_quick and peer not in self._pings:
+        if outcome is PingOutcome.UNANSWERED and ended_early and peer not in self._pings:
             self.ping(peer)
 
-    # --- what peers ask
+    # --- requests of peers
 
     def on_ping(self, data: Any, reply: "Reply") -> None:
-        """Handles `ping(data, reply)` from the server: a peer wants a sign of life.
+        """Handles `ping(data, reply)` from the server: a peer checks that this process is alive.
 
-        The heartbeat that the ping carries is heard, and answered with one.
+        Applies the heartbeat that the ping carries, and replies with one.
         """
         if wire.has_heartbeat(data):
             self.receiver.receive("", data)
@@ -101,7 +102,7 @@
     def on_probe(self, data: Any, reply: "Reply") -> None:
         """Handles `probe(data, reply)` from the server: a peer asks if this one reaches another.
 
-        Answered from what is known, if that is of the last interval; else once a ping has ended.
+        Replies at once if the outcome is known from the last heartbeat interval, else after a ping.
         """
         try:
             request = wire.read_probe(data)
@@ -120,7 +121,7 @@
             self.ping(peer.name, [reply])
 
     def _known_outcome(self, peer: Peer) -> PingOutcome | None:
-        """What a ping of the peer would bring, if that was seen within the last interval."""
+        """The outcome of a ping if it is known from the last heartbeat interval, else None."""
         now = self.now()
         if now - peer.direct_sent_at < self.heartbeat_s:
             return PingOutcome.ANSWERED
@@ -129,17 +130,17 @@
         return None
 
     def _probe_result(self, name: str, outcome: PingOutcome) -> ProbeResult:
-        """What this controller tells another about a peer."""
+        """The result of a probe for which this controller is the relay."""
         peer = self.detector.peers[name]
-        if outcome is not PingOutcome.ANSWERED or not peer.heard_directly:
+        if outcome is not PingOutcome.ANSWERED or not peer.has_direct_heartbeat:
             return ProbeResult(name, outcome, None, 0.0)
         age_s = max(0.0, self.now() - peer.direct_sent_at)
         return ProbeResult(name, outcome, peer.direct_version, age_s)
 
-    # --- what relays are asked
+    # --- requests to relays
 
     def send_probe(self, probe: IndirectProbe) -> None:
-        """Asks relays about a suspected peer, and the peer itself."""
+        """Pings a suspected peer, and asks relays to probe it."""
         if probe.target not in self._pings:
             self.ping(probe.target)
         body = wire.write_probe(ProbeRequest(self.node, probe.target))
@@ -149,9 +150,9 @@
             self.links[relay].call("POST", peer_paths.PROBE, body, timeout_s, reply)
 
     def on_probed(self, relay: str, target: str, status: int, body: Any) -> None:
-        """Handles a relay's answer to a probe about `target`, from the relay's link.
+        """Handles a relay's response to a probe of `target`, from the relay's link.
 
-        A result that can't be read, or that is about another controller, is refused.
+        Rejects a result that is invalid or is about another controller.
         """
         if status != 200:
             return
@@ -159,7 +160,7 @@
             result = wire.read_probe_result(body)
             if result.target != target:
                 raise MalformedPeerMessageError(
-                    f"the probe result is about {result.target!r}, not the target {target!r}"
+                    f"the probe result names the target {result.target!r}, expected {target!r}"
                 )
             self.detector.note_probe_result(relay, result, self.now())
         except MalformedPeerMessageError as error:
--- a/emberglade/failure_detection/relays.py
+++ b/emberglade/failure_detection/relays.py
@@ -1,4 +1,4 @@
-"""Which controllers are asked about one that is suspected."""
+"""Selects the controllers that are asked to probe a suspected one."""
 
 from collections.abc import Iterable
 
@@ -8,9 +8,10 @@
 
 
 def choose_relays(node: str, alive: Iterable[str], domains: FailureDomains) -> tuple[str, ...]:
-    """Whom `node` is to ask: other domains than its own only, one a domain first.
+    """The relays of `node`: up to MAX_RELAYS, from other failure domains than its own.
 
-    `alive` are those believed alive, other than the one that is asked about.
+    Relays in different domains come first. `alive` are the controllers that are considered alive,
+    without the target.
     """
     own = domains.of(node)
     others = sorted(name for name in alive if domains.of(name) != own)
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -1,4 +1,4 @@
-"""What comes of a turn of the detector, and what the rest of a controller is told of its peers."""
+"""The result of a detector turn, and the liveness view that other actors receive."""
 
 from typing import NamedTuple, Protocol
 
@@ -6,16 +6,16 @@
 
 
 class LivenessView(NamedTuple):
-    """Which controllers can be relied on, as this one sees it now.
+    """The liveness of all controllers, as this one sees it now.
 
     Attributes:
-        states: What each other controller is taken for.
-        serving: These can commit; this controller is among them.
-        slow: These ask not to be given others' work.
-        may_fail_over: Whether this controller trusts its own picture enough to fail over.
-        may_fail_back: Whether it has served for long enough to get its home shards back.
-        revision: Of the last change of a node's key, a shard's or the leader's key that this view
-            takes in.
+        states: The state of each other controller.
+        serving: The controllers that can commit, this one included.
+        slow: The controllers that should not take over shards or leadership.
+        may_fail_over: Whether this controller's own view is reliable enough for failover.
+        may_fail_back: Whether this controller has served long enough to take its home shards back.
+        revision: Of the last change of a node's key, a shard's key or the leader's key that this
+            view reflects.
     """
 
     states: dict[str, PeerState]
@@ -27,7 +27,7 @@
 
     @property
     def suspected(self) -> frozenset[str]:
-        """Those that are silent, unconfirmed or confirmed."""
+        """The controllers that are suspected or confirmed dead."""
         return frozenset(
             name
             for name, state in self.states.items()
@@ -36,7 +36,7 @@
 
 
 class Transition(NamedTuple):
-    """A peer is taken for something else than before."""
+    """A change of a peer's state."""
 
     peer: str
     before: PeerState
@@ -45,14 +45,14 @@
 
 
 class IndirectProbe(NamedTuple):
-    """The relays are to be asked whether they reach the target."""
+    """A request to ask the relays whether they reach the target."""
 
     target: str
     relays: tuple[str, ...]
 
 
 class TurnResult(NamedTuple):
-    """What a turn of the loop led to."""
+    """The result of one turn of the detection loop."""
 
     transitions: tuple[Transition, ...]
     probes: tuple[IndirectProbe, ...]
@@ -60,10 +60,10 @@
 
 
 class LivenessListener(Protocol):
-    """An actor that the monitor tells of who is alive; it owns both handlers."""
+    """An actor that the monitor notifies of the liveness of controllers."""
 
     def on_liveness(self, view: LivenessView) -> None:
-        """Handles `liveness(view)`: who can be relied on has changed."""
+        """Handles `liveness(view)`: the liveness view has changed."""
 
     def on_peer_dead(self, name: str) -> None:
-        """Handles `peer_dead(name)`: the end of a peer is confirmed; the view came before."""
+        """Handles `peer_dead(name)`: a peer's death is confirmed; the matching view came before."""
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -1,6 +1,6 @@
-"""The form of what controllers tell each other: the one place that knows its paths and fields.
+"""The wire format of failure detection: the only module that knows its field names.
 
-Whatever a peer sends is checked here, and refused with MalformedPeerMessageError.
+Messages of peers are validated here; an invalid one raises MalformedPeerMessageError.
 """
 
 import enum
@@ -21,15 +21,14 @@
 
 Member = TypeVar("Member", bound=enum.Enum)
 
+HEARTBEAT_FIELD = "heartbeat"  # of a request or a response; the previous version ignores it
 
-HEARTBEAT_FIELD = "heartbeat"  # of a question or an answer, which production ignores
-
-# A heartbeat names each controller once; more rows than this are no honest message.
+# A heartbeat has one row per controller; a message with more rows than this is invalid.
 MAX_OPINIONS = 1000
 OPINION_FIELDS = 6
 MAX_COUNT = 2**64
 MAX_NAME_LENGTH = 200
-MAX_SHOWN_LENGTH = 80  # of a refused value, in the error's message
+MAX_VALUE_TEXT_LENGTH = 80  # of a rejected value in an error message
 
 
 # --- to the wire
@@ -51,11 +50,11 @@
 
 
 def write_heartbeat(heartbeat: Heartbeat) -> dict[str, Any]:
-    """The heartbeat as it goes into a message."""
+    """Encodes a heartbeat for a message."""
     return {
         "from": heartbeat.sender,
         "mark": _write_version(heartbeat.version),
-        "wall": round(heartbeat.sent_wall, 3),
+        "wall": round(heartbeat.sent_wall_time, 3),
         "contact": round(heartbeat.store_contact_age_s, 3),
         "slow": heartbeat.slow,
         "peers": [_write_opinion(opinion) for opinion in heartbeat.opinions],
@@ -63,19 +62,19 @@
 
 
 def add_heartbeat(body: Any, heartbeat: Heartbeat | None) -> Any:
-    """The body of a message with the heartbeat, if there is one; a ping is nothing but that."""
+    """The body with the heartbeat added, if there is one; a ping has no other content."""
     if heartbeat is None:
         return body
     return {**body, HEARTBEAT_FIELD: write_heartbeat(heartbeat)}
 
 
 def write_probe(request: ProbeRequest) -> dict[str, Any]:
-    """The body of a request to reach another controller."""
+    """The body of a probe request."""
     return {"from": request.sender, "target": request.target}
 
 
 def write_probe_result(result: ProbeResult) -> dict[str, Any]:
-    """The body of its answer."""
+    """The body of the response to a probe request."""
     return {
         "target": result.target,
         "outcome": result.outcome.value,
@@ -85,29 +84,30 @@
 
 
 def write_refusal(error: MalformedPeerMessageError) -> dict[str, Any]:
-    """The body of the answer to a message that is refused."""
+    """The body of the response to an invalid message."""
     return {"error": str(error)}
 
 
 # --- from the wire
 
 
-def _shown(value: Any) -> str:
-    """A short rendering of a value that a peer sent, for an error message."""
+def _abbreviate(value: Any) -> str:
+    """A value that a peer sent, shortened for an error message."""
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN_LENGTH else f"{text[: MAX_SHOWN_LENGTH - 3]}..."
+    return text if len(text) <= MAX_VALUE_TEXT_LENGTH else f"{text[: MAX_VALUE_TEXT_LENGTH - 3]}..."
 
 
 def _read_object(data: Any) -> dict[str, Any]:
     if not isinstance(data, dict):
-        raise MalformedPeerMessageError(f"expected a JSON object, got {_shown(data)}")
+        raise MalformedPeerMessageError(f"expected a JSON object, got {_abbreviate(data)}")
     return data
 
 
 def _read_name(value: Any) -> str:
     if not isinstance(value, str) or not value or len(value) > MAX_NAME_LENGTH:
         raise MalformedPeerMessageError(
-            f"a name must be a string of 1 to {MAX_NAME_LENGTH} characters, got {_shown(value)}"
+            f"a name must be a string of 1 to {MAX_NAME_LENGTH} characters,"
+            f" got {_abbreviate(value)}"
         )
     return value
 
@@ -115,17 +115,19 @@
 def _read_count(value: Any) -> int:
     if type(value) is not int or not 0 <= value < MAX_COUNT:
         raise MalformedPeerMessageError(
-            f"a count must be a whole number from 0 to below 2**64, got {_shown(value)}"
+            f"a count must be a whole number from 0 to below 2**64, got {_abbreviate(value)}"
         )
     return value
 
 
 def _read_seconds(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise MalformedPeerMessageError(f"a time must be a number of seconds, got {_shown(value)}")
+        raise MalformedPeerMessageError(
+            f"a time must be a number of seconds, got {_abbreviate(value)}"
+        )
     if not math.isfinite(value) or value < 0:
         raise MalformedPeerMessageError(
-            f"a time must be finite and not negative, got {_shown(value)}"
+            f"a time must be finite and not negative, got {_abbreviate(value)}"
         )
     return float(value)
 
@@ -133,7 +135,7 @@
 def _read_version(value: Any) -> HeartbeatVersion:
     if not isinstance(value, list) or len(value) != 3:
         raise MalformedPeerMessageError(
-            f"a mark must be a list of three counts, got {_shown(value)}"
+            f"a mark must be a list of three counts, got {_abbreviate(value)}"
         )
     revision, lease, sequence = map(_read_count, value)
     return HeartbeatVersion(Incarnation(revision, lease), sequence)
@@ -144,21 +146,21 @@
 
 
 def _read_member(kind: type[Member], value: Any, error: str) -> Member:
-    """The member of an enumeration that has this value; `error` says what is wrong if none has."""
+    """The enumeration member with this value; `error` begins the message if there is none."""
     try:
         return kind(value)
     except ValueError:
-        raise MalformedPeerMessageError(f"{error}: {_shown(value)}") from None
+        raise MalformedPeerMessageError(f"{error} {_abbreviate(value)}") from None
 
 
 def _read_opinion(row: Any) -> Opinion:
     if not isinstance(row, list) or len(row) < OPINION_FIELDS:
         raise MalformedPeerMessageError(
-            f"an opinion must be a list of at least six fields, got {_shown(row)}"
+            f"an opinion must be a list of at least six fields, got {_abbreviate(row)}"
         )
     peer, state, version, age_s, store_contact_age_s, failback_delay_s = row[:OPINION_FIELDS]
     return Opinion(
-        state=_read_member(PeerState, state, "an opinion names no known peer state"),
+        state=_read_member(PeerState, state, "an opinion must name a known peer state, got"),
         peer=_read_name(peer),
         version=_read_optional_version(version),
         age_s=_read_seconds(age_s),
@@ -168,20 +170,20 @@
 
 
 def read_heartbeat(data: Any) -> Heartbeat:
-    """The heartbeat in a message, or MalformedPeerMessageError with what is wrong."""
+    """Decodes a heartbeat; raises MalformedPeerMessageError if it is invalid."""
     data = _read_object(data)
     rows = data.get("peers")
     if not isinstance(rows, list) or len(rows) > MAX_OPINIONS:
         raise MalformedPeerMessageError(
-            f"'peers' must be a list of at most {MAX_OPINIONS} opinions, got {_shown(rows)}"
+            f"'peers' must be a list of at most {MAX_OPINIONS} opinions, got {_abbreviate(rows)}"
         )
     slow = data.get("slow")
     if not isinstance(slow, bool):
-        raise MalformedPeerMessageError(f"'slow' must be true or false, got {_shown(slow)}")
+        raise MalformedPeerMessageError(f"'slow' must be true or false, got {_abbreviate(slow)}")
     return Heartbeat(
         sender=_read_name(data.get("from")),
         version=_read_version(data.get("mark")),
-        sent_wall=_read_seconds(data.get("wall")),
+        sent_wall_time=_read_seconds(data.get("wall")),
         store_contact_age_s=_read_seconds(data.get("contact")),
         slow=slow,
         opinions=tuple(_read_opinion(row) for row in rows),
@@ -189,36 +191,36 @@
 
 
 def has_heartbeat(body: Any) -> bool:
-    """Whether a message carries a heartbeat; those of production don't."""
+    """Whether a message carries a heartbeat; those of the previous version don't."""
     return isinstance(body, dict) and HEARTBEAT_FIELD in body
 
 
 def read_carried_heartbeat(body: Any) -> Heartbeat:
-    """The heartbeat that a ping, a question or an answer carries.
+    """Decodes the heartbeat that a ping, a request or a response carries.
 
     Raises:
-        MalformedPeerMessageError: There is none, or it can't be read.
+        MalformedPeerMessageError: The heartbeat is missing or invalid.
     """
     return read_heartbeat(_read_object(body).get(HEARTBEAT_FIELD))
 
 
 def read_sender(body: dict[str, Any]) -> str:
-    """Who a question says that it is of, as it stands there; for the log."""
+    """The sender that a request names, unchecked; for the log."""
     return str(body.get("from"))
 
 
 def read_probe(data: Any) -> ProbeRequest:
-    """The request to reach another controller, or MalformedPeerMessageError."""
+    """Decodes a probe request; raises MalformedPeerMessageError if it is invalid."""
     data = _read_object(data)
     return ProbeRequest(_read_name(data.get("from")), _read_name(data.get("target")))
 
 
 def read_probe_result(data: Any) -> ProbeResult:
-    """The answer to such a request, or MalformedPeerMessageError."""
+    """Decodes a probe result; raises MalformedPeerMessageError if it is invalid."""
     data = _read_object(data)
     return ProbeResult(
         outcome=_read_member(
-            PingOutcome, data.get("outcome"), "'outcome' names no known ping outcome"
+            PingOutcome, data.get("outcome"), "'outcome' must be a known ping outcome, got"
         ),
         target=_read_name(data.get("target")),
         version=_read_optional_version(data.get("mark")),
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -69,7 +69,7 @@
         """A peer asks what is known here of machines; its question may carry a heartbeat."""
         if self.peer_monitor is not None:
             send_inline(self.peer_monitor.on_hear_question, data)
-            reply = self.peer_monitor.answering(reply)
+            reply = self.peer_monitor.reply_with_heartbeat(reply)
         send_inline(self.agents.on_machine_question, read_question(data), reply)
 
     def _ping(self, data: Any, reply: Reply) -> None:
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -18,9 +18,11 @@
     from ..config import Settings
 
 MAX_IN_FLIGHT = 3  # syncs without an answer
-MAX_WAITING_UNREAD = 64  # who may wait for a sync while the replica was not read yet
-SLOWDOWN_IN_FLIGHT = 4  # a sync in flight lengthens the interval to the next by so many times
-BUDGET_SHARE = 2.0  # of a controller's even share of requests, syncs take one in so many
+MAX_WAITING_UNLOADED = 64  # who may wait for a sync while the replica was not read yet
+INTERVAL_FACTOR_PER_IN_FLIGHT = (
+    4  # a sync in flight lengthens the interval to the next by so many times
+)
+SYNC_BUDGET_DIVISOR = 2.0  # of a controller's even share of requests, syncs take one in so many
 CHANGES_TOO_OLD = 410  # the state service does not keep all changes since the replica's revision
 
 
@@ -36,7 +38,7 @@
 
     Syncs take at most half of the even share, however many ask; commits have the rest.
     """
-    return BUDGET_SHARE * settings.size / settings.state_rps
+    return SYNC_BUDGET_DIVISOR * settings.size / settings.state_rps
 
 
 class ReadBarrier(ActorPart):
@@ -55,15 +57,15 @@
         replica: Replica,
         subscribers: Subscribers,
         apply: Callable[[Changes], None],
-        read_again: Callable[[], None],
+        reload_replica: Callable[[], None],
     ) -> None:
         """Makes the barrier of a store.
 
-        `apply(changes)` takes in what a sync brings; `read_again()` reads the whole replica.
+        `apply(changes)` takes in what a sync brings; `reload_replica()` reads the whole replica.
         """
         super().__init__(actor)
         self.requests, self.replica, self.subscribers = requests, replica, subscribers
-        self.apply, self.read_again = apply, read_again
+        self.apply, self.reload_replica = apply, reload_replica
         self.interval_s = sync_interval_s(settings)
         # While nobody asks, others' changes are looked for less often: most of a quiet day is this.
         self.idle_interval_s = max(3 * self.interval_s, settings.agent_heartbeat_s / 8)
@@ -80,9 +82,9 @@
         `reply(None)` if the sync failed, or if too many wait before the replica was first read.
         """
         self._waiters.append(reply)
-        if self.replica.is_read:
+        if self.replica.is_loaded:
             self.schedule()
-        elif len(self._waiters) > MAX_WAITING_UNREAD:
+        elif len(self._waiters) > MAX_WAITING_UNLOADED:
             self._waiters.pop(0)(None)
 
     def schedule(self) -> None:
@@ -91,18 +93,18 @@
             return
         self._is_scheduled = True
         # A second one at once is worth its cost only when the first is slow to be answered.
-        interval_s = self.interval_s * (1 + SLOWDOWN_IN_FLIGHT * len(self._in_flight))
+        interval_s = self.interval_s * (1 + INTERVAL_FACTOR_PER_IN_FLIGHT * len(self._in_flight))
         send_after(max(0.0, self._last_sent_at + interval_s - self.now()), self.on_send_sync)
 
     def schedule_if_idle(self) -> None:
         """Schedules a sync if none was sent for long: what others wrote is to be seen soon."""
-        if self.replica.is_read and self.now() - self._last_sent_at > self.idle_interval_s:
+        if self.replica.is_loaded and self.now() - self._last_sent_at > self.idle_interval_s:
             self.schedule()
 
     def on_send_sync(self) -> None:
         """Handles `send_sync`, from `schedule`: sends one sync for all who wait."""
         self._is_scheduled = False
-        if not self.replica.is_read:
+        if not self.replica.is_loaded:
             return
         self._last_number += 1
         self._last_sent_at = self.now()
@@ -119,14 +121,14 @@
         the sync failed.
         """
         sync = self._in_flight.pop(number)
-        if status == CHANGES_TOO_OLD and self.replica.is_read:
+        if status == CHANGES_TOO_OLD and self.replica.is_loaded:
             self._waiters = sync.waiters + self._waiters
             self.replica.invalidate()
-            self.read_again()
+            self.reload_replica()
             return
         changes = wire.read_changes(body, LIVE_PREFIX) if status == 200 else None
         revision = None
-        if changes is not None and self.replica.is_read:
+        if changes is not None and self.replica.is_loaded:
             self.apply(changes)
             self._note_answer(sync)
             revision = self.replica.revision
--- a/emberglade/state/replica.py
+++ b/emberglade/state/replica.py
@@ -5,29 +5,29 @@
 
 from .wire import Change, KeyValue
 
-NOT_READ = -1  # the revision of a replica that was not read yet, or has to be read anew
+NOT_LOADED = -1  # the revision of a replica that was not read yet, or has to be read anew
 
 
 class Replica:
     """What all live keys hold; keys are without LIVE_PREFIX.
 
     Attributes:
-        revision: The replica shows all changes up to this one; NOT_READ: nothing yet.
+        revision: The replica shows all changes up to this one; NOT_LOADED: nothing yet.
     """
 
     def __init__(self, recent_limit: int) -> None:
         """Makes an empty replica that keeps the `recent_limit` newest changes for peers."""
-        self.revision = NOT_READ
+        self.revision = NOT_LOADED
         self._rows: dict[str, Change] = {}
         # What a peer that the state service refuses may still learn here.
         self._recent: deque[Change] = deque(maxlen=recent_limit)
-        self._recent_after = NOT_READ  # `_recent` holds all changes after this revision
+        self._recent_after = NOT_LOADED  # `_recent` holds all changes after this revision
 
     def __len__(self) -> int:
         return len(self._rows)
 
     @property
-    def is_read(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the replica shows the keys as of some revision."""
         return self.revision >= 0
 
@@ -42,7 +42,7 @@
 
     def invalidate(self) -> None:
         """The changes after its revision can't be had any more; it has to be read anew."""
-        self.revision = NOT_READ
+        self.revision = NOT_LOADED
 
     def replace(self, rows: Iterable[Change], revision: int) -> list[Change]:
         """Takes in all live keys, read from `revision` on.
@@ -66,8 +66,8 @@
         Returns:
             The changes that are new here.
         """
-        shown = self.revision
-        fresh = [change for change in changes if change.mod_revision > shown]
+        current = self.revision
+        fresh = [change for change in changes if change.mod_revision > current]
         for change in fresh:
             if change.data is None:
                 self._rows.pop(change.key, None)
@@ -76,11 +76,11 @@
             if len(self._recent) == self._recent.maxlen:
                 self._recent_after = self._recent[0].mod_revision
             self._recent.append(change)
-        self.revision = max(shown, revision)
+        self.revision = max(current, revision)
         return fresh
 
     def changes_after(self, revision: int) -> list[Change] | None:
         """The changes after `revision` in their order, or None if not all of them are kept."""
-        if not self.is_read or not self._recent_after <= revision <= self.revision:
+        if not self.is_loaded or not self._recent_after <= revision <= self.revision:
             return None
         return [change for change in self._recent if change.mod_revision > revision]
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -135,9 +135,9 @@
         return True
 
     def _may_send(self, request: Request, now: float) -> bool:
-        if now < self._paused_until or not self._request_budget.has(now):
+        if now < self._paused_until or not self._request_budget.allows(now):
             return False
-        return not request.writes or self._write_budget.has(now)
+        return not request.writes or self._write_budget.allows(now)
 
     def _send_now(self, request: Request, now: float) -> None:
         self._request_budget.take(now, 1)
@@ -161,6 +161,6 @@
             now = self.now()
             self._paused_until = now + self.pause_s
             budget = self._write_budget if request.writes else self._request_budget
-            budget.refused(now)
+            budget.back_off(now)
         request.reply(status, body)
         self.send_queued()
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -70,7 +70,7 @@
             self.replica,
             self.subscribers,
             apply=self.apply,
-            read_again=self.full_read.start,
+            reload_replica=self.full_read.start,
         )
 
     @property
@@ -97,7 +97,7 @@
         If the replica has been read, the subscriber is told all of it at once (`is_snapshot` True).
         """
         self.subscribers.add(actor)
-        if self.replica.is_read:
+        if self.replica.is_loaded:
             send(actor.on_changed, self.replica.rows(), self.revision, True)
 
     def replace(self, rows: list[Change], revision: int) -> None:
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -1,9 +1,9 @@
 """A token bucket whose rate adapts: a node takes more than its even share while nobody objects."""
 
 GROWTH_PER_S = 1.1  # the rate grows by this factor a second
-LONGEST_GROWTH_S = 60.0  # a longer time without requests counts as this much
+MAX_GROWTH_S = 60.0  # a longer time without requests counts as this much
 MAX_SHARE = 0.8  # of the whole service's rate; the rest is the others' least
-ROUNDING = 1e-9  # of a token
+TOKEN_TOLERANCE = 1e-9  # of a token
 
 
 class TokenBucket:
@@ -28,21 +28,21 @@
             passed_s = now - self._filled_at
             limit = max(self._burst, self._rate)
             self._tokens = min(limit, self._tokens + passed_s * self._rate)
-            growth = GROWTH_PER_S ** min(passed_s, LONGEST_GROWTH_S)
+            growth = GROWTH_PER_S ** min(passed_s, MAX_GROWTH_S)
             self._rate = min(self._max_rate, self._rate * growth)
         self._filled_at = now
 
-    def has(self, now: float) -> bool:
+    def allows(self, now: float) -> bool:
         """Whether something may be sent now; what it takes too much is paid back by waiting."""
         self._fill(now)
-        return self._tokens >= 1.0 - ROUNDING
+        return self._tokens >= 1.0 - TOKEN_TOLERANCE
 
     def take(self, now: float, amount: int) -> None:
         """Takes `amount` at time `now` (seconds); the tokens may go below zero."""
         self._fill(now)
         self._tokens -= amount
 
-    def refused(self, now: float) -> None:
+    def back_off(self, now: float) -> None:
         """The service had too much: back to half the rate, at least the even share."""
         self._fill(now)
         self._rate = max(self._even_share, self._rate / 2)
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -18,10 +18,10 @@
 
 log = logging.getLogger("emberglade.transport")
 
-ACCEPTS_AT_ONCE = 64  # new connections taken before the others have their turn again
+MAX_ACCEPTS_PER_EVENT = 64  # new connections taken before the others have their turn again
 EVICTION_CANDIDATES = 16  # of the connections idle for longest, those that are looked at
 ACCEPT_PAUSE_S = 0.02  # while every place is taken by connections that have only just come
-CROWDED_SHARE = 7 / 8  # of the connections; above it each one is closed after its answer
+NEAR_LIMIT_SHARE = 7 / 8  # of the connections; above it each one is closed after its answer
 
 
 @dataclass(frozen=True)
@@ -82,18 +82,18 @@
         return len(self._users)
 
     @property
-    def is_crowded(self) -> bool:
+    def is_near_limit(self) -> bool:
         """Whether so many connections are open that each one is closed after its answer."""
-        return len(self) > CROWDED_SHARE * self.limits.max_connections
+        return len(self) > NEAR_LIMIT_SHARE * self.limits.max_connections
 
     # --- new connections
 
     def accept_new(self) -> None:
         """Takes new connections, as far as there are places for them."""
         now = time.monotonic()
-        for _ in range(ACCEPTS_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             is_full = len(self) >= self.limits.max_connections
-            if is_full and self._idle_longest(now) is None and self._has_newcomer():
+            if is_full and self._find_evictable(now) is None and self._has_unserved_connection():
                 # These are read first; the others wait in the listener's queue meanwhile.
                 self.pause_accepting(now)
                 return
@@ -156,15 +156,15 @@
             self._users[connection] = None
         return True
 
-    def _idle_longest(self, now: float) -> ServerConnection | None:
+    def _find_evictable(self, now: float) -> ServerConnection | None:
         """The connection that is to give way: of those idle for longest, users' first, or None."""
         for connections in (self._users, self._others):
             for connection in islice(connections, EVICTION_CANDIDATES):
-                if connection.may_give_way(now):
+                if connection.is_evictable(now):
                     return connection
         return None
 
-    def _has_newcomer(self) -> bool:
+    def _has_unserved_connection(self) -> bool:
         """Whether a connection is open on which no request was routed yet."""
         return any(
             not connection.served and connection.exchange is None
@@ -173,7 +173,7 @@
 
     def _evict_idle(self, now: float) -> bool:
         """Closes the connection that has been idle for longest; False if none is."""
-        connection = self._idle_longest(now)
+        connection = self._find_evictable(now)
         if connection is None:
             return False
         self.evicted += 1
--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -66,7 +66,7 @@
         threading.Thread(target=run, name=f"{name}-{number}", daemon=True).start()
 
 
-def carry(call: Call, connection: Connection) -> tuple[int, Any]:
+def perform(call: Call, connection: Connection) -> tuple[int, Any]:
     """Carries a call over a connection, which is closed if that fails.
 
     Returns:
@@ -108,7 +108,7 @@
         connection = Connection(self.address)
         while True:
             call = self._calls.take()
-            call.reply(*carry(call, connection))
+            call.reply(*perform(call, connection))
 
 
 class IdleConnections:
@@ -167,6 +167,6 @@
         while True:
             call = self._calls.take()
             connection = self._idle.take(call.address)
-            status, body = carry(call, connection)
+            status, body = perform(call, connection)
             self._idle.keep(call.address, connection)
             call.reply(NO_ANSWER if status == REFUSED else status, body)
--- a/emberglade/transport/client_connection.py
+++ b/emberglade/transport/client_connection.py
@@ -12,10 +12,10 @@
 log = logging.getLogger("emberglade.transport")
 
 # The longest lines that are read at once, in bytes.
-MAX_STATUS_LINE = 1024
-MAX_HEADER_LINE = 8192
-MAX_CHUNK_LINE = 64
-MAX_CHUNK_END = 8
+MAX_STATUS_LINE_BYTES = 1024
+MAX_HEADER_LINE_BYTES = 8192
+MAX_CHUNK_LINE_BYTES = 64
+MAX_CHUNK_END_BYTES = 8
 EMPTY_LINES = (b"\r\n", b"\n")
 
 
@@ -105,7 +105,7 @@
 
 def read_response(reader: BinaryIO) -> Response:
     """Reads one response, all of it."""
-    line = reader.readline(MAX_STATUS_LINE)
+    line = reader.readline(MAX_STATUS_LINE_BYTES)
     if not line:
         raise ConnectionClosedError("closed by the other side")
     status = int(line.split(None, 2)[1])
@@ -134,7 +134,7 @@
     close = False
     chunked = False
     while True:
-        line = reader.readline(MAX_HEADER_LINE)
+        line = reader.readline(MAX_HEADER_LINE_BYTES)
         if line in EMPTY_LINES:
             return ResponseHeaders(content_length, close, chunked)
         if not line:
@@ -153,14 +153,14 @@
     """The body of a response that comes in chunks."""
     parts: list[bytes] = []
     while True:
-        size = int(reader.readline(MAX_CHUNK_LINE).split(b";")[0], 16)
+        size = int(reader.readline(MAX_CHUNK_LINE_BYTES).split(b";")[0], 16)
         if size == 0:
             _skip_trailers(reader)
             return b"".join(parts)
         parts.append(reader.read(size))
-        reader.readline(MAX_CHUNK_END)
+        reader.readline(MAX_CHUNK_END_BYTES)
 
 
 def _skip_trailers(reader: BinaryIO) -> None:
-    while reader.readline(MAX_HEADER_LINE) not in (*EMPTY_LINES, b""):
+    while reader.readline(MAX_HEADER_LINE_BYTES) not in (*EMPTY_LINES, b""):
         continue
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from .server import Server
 
-FIRST_REQUEST_S = 1.0  # a new connection is not taken for an idle one for so long
+NEW_CONNECTION_GRACE_S = 1.0  # a new connection is not taken for an idle one for so long
 
 
 class ServerConnection:
@@ -59,9 +59,9 @@
         """Whether no request waits for its answer and no part of an answer is left to send."""
         return self.exchange is None and not self.unsent
 
-    def may_give_way(self, now: float) -> bool:
+    def is_evictable(self, now: float) -> bool:
         """Whether nothing is asked on it, nor about to be."""
-        return self.idle and (self.served or now - self.active_at > FIRST_REQUEST_S)
+        return self.idle and (self.served or now - self.active_at > NEW_CONNECTION_GRACE_S)
 
 
 class Exchange:
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -35,7 +35,7 @@
 
 RECEIVE_BYTES = 64 * 1024
 OVERLOAD_RETRY_S = 1
-MIN_LISTEN_QUEUE = 16  # connections that wait to be accepted
+MIN_LISTEN_BACKLOG = 16  # connections that wait to be accepted
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
 
@@ -66,7 +66,7 @@
     ) -> None:
         self.route, self.limits = route, limits
         # After the end of another controller all its workers come at once.
-        self.request_queue_size = max(MIN_LISTEN_QUEUE, limits.max_connections // 2)
+        self.request_queue_size = max(MIN_LISTEN_BACKLOG, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
         self.socket.setblocking(False)
@@ -97,17 +97,17 @@
         next_sweep = time.monotonic() + sweep_s
         while not self._stopping:
             self.connections.resume_accepting()
-            for key, events in self._selector.select(self._time_to_wait(next_sweep)):
+            for key, events in self._selector.select(self._select_timeout_s(next_sweep)):
                 self._handle_event(key, events)
             while self._pending:
-                self._guarded(self._go_on, self._pending.popleft())
+                self._guarded(self._continue_connection, self._pending.popleft())
             now = time.monotonic()
             self._expire_exchanges(now)
             if now >= next_sweep:
                 next_sweep = now + sweep_s
                 self.connections.close_idle(now)
 
-    def _time_to_wait(self, next_sweep: float) -> float:
+    def _select_timeout_s(self, next_sweep: float) -> float:
         """Seconds until something is due that no event announces."""
         due = next_sweep
         if self._unanswered:
@@ -123,7 +123,7 @@
             self._waker.drain()
         else:
             if events & selectors.EVENT_WRITE:
-                self._guarded(self._send_rest, key.data)
+                self._guarded(self._send_remaining, key.data)
             if events & selectors.EVENT_READ:
                 self._guarded(self._receive, key.data)
 
@@ -191,7 +191,7 @@
             exchange = self._open_exchange(connection, False, now)
             exchange.reply(503, {"error": "too many connections here; ask again"}, OVERLOAD_RETRY_S)
             return
-        keep_alive = request.keep_alive and not self.connections.is_crowded
+        keep_alive = request.keep_alive and not self.connections.is_near_limit
         self._route(request, self._open_exchange(connection, keep_alive, now))
 
     def _route(self, request: Request, exchange: Exchange) -> None:
@@ -248,7 +248,7 @@
             self._pending.append(connection)
             self._waker.wake()
 
-    def _go_on(self, connection: ServerConnection) -> None:
+    def _continue_connection(self, connection: ServerConnection) -> None:
         """What is left after an answer: its rest, the end of the connection, the next request."""
         if connection.is_closed:
             return
@@ -261,7 +261,7 @@
         elif connection.received:
             self._serve_received(connection)
 
-    def _send_rest(self, connection: ServerConnection) -> None:
+    def _send_remaining(self, connection: ServerConnection) -> None:
         """Sends more of an answer that the socket could not take at once."""
         with connection.lock:
             try:
@@ -274,4 +274,4 @@
             connection.unsent = connection.unsent[sent:]
         if not connection.unsent:
             self._selector.modify(connection.sock, selectors.EVENT_READ, connection)
-            self._go_on(connection)
+            self._continue_connection(connection)
--- a/tests/benchmarks/failover.py
+++ b/tests/benchmarks/failover.py
@@ -168,7 +168,7 @@
         self.messages = 0
         self.processor_s = 0.0
         self.patches = [
-            (PeerDetector, "_move", self.wrap_move(PeerDetector._move)),
+            (PeerDetector, "_set_state", self.wrap_move(PeerDetector._set_state)),
             (SimulatedProcess, "deliver", self.wrap_deliver(SimulatedProcess.deliver)),
             (cluster.world, "request", self.wrap_request(cluster.world.request)),
         ]
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -13,7 +13,7 @@
     """Whoever is suspected counts as dead."""
 
     def confirm(self, peer, isolated, now):
-        self._move(peer, PeerState.DEAD, "suspected")
+        self._set_state(peer, PeerState.DEAD, "suspected")
         return True
 
     patch.setattr(PeerDetector, "_confirm", confirm)
@@ -30,10 +30,10 @@
     """Any heartbeat is a sign of life, whatever came before it and however old it is."""
     original = PeerDetector.receive_heartbeat
 
-    def receive_heartbeat(self, heartbeat, now, wall):
+    def receive_heartbeat(self, heartbeat, now, wall_time):
         peer = self.peers[heartbeat.sender]
         peer.direct_version = peer.version = None
-        return original(self, heartbeat._replace(sent_wall=wall), now, wall)
+        return original(self, heartbeat._replace(sent_wall_time=wall_time), now, wall_time)
 
     patch.setattr(PeerDetector, "receive_heartbeat", receive_heartbeat)
 
@@ -56,7 +56,7 @@
 def no_startup_grace(patch):
     """Who has not been heard yet serves only by its key, from the first moment on."""
     original = Peer.serves
-    patch.setattr(Peer, "serves", lambda self, now, startup_over: original(self, now, True))
+    patch.setattr(Peer, "serves", lambda self, now, startup_complete: original(self, now, True))
 
 
 def serves_by_key_alone(patch):
@@ -65,8 +65,8 @@
     patch.setattr(
         Peer,
         "serves",
-        lambda self, now, startup_over: (
-            self.key_lease is not None and original(self, now, startup_over)
+        lambda self, now, startup_complete: (
+            self.key_lease is not None and original(self, now, startup_complete)
         ),
     )
 
@@ -144,7 +144,10 @@
     patch.setattr(
         PeerDetector,
         "receive_heartbeat",
-        lambda self, heartbeat, now, wall: original(
-            self, heartbeat._replace(sent_wall=min(heartbeat.sent_wall, wall)), now, wall
+        lambda self, heartbeat, now, wall_time: original(
+            self,
+            heartbeat._replace(sent_wall_time=min(heartbeat.sent_wall_time, wall_time)),
+            now,
+            wall_time,
         ),
     )
