--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -1,10 +1,10 @@
-"""Actors: objects that own their state and are spoken to by messages.
+"""Actors: objects with private state that communicate by messages.
 
-A message is a call of one of the actor's handlers, made later and in the actor's own turn:
-`send(store.on_sync, reply)` has the store's thread run `on_sync(reply)`. Handlers are the methods
-`on_<message>`; nobody calls another actor's methods directly. `ThreadSystem` gives each actor a
-thread, a mailbox and a turn; the tests run the same actors on simulated time. Own layer instead
-of Pykka: see docs/design.md, "Libraries".
+A message is a deferred call of one of the actor's handlers, the methods `on_<message>`:
+`send(store.on_sync, reply)` makes the store run `on_sync(reply)` in its own turn. An actor never
+calls another actor's methods directly. `ThreadSystem` gives each actor a thread, a mailbox and a
+turn; the tests run the same actors on simulated time. For the reasons not to use Pykka see
+docs/design.md, "Libraries".
 """
 
 import heapq
@@ -26,46 +26,46 @@
 SendInline = Callable[[Handler, tuple[Any, ...]], None]  # send_inline(handler, arguments)
 
 HANDLER_PREFIX = "on_"
-IMMEDIATE = 0.0  # in the place of a due time: in the order in which messages were told
+IMMEDIATE = 0.0  # in place of a due time: the message is handled in the order of sending
 
 
 class ActorSystem(Protocol):
-    """Whoever runs actors: their clocks and their random numbers."""
+    """The runtime of actors, with its clocks and random numbers."""
 
     random: random.Random
 
     def now(self) -> float:
-        """The steady clock, in seconds."""
+        """The monotonic clock, in seconds."""
 
     def wall_time(self) -> float:
-        """The time of day, in seconds since 1970."""
+        """The wall clock, in seconds since 1970."""
 
 
 class Actor:
     """Base of all actors. Subclasses define `on_<message>` and may define `on_begin`.
 
     Attributes:
-        system: The clocks and the random numbers of whoever runs the actor.
+        system: The runtime of the actor, with its clocks and random numbers.
     """
 
-    # Set by whoever runs the actor, before any actor of its process begins.
+    # Set by the runtime before it starts any actor of the process.
     system: ActorSystem
     _post: Post
     _send_inline: SendInline | None = None
 
     def now(self) -> float:
-        """The steady clock, in seconds."""
+        """The monotonic clock, in seconds."""
         return self.system.now()
 
     def on_begin(self) -> None:
-        """Handles the first message of every actor, from the actor system."""
+        """Handles `begin` from the actor system, the first message of every actor."""
 
 
 class ActorPart:
-    """An object of its own that does one job of an actor, in the actor's turn.
+    """A component of an actor with one responsibility, which runs in the actor's turn.
 
-    Its handlers `on_<message>` can be told like the actor's own: they run on the actor's thread,
-    one message at a time with all others of that actor.
+    Its handlers `on_<message>` receive messages like the actor's own handlers. An actor and its
+    parts handle one message at a time.
 
     Attributes:
         actor: The actor that it is a part of.
@@ -84,35 +84,35 @@
 
     @property
     def system(self) -> ActorSystem:
-        """The clocks and the random numbers of whoever runs the actor."""
+        """The runtime of the actor, with its clocks and random numbers."""
         return self.actor.system
 
     def now(self) -> float:
-        """The steady clock, in seconds."""
+        """The monotonic clock, in seconds."""
         return self.actor.system.now()
 
 
 def send(
     handler: Callable[Arguments, Any], *args: Arguments.args, **kwargs: Arguments.kwargs
 ) -> None:
-    """Has an actor run one of its handlers with these arguments, in its own turn.
+    """Sends a message to an actor, which runs `handler` with these arguments in its own turn.
 
-    Messages from one sender are handled in the order in which they were told.
+    Messages of one sender are handled in the order of sending.
     """
     assert not kwargs, "messages have no keyword arguments"
     _receiver(handler)._post(0.0, handler, args)
 
 
 def send_after(delay_s: float, handler: Handler, *args: Any) -> None:
-    """Like `send`, but `delay_s` seconds from now."""
+    """Like `send`, but the message is due `delay_s` seconds from now."""
     _receiver(handler)._post(delay_s, handler, args)
 
 
 def send_inline(handler: Handler, *args: Any) -> None:
-    """Like `send`, but in the caller's thread if the actor has nothing else to do just now.
+    """Like `send`, but handles the message in the caller's thread if the actor is idle.
 
-    It is still one message at a time, in the actor's own turn. Two changes of threads a heartbeat
-    cost more than the heartbeat.
+    The actor still handles one message at a time, in its own turn. This saves two thread switches
+    per heartbeat, which cost more than handling the heartbeat itself.
     """
     actor = _receiver(handler)
     if actor._send_inline is None:
@@ -122,7 +122,7 @@
 
 
 def callback(handler: Handler, *context: Any) -> Callable[..., None]:
-    """A callable that tells `handler` with `context` and whatever it is called with."""
+    """A callable that sends its arguments to `handler`, after those of `context`."""
     post = _receiver(handler)._post
     return lambda *result: post(0.0, handler, context + result)
 
@@ -133,22 +133,23 @@
 
 
 def _receiver(handler: Handler) -> Actor | ActorPart:
-    """The actor, or the part of one, whose bound method a handler is."""
+    """The actor or the part of an actor that the handler is a bound method of."""
     return handler.__self__  # type: ignore[attr-defined]
 
 
 def _message_name(handler_name: str) -> str:
-    """The message that a handler of this name handles."""
+    """The name of the message that a handler of this name handles."""
     return handler_name.removeprefix(HANDLER_PREFIX)
 
 
-# One message in an actor's mailbox: (due by the steady clock in seconds or IMMEDIATE, handler,
-# arguments). A plain tuple, since making a NamedTuple is a noticeable part of a message's cost.
+# A message in an actor's mailbox: (due time in seconds of the monotonic clock or IMMEDIATE,
+# handler, arguments). A plain tuple, because creating a NamedTuple adds noticeably to the cost of
+# a message.
 Message = tuple[float, Handler, tuple[Any, ...]]
 
 
 class Timer(NamedTuple):
-    """One message that is not due yet; timers that are due at once fire in the order told."""
+    """A message that is not due yet; timers with the same due time fire in the order of arrival."""
 
     due: float
     number: int
@@ -158,7 +159,7 @@
 
 @dataclass(slots=True)
 class HandlerUsage:
-    """What the messages of one handler have cost, waits included."""
+    """The time spent in one handler, including time it was blocked, and its number of calls."""
 
     seconds: float = 0.0
     count: int = 0
@@ -168,7 +169,7 @@
     """One actor's thread, mailbox, timers and turn.
 
     Attributes:
-        usage: What each handler has cost since it was last cleared, by the handler's name.
+        usage: The usage of each handler since it was last cleared, by the handler's name.
     """
 
     def __init__(self, actor: Actor, name: str, now: Callable[[], float]) -> None:
@@ -178,22 +179,22 @@
         self._mailbox: queue.SimpleQueue[Message] = queue.SimpleQueue()
         self._timers: list[Timer] = []
         self._timer_numbers = itertools.count()
-        # Held by whichever thread delivers a message to this actor.
+        # Held by the thread that is running one of the actor's handlers.
         self._turn = threading.Lock()
-        self._turn.acquire()  # until the actor has begun
+        self._turn.acquire()  # released once `on_begin` has run
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Begins the actor on its thread."""
+        """Starts the actor's thread."""
         self._thread.start()
 
     def post(self, delay_s: float, handler: Handler, args: tuple[Any, ...]) -> None:
-        """Puts a message into the mailbox, from any thread."""
+        """Puts a message into the mailbox; may be called from any thread."""
         due = self._now() + delay_s if delay_s > 0 else IMMEDIATE
         self._mailbox.put((due, handler, args))
 
     def send_inline(self, handler: Handler, args: tuple[Any, ...]) -> None:
-        """Delivers in the caller's thread if nothing else waits; else puts it into the mailbox."""
+        """Handles the message in the caller's thread if the actor is idle, else queues it."""
         if not self._mailbox.empty() or not self._turn.acquire(blocking=False):
             self._mailbox.put((IMMEDIATE, handler, args))
             return
@@ -210,7 +211,7 @@
             if wait_s is not None and wait_s <= 0:
                 timer = heapq.heappop(self._timers)
                 self._deliver_in_turn(timer.handler, timer.args)
-                # Mail is not starved by timers that are always due.
+                # Take one message from the mailbox between timers, or they could starve it.
                 wait_s = 0.0
             try:
                 due, handler, args = self._mailbox.get(wait_s != 0.0, wait_s)
@@ -223,7 +224,7 @@
                 heapq.heappush(self._timers, Timer(due, number, handler, args))
 
     def _time_to_timer(self) -> float | None:
-        """Seconds until the next timer is due, negative if it is overdue; None: no timer."""
+        """Seconds until the next timer is due, negative if overdue; None if there is no timer."""
         return self._timers[0].due - self._now() if self._timers else None
 
     def _deliver_in_turn(self, handler: Handler, args: tuple[Any, ...]) -> None:
@@ -231,28 +232,28 @@
             self._deliver(handler, args)
 
     def _deliver(self, handler: Handler, args: tuple[Any, ...]) -> None:
-        """Runs a handler in the turn that the caller holds, and accounts for its time."""
-        begun = time.perf_counter()
+        """Runs a handler and records its usage; the caller holds the turn."""
+        started_at = time.perf_counter()
         try:
             handler(*args)
         except Exception:
-            # One bad message must not end the controller; its sender repeats what matters.
+            # A failing handler must not stop the actor. Senders repeat the messages that matter.
             log.exception(
-                "message %s to %s failed; it is dropped",
+                "handling message %s failed in %s; the message is dropped",
                 _message_name(handler.__name__),
                 type(_receiver(handler)).__name__,
             )
         usage = self.usage.get(handler.__name__)
         if usage is None:
             usage = self.usage[handler.__name__] = HandlerUsage()
-        usage.seconds += time.perf_counter() - begun
+        usage.seconds += time.perf_counter() - started_at
         usage.count += 1
 
 
 class ThreadSystem:
-    """Runs each actor on a thread of its own, on the real clock.
+    """Runs each actor on a thread of its own, with the system's clocks.
 
-    `seed` is that of the random numbers, which the process draws anew if it is None.
+    `seed` initializes the random numbers; None for a random seed.
     """
 
     now = staticmethod(time.monotonic)
@@ -263,11 +264,10 @@
         self._threads: dict[str, ActorThread] = {}  # actor's name -> its thread
 
     def spawn(self, actors: Iterable[tuple[Actor, str]]) -> None:
-        """Begins all of these (actor, name). Each can be spoken to before any of them begins.
+        """Starts all of these (actor, name). All have a mailbox before any of them starts.
 
-        Once broken: a process that was back at once had its lease before the last actor had its
-        mailbox, and went on for ever with actors that had not been told who they are
-        (actors/message_before_begin.txt).
+        Otherwise a process that gets its lease at once may send its identity to actors that have no
+        mailbox yet, and those never receive it (actors/message_before_begin.txt).
         """
         threads = [self._prepare(actor, name) for actor, name in actors]
         for thread in threads:
@@ -281,13 +281,13 @@
         return thread
 
     def take_account(self) -> dict[str, dict[str, list[float]]]:
-        """{actor: {message: [seconds, count]}} since the last call, waits included."""
+        """{actor: {message: [seconds, count]}} since the last call, time blocked included."""
         return {name: self._take_usage(thread) for name, thread in self._threads.items()}
 
     @staticmethod
     def _take_usage(thread: ActorThread) -> dict[str, list[float]]:
         """{message: [seconds, count]} of one actor since the last call."""
-        # Copied first: the actor's thread goes on meanwhile.
+        # Iterate over a copy, because the actor's thread may add handlers at the same time.
         taken = {
             _message_name(handler_name): [usage.seconds, usage.count]
             for handler_name, usage in dict(thread.usage).items()
--- a/emberglade/state/__init__.py
+++ b/emberglade/state/__init__.py
@@ -1,11 +1,11 @@
-"""The state service's client: a synced local replica of the live keys, commits, reads, budgets."""
+"""The client of the state service: a local replica of the live keys, commits, reads, budgets."""
 
 from .replica_subscriber import ReplicaSubscriber
 from .requests import Priority
 from .store import FINAL_PREFIX, LIVE_PREFIX, Store
 from .wire import Change, KeyValue, read_changes_request
 
-CLOCK_DRIFT = 1.001  # steady clocks of two machines, each off by up to 0.05 %
+CLOCK_DRIFT = 1.001  # ratio of two machines' monotonic clocks, each off by up to 0.05 %
 
 __all__ = [
     "CLOCK_DRIFT",
--- a/emberglade/state/full_read.py
+++ b/emberglade/state/full_read.py
@@ -1,4 +1,4 @@
-"""Reads all live keys, page after page: at the start, and when changes were missed."""
+"""Reads all live keys in pages: at the start, and after changes were missed."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,10 +13,11 @@
 
 
 class FullRead(ActorPart):
-    """The part of the store that reads everything.
+    """The part of the store that reads all live keys.
 
-    `on_complete(rows, revision)` gets all live keys; the revision is that of the first page, and
-    pages are read at growing revisions: the changes since the first one mend the rest.
+    `on_complete(rows, revision)` receives all live keys and the revision of the first page. Later
+    pages may have newer revisions; applying the changes after the first one makes the rows
+    consistent.
     """
 
     def __init__(
@@ -30,11 +31,11 @@
         self.on_complete = on_complete
 
     def start(self) -> None:
-        """Asks for the first page."""
+        """Requests the first page."""
         self._ask_for_page("", [], None)
 
     def _ask_for_page(self, after: str, found: list[Change], first_revision: int | None) -> None:
-        """Asks for the keys after `after` (a key without LIVE_PREFIX; empty: from the start).
+        """Requests the keys after `after` (a key without LIVE_PREFIX; empty for the first page).
 
         `found` collects the rows of all pages.
         """
@@ -45,9 +46,10 @@
     def on_page(
         self, found: list[Change], first_revision: int | None, status: int, body: Any
     ) -> None:
-        """Handles the answer to one page, from the state service.
+        """Handles the response to the request for a page, from the state service.
 
-        Asks for the next page while there is one. An odd answer begins anew after RETRY_S.
+        Requests the next page while there is one. After an error or an invalid response, the read
+        starts again from the first page in RETRY_S.
         """
         page = wire.read_page(body, LIVE_PREFIX) if status == 200 else None
         if page is None:
@@ -62,5 +64,5 @@
             self.on_complete(found, first_revision)
 
     def on_retry(self) -> None:
-        """Handles `retry`, sent to itself after a page that could not be read: begins anew."""
+        """Handles `retry`, sent to itself after a failed page: starts again from the first page."""
         self.start()
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -1,6 +1,6 @@
-"""The read barrier: an answer to `sync` comes only once the replica shows all that was committed.
+"""The read barrier: a `sync` is answered once the replica shows all previous commits.
 
-That is, all that was committed before the sync was asked for. All who ask within a short time share
+Those are the commits made before the sync was requested. Syncs requested within a short time share
 one request to the state service.
 """
 
@@ -17,36 +17,35 @@
 if TYPE_CHECKING:
     from ..config import Settings
 
-MAX_IN_FLIGHT = 3  # syncs without an answer
-MAX_WAITING_UNLOADED = 64  # who may wait for a sync while the replica was not read yet
-INTERVAL_FACTOR_PER_IN_FLIGHT = (
-    4  # a sync in flight lengthens the interval to the next by so many times
-)
-SYNC_BUDGET_DIVISOR = 2.0  # of a controller's even share of requests, syncs take one in so many
-CHANGES_TOO_OLD = 410  # the state service does not keep all changes since the replica's revision
+MAX_IN_FLIGHT = 3  # syncs without a response
+MAX_WAITING_UNLOADED = 64  # waiters while the replica is not loaded
+INTERVAL_FACTOR_PER_IN_FLIGHT = 4  # added to the interval factor for each sync in flight
+SYNC_BUDGET_DIVISOR = 2.0  # syncs take at most 1/2 of a controller's even share of requests
+CHANGES_TOO_OLD = 410  # HTTP status: some changes after the replica's revision are no longer kept
 
 
 class Sync(NamedTuple):
-    """A request for the changes since the replica's revision, on its way."""
+    """A request in flight for the changes after the replica's revision."""
 
     sent_at: float
     waiters: list[SyncReply]
 
 
 def sync_interval_s(settings: "Settings") -> float:
-    """The least time between two syncs of one controller.
+    """The minimum time between two syncs of one controller.
 
-    Syncs take at most half of the even share, however many ask; commits have the rest.
+    However many actors request syncs, they take at most half of the controller's even share of
+    requests; the rest is left for commits.
     """
     return SYNC_BUDGET_DIVISOR * settings.size / settings.state_rps
 
 
 class ReadBarrier(ActorPart):
-    """The part of the store that asks for changes, on behalf of all who wait for a sync.
+    """The part of the store that requests changes on behalf of all waiters for a sync.
 
     Attributes:
-        interval_s: The least time between two syncs.
-        idle_interval_s: While nobody asks, a sync is due this long after the last one was sent.
+        interval_s: The minimum time between two syncs.
+        idle_interval_s: Without waiters, a sync is due this long after the last one was sent.
     """
 
     def __init__(
@@ -59,17 +58,18 @@
         apply: Callable[[Changes], None],
         reload_replica: Callable[[], None],
     ) -> None:
-        """Makes the barrier of a store.
+        """Creates the read barrier of a store.
 
-        `apply(changes)` takes in what a sync brings; `reload_replica()` reads the whole replica.
+        `apply(changes)` applies the result of a sync; `reload_replica()` starts a full read.
         """
         super().__init__(actor)
         self.requests, self.replica, self.subscribers = requests, replica, subscribers
         self.apply, self.reload_replica = apply, reload_replica
         self.interval_s = sync_interval_s(settings)
-        # While nobody asks, others' changes are looked for less often: most of a quiet day is this.
+        # Without waiters, polling less often for changes of others saves most requests of an idle
+        # service.
         self.idle_interval_s = max(3 * self.interval_s, settings.agent_heartbeat_s / 8)
-        self._waiters: list[SyncReply] = []  # of the next sync
+        self._waiters: list[SyncReply] = []  # for the next sync
         self._in_flight: dict[int, Sync] = {}  # by the sync's number
         self._last_number = 0
         self._last_sent_at = float("-inf")
@@ -77,9 +77,9 @@
         self._is_scheduled = False
 
     def wait(self, reply: SyncReply) -> None:
-        """Has `reply(revision)` called once the replica shows all changes up to now.
+        """Calls `reply(revision)` once the replica shows all changes committed before this call.
 
-        `reply(None)` if the sync failed, or if too many wait before the replica was first read.
+        Calls `reply(None)` if the sync failed, or if too many wait while the replica is not loaded.
         """
         self._waiters.append(reply)
         if self.replica.is_loaded:
@@ -88,21 +88,21 @@
             self._waiters.pop(0)(None)
 
     def schedule(self) -> None:
-        """Has the next sync sent after the interval; a slow answer does not hold it up."""
+        """Schedules the next sync after the interval, even if an earlier one is unanswered."""
         if self._is_scheduled or len(self._in_flight) >= MAX_IN_FLIGHT:
             return
         self._is_scheduled = True
-        # A second one at once is worth its cost only when the first is slow to be answered.
+        # Another sync at the same time is worth its cost only if the earlier one is slow.
         interval_s = self.interval_s * (1 + INTERVAL_FACTOR_PER_IN_FLIGHT * len(self._in_flight))
         send_after(max(0.0, self._last_sent_at + interval_s - self.now()), self.on_send_sync)
 
     def schedule_if_idle(self) -> None:
-        """Schedules a sync if none was sent for long: what others wrote is to be seen soon."""
+        """Schedules a sync if none was sent for `idle_interval_s`, to see changes of others."""
         if self.replica.is_loaded and self.now() - self._last_sent_at > self.idle_interval_s:
             self.schedule()
 
     def on_send_sync(self) -> None:
-        """Handles `send_sync`, from `schedule`: sends one sync for all who wait."""
+        """Handles `send_sync` from `schedule`: sends one sync for all current waiters."""
         self._is_scheduled = False
         if not self.replica.is_loaded:
             return
@@ -114,11 +114,11 @@
         self.requests.get(path, callback(self.on_synced, self._last_number))
 
     def on_synced(self, number: int, status: int, body: Any) -> None:
-        """Handles the answer to the sync numbered `number`, from the state service.
+        """Handles the response to the sync numbered `number`, from the state service.
 
-        If the replica's revision is too old, everything is read again and the waiters wait for the
-        next sync. Otherwise each of them is answered with the replica's revision, or with None if
-        the sync failed.
+        If the replica's revision is too old, the replica is reloaded and the waiters wait for the
+        next sync. Otherwise each of them receives the replica's revision, or None if the sync
+        failed.
         """
         sync = self._in_flight.pop(number)
         if status == CHANGES_TOO_OLD and self.replica.is_loaded:
@@ -138,9 +138,10 @@
             self.schedule()
 
     def _note_answer(self, sync: Sync) -> None:
-        """Tells subscribers of an answered sync, unless one that was sent later was answered.
+        """Notifies subscribers of an answered sync, unless a later one was already answered.
 
-        Only this shows that the replica is in step; other answers may come while syncs fail.
+        Only an answered sync shows that the replica is up to date with the store; other requests
+        may succeed while syncs fail.
         """
         if sync.sent_at > self._last_answered_sent_at:
             self._last_answered_sent_at = sync.sent_at
--- a/emberglade/state/replica.py
+++ b/emberglade/state/replica.py
@@ -1,25 +1,25 @@
-"""The local replica: all live keys as of one revision, and the changes of late."""
+"""The local replica: all live keys as of one revision, and the most recent changes."""
 
 from collections import deque
 from collections.abc import Iterable
 
 from .wire import Change, KeyValue
 
-NOT_LOADED = -1  # the revision of a replica that was not read yet, or has to be read anew
+NOT_LOADED = -1  # the revision of a replica that was not read yet or must be read again
 
 
 class Replica:
-    """What all live keys hold; keys are without LIVE_PREFIX.
+    """The values of all live keys; keys are without LIVE_PREFIX.
 
     Attributes:
-        revision: The replica shows all changes up to this one; NOT_LOADED: nothing yet.
+        revision: The replica shows all changes up to this revision; NOT_LOADED if it is invalid.
     """
 
     def __init__(self, recent_limit: int) -> None:
-        """Makes an empty replica that keeps the `recent_limit` newest changes for peers."""
+        """Creates an empty replica that keeps the newest `recent_limit` changes for peers."""
         self.revision = NOT_LOADED
         self._rows: dict[str, Change] = {}
-        # What a peer that the state service refuses may still learn here.
+        # A peer without access to the state service can request these changes from this controller.
         self._recent: deque[Change] = deque(maxlen=recent_limit)
         self._recent_after = NOT_LOADED  # `_recent` holds all changes after this revision
 
@@ -28,27 +28,27 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the replica shows the keys as of some revision."""
+        """Whether the replica is valid as of some revision."""
         return self.revision >= 0
 
     def rows(self) -> list[Change]:
-        """All keys as they are."""
+        """All keys with their current values."""
         return list(self._rows.values())
 
     def get(self, key: str) -> KeyValue | None:
-        """What a key holds, or None if it is not there."""
+        """The value of a key, or None if the key does not exist."""
         row = self._rows.get(key)
         return None if row is None else KeyValue(row.data, row.mod_revision)
 
     def invalidate(self) -> None:
-        """The changes after its revision can't be had any more; it has to be read anew."""
+        """Marks the replica as not loaded, because changes after its revision were missed."""
         self.revision = NOT_LOADED
 
     def replace(self, rows: Iterable[Change], revision: int) -> list[Change]:
-        """Takes in all live keys, read from `revision` on.
+        """Replaces the contents by all live keys, read at `revision` or later.
 
         Returns:
-            What the whole replica is now, after the removals of keys that are gone.
+            The removals of keys that no longer exist, followed by all current keys.
         """
         fresh = {row.key: row for row in rows}
         gone = [Change(key, None, revision) for key in self._rows if key not in fresh]
@@ -58,13 +58,12 @@
         return gone + list(fresh.values())
 
     def apply(self, changes: Iterable[Change], revision: int) -> list[Change]:
-        """Takes in committed changes, which together lead up to `revision`.
+        """Applies committed changes up to `revision`, which becomes the replica's revision.
 
-        Changes at or below the replica's own revision are left out. That becomes `revision`, if
-        newer.
+        Changes at or below the replica's revision are ignored, and the revision never decreases.
 
         Returns:
-            The changes that are new here.
+            The changes that were applied.
         """
         current = self.revision
         fresh = [change for change in changes if change.mod_revision > current]
@@ -80,7 +79,7 @@
         return fresh
 
     def changes_after(self, revision: int) -> list[Change] | None:
-        """The changes after `revision` in their order, or None if not all of them are kept."""
+        """The changes after `revision` in order, or None if some are no longer kept."""
         if not self.is_loaded or not self._recent_after <= revision <= self.revision:
             return None
         return [change for change in self._recent if change.mod_revision > revision]
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -1,4 +1,4 @@
-"""Requests to the state service: queued by priority, and sent as the budgets allow."""
+"""Requests to the state service: queued by priority and sent within the budgets."""
 
 import enum
 from collections import deque
@@ -12,25 +12,25 @@
     from ..config import Settings
     from ..transport import Client, Reply
 
-TOO_MANY_REQUESTS = 429  # the service's status, and that of a request which is not even sent
-MAX_QUEUED = 200  # requests of one priority
-MAX_IN_FLIGHT = 6  # requests without an answer: the threads of the client
+TOO_MANY_REQUESTS = 429  # from the service, or for a request that was never sent
+MAX_QUEUED_PER_PRIORITY = 200
+MAX_IN_FLIGHT = 6  # requests without a response; the client has as many threads
 MAX_TIMEOUT_S = 3.0
 
 
 class Priority(enum.IntEnum):
-    """Whose requests are served first."""
+    """The priority of a request; lower values are sent first."""
 
-    HEARTBEATS = 0  # and the store's own reads, syncs and leases
-    DECISIONS = 1  # of controllers
-    SUBMISSIONS = 2  # of users
+    HEARTBEATS = 0  # also the store's own reads, syncs and leases
+    DECISIONS = 1  # controllers' decisions
+    SUBMISSIONS = 2  # users' submissions
 
 
 class Request(NamedTuple):
-    """A request that waits until it may be sent."""
+    """A request that waits to be sent."""
 
     queued_at: float
-    writes: int  # how many writes it holds
+    writes: int  # number of writes that it contains
     method: str
     path: str
     body: Any
@@ -41,8 +41,8 @@
     """The part of the store that sends its requests.
 
     Attributes:
-        timeout_s: A request that waited for so long, or that had no answer for so long, has failed.
-        pause_s: For how long nothing is sent once the service has refused a request.
+        timeout_s: A request fails after this long in the queue, or this long without a response.
+        pause_s: For how long no request is sent after the service refused one.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
     ) -> None:
         super().__init__(actor)
         self.client = client
-        # Requests that nobody answered may still hold a thread; bounded in time.
+        # An unanswered request occupies a client thread until it times out.
         self.timeout_s = min(settings.lease_s / 4, MAX_TIMEOUT_S)
         self.pause_s = pause_s
         self._queues: dict[Priority, deque[Request]] = {priority: deque() for priority in Priority}
@@ -76,13 +76,13 @@
         reply: "Reply",
         writes: int = 0,
     ) -> None:
-        """Queues one request; `writes` is how many writes it holds.
+        """Queues one request; `writes` is the number of writes that it contains.
 
-        `reply(status, body)` comes from the state service, or 429 at once if the queue is full,
-        or 429 after `timeout_s` if the request could not be sent.
+        `reply(status, body)` receives the response of the state service. The status is 429 at once
+        if the queue is full, and 429 after `timeout_s` if the request could not be sent.
         """
         waiting = self._queues[priority]
-        if len(waiting) > MAX_QUEUED:
+        if len(waiting) > MAX_QUEUED_PER_PRIORITY:
             reply(TOO_MANY_REQUESTS, None)
             return
         waiting.append(Request(self.now(), writes, method, path, body, reply))
@@ -93,16 +93,15 @@
         now = self.now()
         for waiting, limit in self._queues_in_order(now):
             if not self._send_from(waiting, limit, now):
-                # What comes after waits as well: it would take the budget first.
+                # Lower priorities wait as well, or they would use up the budget first.
                 return
 
     def _queues_in_order(self, now: float) -> Iterator[tuple[deque[Request], int]]:
         """The queues in the order in which they are served, with how many to take from each.
 
-        By priority, but for a submission that waited long.
-
-        Once broken: while a third of all machines was lost, decisions took all writes for seconds,
-        and every submission of that time was answered too late (fleet/third_of_machines_fail.txt).
+        The order is that of the priorities, except that one submission that waited long goes first.
+        Without this, decisions use up all writes for seconds after the loss of a third of the
+        machines, and submissions are answered too late (fleet/third_of_machines_fail.txt).
         """
         submissions = self._queues[Priority.SUBMISSIONS]
         if (
@@ -152,9 +151,9 @@
         )
 
     def on_answered(self, request: Request, status: int, body: Any) -> None:
-        """Handles the state service's answer to one request, from the client.
+        """Handles the state service's response to one request, from the client.
 
-        A 429 pauses all requests for a while and lowers the rate of the refused budget.
+        A 429 pauses all requests for `pause_s` and lowers the rate of the budget concerned.
         """
         self._in_flight -= 1
         if status == TOO_MANY_REQUESTS:
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -1,8 +1,8 @@
-"""The only way to the consensus-backed key-value store, and the local replica of its live keys.
+"""The store actor: all access to the consensus-backed key-value store, and the local replica.
 
-`sync` is the read barrier of the whole service: its answer comes only when the replica shows
-every change made before the sync was asked for. Subscribers get `changed(changes, revision)`
-before the answer, so an actor that asks for a sync acts on what was true after it asked.
+`sync` is the read barrier of the service: it is answered only when the replica shows every change
+made before the sync was requested. Subscribers receive `changed(changes, revision)` before the
+answer, so an actor that requests a sync then acts on a state no older than its request.
 """
 
 import logging
@@ -42,22 +42,22 @@
 
 MIN_RECENT_CHANGES = 64  # kept for peers
 
-# reply(status, revision, failed); `failed`: the keys whose conditions failed, or what was wrong
+# reply(status, revision, failed); `failed`: the keys whose conditions failed, or the error
 CommitReply = Callable[[int, int | None, Any], None]
 ReadReply = Callable[[int, Any, int | None], None]  # reply(status, data, mod_revision)
 
 
 class Store(Actor):
-    """Paces the requests to the state service, and keeps the replica in step with it.
+    """Paces the requests to the state service, and keeps the replica up to date with it.
 
     Attributes:
-        replica: All live keys as they are known here.
+        replica: The local replica of all live keys.
     """
 
     def __init__(self, settings: "Settings", client: "Client") -> None:
         self.settings = settings
-        # A peer that the state service refuses asks every second or so what is new, and a lease's
-        # worth of changes at the full rate is far more than come in between.
+        # A peer without access to the state service polls for changes about every second; the
+        # changes of a whole lease at the full write rate are far more than arrive in between.
         changes_a_lease = int(settings.state_write_rps * settings.lease_s)
         self.replica = Replica(max(MIN_RECENT_CHANGES, changes_a_lease))
         self.subscribers = Subscribers()
@@ -75,7 +75,7 @@
 
     @property
     def revision(self) -> int:
-        """The replica shows all changes up to this revision; -1: it is not read yet."""
+        """The replica shows all changes up to this revision; -1 if it is not loaded."""
         return self.replica.revision
 
     def on_begin(self) -> None:
@@ -84,7 +84,7 @@
         self.full_read.start()
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself: syncs if none went out for long, and sends what waits."""
+        """Handles `tick`, sent to itself: syncs if that is due, and sends queued requests."""
         self.barrier.schedule_if_idle()
         self.requests.send_queued()
         send_after(self.barrier.idle_interval_s / 2, self.on_tick)
@@ -92,31 +92,32 @@
     # --- the replica
 
     def on_subscribe(self, actor: ReplicaSubscriber) -> None:
-        """Handles `subscribe(actor)` from a subscriber: it is told every change from now on.
+        """Handles `subscribe(actor)` from a subscriber, which receives all changes from now on.
 
-        If the replica has been read, the subscriber is told all of it at once (`is_snapshot` True).
+        If the replica is loaded, the subscriber receives it at once (`is_snapshot` is True).
         """
         self.subscribers.add(actor)
         if self.replica.is_loaded:
             send(actor.on_changed, self.replica.rows(), self.revision, True)
 
     def replace(self, rows: list[Change], revision: int) -> None:
-        """Takes in all live keys, read anew, and tells the subscribers the whole of them."""
+        """Replaces the replica after a full read, and sends it to the subscribers as a snapshot."""
         changes = self.replica.replace(rows, revision)
         self.subscribers.notify_changes(changes, revision, is_snapshot=True)
-        log.info("read %d live keys at revision %d", len(self.replica), revision)
+        log.info("replica loaded: %d live keys at revision %d", len(self.replica), revision)
         self.barrier.schedule()
 
     def apply(self, changes: Changes) -> None:
-        """Takes in committed changes, and tells the subscribers those that are new here."""
+        """Applies committed changes, and sends those that are new to the subscribers."""
         fresh = self.replica.apply(changes.changes, changes.revision)
         if fresh:
             self.subscribers.notify_changes(fresh, self.revision)
 
     def on_sync(self, reply: SyncReply) -> None:
-        """Handles `sync(reply)`: `reply(revision)` once the replica shows all changes up to now.
+        """Handles `sync(reply)`: the read barrier.
 
-        `reply(None)` if the sync failed, or if too many wait before the replica was first read.
+        Calls `reply(revision)` once the replica shows all changes committed up to now, or
+        `reply(None)` if the sync failed or if too many wait while the replica is not loaded.
         """
         self.barrier.wait(reply)
 
@@ -126,13 +127,13 @@
         """Handles `read_replica(keys, reply)`: `reply({key: KeyValue or None})`."""
         reply({key: self.replica.get(key) for key in keys})
 
-    # --- what peers learn from each other while the state service is out of reach
+    # --- changes exchanged between peers while the state service is unavailable to one of them
 
     def on_changes_for_peer(self, since: int, reply: "Reply") -> None:
         """Handles `changes_for_peer(since, reply)` from the node's server, for a peer controller.
 
-        Replies 200 with the changes after `since`, as the state service would tell them, or 410
-        if they are not all kept here.
+        Replies 200 with the changes after `since` in the state service's format, or 410 if some of
+        them are no longer kept.
         """
         changes = self.replica.changes_after(since)
         if changes is None:
@@ -141,10 +142,10 @@
             reply(200, wire.write_changes(changes, self.revision))
 
     def on_changes_of_peer(self, since: int, status: int, body: Any) -> None:
-        """Handles a peer's answer to a question for the changes after `since`.
+        """Handles a peer's response to a request for the changes after `since`.
 
-        Committed changes, whoever tells of them. They don't show that the state service answers
-        here: a peer's replica may lag.
+        The changes are committed, so they are applied. They are no evidence of contact with the
+        state service or of an up-to-date replica, because the peer's replica may lag behind.
         """
         changes = wire.read_changes(body) if status == 200 else None
         if changes is not None and 0 <= since <= self.revision:
@@ -162,7 +163,7 @@
     ) -> None:
         """Handles `commit(priority, conditions, writes, reply)`: one compare-and-swap transaction.
 
-        Keys are full names; conditions are `(key, mod_revision)`.
+        Keys include their prefix; conditions are `(key, mod_revision)`.
         """
 
         def answer(status: int, body: Any) -> None:
@@ -174,9 +175,9 @@
         )
 
     def on_read(self, priority: Priority, key: str, reply: ReadReply) -> None:
-        """Handles `read(priority, key, reply)`: one key from the state service.
+        """Handles `read(priority, key, reply)`: reads one key from the state service.
 
-        `reply(status, data, mod_revision)`; the last two are None unless the status is 200.
+        Calls `reply(status, data, mod_revision)`; the last two are None unless the status is 200.
         """
 
         def answer(status: int, body: Any) -> None:
@@ -192,9 +193,9 @@
         self.requests.get(wire.get_path(key), answer, priority)
 
     def on_grant_lease(self, life_ms: int, reply: Callable[[Any], None]) -> None:
-        """Handles `grant_lease(life_ms, reply)`: asks the store for a lease of `life_ms` ms.
+        """Handles `grant_lease(life_ms, reply)`: requests a lease of `life_ms` milliseconds.
 
-        `reply(lease)` with the lease's number, or None if none was granted.
+        Calls `reply(lease)` with the lease's number, or None if none was granted.
         """
 
         def answer(status: int, body: Any) -> None:
@@ -205,7 +206,7 @@
         )
 
     def on_keep_alive(self, lease: int, reply: Callable[[int], None]) -> None:
-        """Handles `keep_alive(lease, reply)`: renews a lease; `reply(status)`, 404: expired."""
+        """Handles `keep_alive(lease, reply)`: renews a lease; status 404 means it has expired."""
 
         def answer(status: int, body: Any) -> None:
             reply(status)
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket whose rate adapts: a node takes more than its even share while nobody objects."""
+"""A token bucket with an adaptive rate: it exceeds the even share until requests are refused."""
 
-GROWTH_PER_S = 1.1  # the rate grows by this factor a second
-MAX_GROWTH_S = 60.0  # a longer time without requests counts as this much
-MAX_SHARE = 0.8  # of the whole service's rate; the rest is the others' least
-TOKEN_TOLERANCE = 1e-9  # of a token
+GROWTH_PER_S = 1.1  # factor by which the rate grows per second
+MAX_GROWTH_S = 60.0  # growth is limited to this time between two calls
+MAX_SHARE = 0.8  # of the service's total rate; the rest is left to the other controllers
+TOKEN_TOLERANCE = 1e-9  # rounding error, in tokens
 
 
 class TokenBucket:
-    """Paces one kind of request, in requests (or writes) per second.
+    """Limits one kind of request, in requests (or writes) per second.
 
-    `rate` is the whole service's rate, shared by `nodes` controllers; `burst` is the most that
-    may be taken at once. The rate starts at the even share and grows by GROWTH_PER_S up to
-    MAX_SHARE of the whole, until the service refuses.
+    `rate` is the total rate of the service, shared by `nodes` controllers; `burst` is the size of
+    the bucket in tokens. The bucket's rate starts at the even share and grows by GROWTH_PER_S up to
+    MAX_SHARE of the total, until the service refuses a request.
     """
 
     def __init__(self, rate: float, nodes: int, burst: float) -> None:
@@ -23,17 +23,17 @@
         self._filled_at: float | None = None
 
     def _fill(self, now: float) -> None:
-        """Adds the tokens of the time since the last call, and lets the rate grow."""
+        """Adds the tokens for the time since the last call, and increases the rate."""
         if self._filled_at is not None:
-            passed_s = now - self._filled_at
+            elapsed_s = now - self._filled_at
             limit = max(self._burst, self._rate)
-            self._tokens = min(limit, self._tokens + passed_s * self._rate)
-            growth = GROWTH_PER_S ** min(passed_s, MAX_GROWTH_S)
+            self._tokens = min(limit, self._tokens + elapsed_s * self._rate)
+            growth = GROWTH_PER_S ** min(elapsed_s, MAX_GROWTH_S)
             self._rate = min(self._max_rate, self._rate * growth)
         self._filled_at = now
 
     def allows(self, now: float) -> bool:
-        """Whether something may be sent now; what it takes too much is paid back by waiting."""
+        """Whether a request may be sent now; a large one may overdraw the bucket."""
         self._fill(now)
         return self._tokens >= 1.0 - TOKEN_TOLERANCE
 
@@ -43,7 +43,7 @@
         self._tokens -= amount
 
     def back_off(self, now: float) -> None:
-        """The service had too much: back to half the rate, at least the even share."""
+        """Halves the rate, to no less than the even share, after the service refused a request."""
         self._fill(now)
         self._rate = max(self._even_share, self._rate / 2)
         self._tokens = min(self._tokens, 0.0)
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -1,8 +1,7 @@
-"""What the state service says and is told: the one place that knows its paths and field names.
+"""The wire format of the state service: the only module that knows its paths and field names.
 
-Keys that are given to a function are full names, with their prefix. A key's `mod_revision` is the
-revision of the store that last wrote it. Bodies that can't be what they should be are read as None:
-the question is then asked again.
+Keys that are passed to a function include their prefix. A key's `mod_revision` is the revision of
+the store in which it was last written. Invalid bodies are read as None; the caller then retries.
 """
 
 import urllib.parse
@@ -10,28 +9,28 @@
 from typing import Any, NamedTuple
 
 LIVE_PREFIX = "eg/l/"  # keys that every controller follows
-FINAL_PREFIX = "eg/o/"  # final states of jobs: read one by one, never followed
+FINAL_PREFIX = "eg/o/"  # final states of jobs: read one at a time, not in the replica
 
 TRANSACTION_PATH = "/txn"
 GRANT_PATH = "/grants"
-NO_SUCH_LEASE = "no such lease"  # what a transaction under an expired lease is refused with
+NO_SUCH_LEASE = "no such lease"  # the error of a transaction that uses an expired lease
 
 Body = Mapping[str, Any]  # a JSON object
 
 
 class KeyValue(NamedTuple):
-    """What a key holds."""
+    """The value of a key."""
 
     data: Any
     mod_revision: int
 
 
 class Change(NamedTuple):
-    """One committed change of a key, or the key as it is.
+    """One committed change of a key, or its current value.
 
     Attributes:
-        key: The key, without the prefix that its reader named.
-        data: What the key holds from then on; None: it was removed.
+        key: The key, without the prefix under which it was read.
+        data: The new value; None if the key was removed.
         mod_revision: The revision of the change.
     """
 
@@ -41,7 +40,7 @@
 
 
 class Page(NamedTuple):
-    """Some keys in order, with what they hold."""
+    """Some keys in order, with their values."""
 
     rows: list[Change]
     has_more: bool
@@ -49,7 +48,7 @@
 
 
 class Changes(NamedTuple):
-    """Committed changes in their order, and the revision up to which they are all of them."""
+    """Committed changes in order, complete up to `revision`."""
 
     changes: list[Change]
     revision: int
@@ -59,18 +58,18 @@
 
 
 def get_path(key: str) -> str:
-    """The path of one key."""
+    """The path that reads one key."""
     return "/store/" + key
 
 
 def list_path(prefix: str, after: str, limit: int) -> str:
-    """The path that lists up to `limit` keys in order; `after` is a full key, or empty."""
+    """The path that lists up to `limit` keys in order; `after` includes the prefix, or is empty."""
     start = f"&since={urllib.parse.quote(after, safe='/')}" if after else ""
     return f"/store?under={urllib.parse.quote(prefix, safe='/')}{start}&limit={limit}"
 
 
 def follow_path(prefix: str, since: int, wait_ms: int) -> str:
-    """The path that tells of changes after a revision; waits so long for one if there is none."""
+    """The path that returns the changes after a revision; waits up to `wait_ms` for the first."""
     return f"/follow?under={urllib.parse.quote(prefix, safe='/')}&since={since}&wait_ms={wait_ms}"
 
 
@@ -83,7 +82,7 @@
 
 
 def put(key: str, data: Any, lease: int | None = None) -> dict[str, Any]:
-    """The write that sets a key, for as long as `lease` lasts if there is one."""
+    """The write that sets a key, which is removed when `lease` expires, if one is given."""
     if lease is None:
         return {"put": key, "data": data}
     return {"put": key, "data": data, "tenure": lease}
@@ -97,9 +96,10 @@
 def compare_and_swap(
     conditions: Iterable[tuple[str, int]], writes: Sequence[Body]
 ) -> dict[str, Any]:
-    """The body of a transaction: `writes` if every `(key, mod_revision)` of `conditions` holds.
+    """The body of a transaction that executes `writes` if all `conditions` are met.
 
-    A mod revision of 0 stands for a key that is not there.
+    A condition `(key, mod_revision)` is met if the key has that mod revision; 0 means that the key
+    must not exist.
     """
     return {
         "when": [{"key": key, "stamp": mod_revision} for key, mod_revision in conditions],
@@ -108,7 +108,7 @@
 
 
 def failure(body: Any) -> Any:
-    """Which conditions of a transaction failed, or the error that it was refused with."""
+    """The failed conditions of a transaction, or the error with which it was refused."""
     return body.get("failed") or body.get("error") if isinstance(body, dict) else None
 
 
@@ -116,12 +116,12 @@
 
 
 def grant(life_ms: int) -> dict[str, Any]:
-    """The body that asks for a lease of `life_ms` milliseconds."""
+    """The body that requests a lease of `life_ms` milliseconds."""
     return {"life_ms": life_ms}
 
 
 def read_grant(body: Any) -> Any:
-    """The number of the lease that an answer grants, or None."""
+    """The number of the lease that a response grants, or None."""
     return body.get("tenure") if isinstance(body, dict) else None
 
 
@@ -129,20 +129,20 @@
 
 
 def revision(body: Any) -> int | None:
-    """The revision that an answer names, or None."""
+    """The revision that a response contains, or None."""
     value = body.get("ledger_rev") if isinstance(body, dict) else None
     return value if isinstance(value, int) else None
 
 
 def read_key(body: Any) -> KeyValue | None:
-    """What one key holds."""
+    """Decodes the value of one key; None if the body is invalid."""
     if not (isinstance(body, dict) and "data" in body):
         return None
     return KeyValue(body["data"], body.get("stamp"))  # type: ignore[arg-type]
 
 
 def read_page(body: Any, prefix: str) -> Page | None:
-    """One page of a list of keys below `prefix`."""
+    """Decodes a page of the keys under `prefix`; None if the body is invalid."""
     at = revision(body)
     if at is None or not isinstance(body.get("pairs", []), list):
         return None
@@ -156,7 +156,10 @@
 
 
 def read_changes(body: Any, prefix: str = "") -> Changes | None:
-    """The changes that the state service or a peer tells of; other keys are left out."""
+    """Decodes the changes that the state service or a peer sent; None if the body is invalid.
+
+    Keys without `prefix` are ignored.
+    """
     at = revision(body)
     if at is None:
         return None
@@ -174,11 +177,11 @@
     return Changes(changes, at)
 
 
-# --- what controllers tell each other of changes
+# --- changes exchanged between controllers
 
 
 def write_changes(changes: Iterable[Change], newest: int) -> dict[str, Any]:
-    """Changes as one controller tells them to another, in the form of the state service."""
+    """Encodes changes for another controller, in the state service's format."""
     return {
         "ledger_rev": newest,
         "news": [_write_change(change) for change in changes],
@@ -192,16 +195,16 @@
 
 
 def changes_not_kept() -> dict[str, Any]:
-    """The body of a 410: not all changes that a peer asks for are kept here."""
-    return {"error": "not all of these changes are kept here"}
+    """The body of a 410: some of the requested changes are no longer kept."""
+    return {"error": "some of the requested changes are no longer kept"}
 
 
 def changes_request(revision: int) -> dict[str, Any]:
-    """The body of a question for the changes after a revision."""
+    """The body of a request for the changes after a revision."""
     return {"since": revision}
 
 
 def read_changes_request(body: Any) -> int | None:
-    """The revision that a peer's replica has, or None."""
+    """The revision of the requesting peer's replica, or None if the body is invalid."""
     value = body.get("since") if isinstance(body, dict) else None
     return value if type(value) is int else None
--- a/emberglade/transport/__init__.py
+++ b/emberglade/transport/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 between the controller and everything else: its clients and its servers."""
+"""The HTTP/1.1 clients and servers of a controller."""
 
 from .client import (
     NO_ANSWER,
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -1,8 +1,8 @@
-"""Which connections a server opens, keeps and closes: the bound on connections and on users'.
+"""Connection limits of a server: which connections it accepts, evicts and closes.
 
-At the bound on connections the one that has been idle for longest gives way, those of users
-first; if none is idle, the new one is closed at once. While every place is taken by connections
-that have only just come, accepting pauses for a moment.
+At the connection limit, the connection that has been idle longest is evicted, users' connections
+first; if none is idle, the new connection is closed at once. If none is idle and some connections
+have not sent a request yet, accepting pauses briefly instead.
 """
 
 import logging
@@ -18,21 +18,21 @@
 
 log = logging.getLogger("emberglade.transport")
 
-MAX_ACCEPTS_PER_EVENT = 64  # new connections taken before the others have their turn again
-EVICTION_CANDIDATES = 16  # of the connections idle for longest, those that are looked at
-ACCEPT_PAUSE_S = 0.02  # while every place is taken by connections that have only just come
-NEAR_LIMIT_SHARE = 7 / 8  # of the connections; above it each one is closed after its answer
+MAX_ACCEPTS_PER_EVENT = 64  # so that open connections are served in between
+EVICTION_CANDIDATES = 16  # least recently used connections that are checked for eviction
+ACCEPT_PAUSE_S = 0.02
+NEAR_LIMIT_SHARE = 7 / 8  # of the limit; above it, connections are closed after each response
 
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """What a server holds open, and for how long.
+    """The limits of a server on connections and waiting times.
 
     Attributes:
-        max_connections: Connections open at once, at most.
-        max_user_connections: Of them at most so many, once they have sent a user's request.
-        answer_timeout_s: A request without a decision by then gets 503, in seconds.
-        idle_timeout_s: A connection without a request for so long is closed, in seconds.
+        max_connections: Maximum number of open connections.
+        max_user_connections: Maximum number of open connections that have sent a user's request.
+        answer_timeout_s: A request that is not answered within this time gets 503.
+        idle_timeout_s: A connection without a complete request for this long is closed.
     """
 
     max_connections: int
@@ -44,13 +44,13 @@
 class ConnectionTable:
     """The open connections of a server: accepts, admits, evicts and closes them.
 
-    Only the server's thread calls it. Both tables of connections keep the one that has been idle
-    for longest first.
+    Only the server's thread may call it. The connections are kept in the order of their last use,
+    the least recently used first.
 
     Attributes:
-        accept_again_at: When a pause of accepting ends (monotonic, in seconds); None: no pause.
-        evicted: How many connections gave way to a new one.
-        refused: How many new ones were closed at once.
+        accept_again_at: When the pause of accepting ends, in monotonic seconds; None if not paused.
+        evicted: Number of connections that were closed in favour of a new one.
+        refused: Number of new connections that were closed at once.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
         limits: ServerLimits,
         is_user_path: Callable[[str], bool],
     ) -> None:
-        """Makes the table of a listening socket, which is accepted from at once.
+        """Creates the table and registers the listening socket in the selector.
 
-        In the selector, the listener has no data, and a connection is the data of its socket.
+        The data of a selector key is None for the listener and the connection for its socket.
         """
         self.listener, self.selector, self.limits = listener, selector, limits
         self.is_user_path = is_user_path
@@ -78,23 +78,23 @@
 
     @property
     def user_count(self) -> int:
-        """The number of open connections on which a user's request came."""
+        """The number of open connections that have sent a user's request."""
         return len(self._users)
 
     @property
     def is_near_limit(self) -> bool:
-        """Whether so many connections are open that each one is closed after its answer."""
+        """Whether the table is so full that connections are closed after each response."""
         return len(self) > NEAR_LIMIT_SHARE * self.limits.max_connections
 
     # --- new connections
 
     def accept_new(self) -> None:
-        """Takes new connections, as far as there are places for them."""
+        """Accepts new connections, as far as the limits allow."""
         now = time.monotonic()
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             is_full = len(self) >= self.limits.max_connections
             if is_full and self._find_evictable(now) is None and self._has_unserved_connection():
-                # These are read first; the others wait in the listener's queue meanwhile.
+                # Read these first; meanwhile new connections wait in the listen backlog.
                 self.pause_accepting(now)
                 return
             sock = self._accept(now)
@@ -107,13 +107,15 @@
                 self._open(sock, now)
 
     def _accept(self, now: float) -> socket.socket | None:
-        """The socket of the next new connection, or None if there is none to be had now."""
+        """The socket of the next new connection, or None if there is none or accepting failed."""
         try:
             sock, _ = self.listener.accept()
         except BlockingIOError:
             return None
         except OSError as error:
-            log.warning("accepting a connection failed: %s", error)
+            log.warning(
+                "accepting a connection failed; evicting an idle one, or else pausing: %s", error
+            )
             if not self._evict_idle(now):
                 self.pause_accepting(now)
             return None
@@ -129,21 +131,21 @@
         self.selector.register(self.listener, selectors.EVENT_READ, None)
 
     def pause_accepting(self, now: float) -> None:
-        """Accepts no connections for a moment."""
+        """Stops accepting connections for ACCEPT_PAUSE_S."""
         if self.accept_again_at is None:
             self.selector.unregister(self.listener)
         self.accept_again_at = now + ACCEPT_PAUSE_S
 
     def resume_accepting(self) -> None:
-        """Accepts connections again, if the pause is over."""
+        """Accepts connections again if the pause has ended."""
         if self.accept_again_at is not None and time.monotonic() >= self.accept_again_at:
             self.accept_again_at = None
             self._watch_listener()
 
-    # --- who may stay
+    # --- admission and eviction
 
     def admit(self, connection: ServerConnection, path: str) -> bool:
-        """Notes that the connection is in use; False if it is one user's too many."""
+        """Marks the connection as used; False if it would exceed the limit on users' ones."""
         if connection.is_user:
             self._users.move_to_end(connection)
         elif not self.is_user_path(path):
@@ -157,7 +159,7 @@
         return True
 
     def _find_evictable(self, now: float) -> ServerConnection | None:
-        """The connection that is to give way: of those idle for longest, users' first, or None."""
+        """The least recently used connection that is evictable, users' first; None if none is."""
         for connections in (self._users, self._others):
             for connection in islice(connections, EVICTION_CANDIDATES):
                 if connection.is_evictable(now):
@@ -165,14 +167,14 @@
         return None
 
     def _has_unserved_connection(self) -> bool:
-        """Whether a connection is open on which no request was routed yet."""
+        """Whether a connection is open that has not sent a complete request yet."""
         return any(
             not connection.served and connection.exchange is None
             for connection in reversed(self._others)
         )
 
     def _evict_idle(self, now: float) -> bool:
-        """Closes the connection that has been idle for longest; False if none is."""
+        """Closes the connection that has been idle longest; False if none is idle."""
         connection = self._find_evictable(now)
         if connection is None:
             return False
@@ -183,7 +185,7 @@
     # --- closing
 
     def close(self, connection: ServerConnection) -> None:
-        """Closes a connection, unless it is closed already."""
+        """Closes a connection, unless it is already closed."""
         with connection.lock:
             if connection.is_closed:
                 return
@@ -200,7 +202,7 @@
     def close_idle(self, now: float) -> None:
         """Closes the connections that sent no complete request within the idle timeout.
 
-        That holds also if a part of one trickles in, and for those that don't take their answer.
+        This includes clients that send a request very slowly or do not read their response.
         """
         oldest = now - self.limits.idle_timeout_s
         idle = [
--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 clients: threads that carry calls over kept connections; answers go to callables."""
+"""HTTP/1.1 clients: threads that perform calls over kept-alive connections."""
 
 import logging
 import queue
@@ -10,30 +10,30 @@
 
 log = logging.getLogger("emberglade.transport")
 
-NO_ANSWER = 0  # status given to the caller when no answer came
-REFUSED = -1  # status when the connection was refused, so that nothing was sent
+NO_ANSWER = 0  # status of a call without a response, whose outcome is unknown
+REFUSED = -1  # status of a call whose connection was refused, so that nothing was sent
 
 Reply = Callable[[int, Any], None]  # reply(status, decoded body)
 
-DEFAULT_BACKLOG = 256  # calls that may wait for a client's threads
+DEFAULT_BACKLOG = 256  # calls that may wait for a thread of a client
 POOL_BACKLOG_PER_THREAD = 4
 
 
 def status_text(status: int) -> int | str:
-    """A status as it is logged."""
+    """A status in the form used in logs."""
     return {NO_ANSWER: "no answer", REFUSED: "no connection"}.get(status, status)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """(host, port) of a text like 10.0.0.1:8080."""
+    """Parses a text like 10.0.0.1:8080 into (host, port)."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Call(NamedTuple):
-    """A request that waits for a thread."""
+    """A request to be performed by a thread."""
 
-    address: str  # host:port; empty where all calls go to one address
+    address: str  # host:port; empty if all calls go to one address
     method: str
     path: str
     body: Any
@@ -42,35 +42,35 @@
 
 
 class CallQueue:
-    """Calls that wait for a thread; past `backlog` of them a call ends with NO_ANSWER at once."""
+    """Calls that wait for a thread; when the backlog is full, new calls fail with NO_ANSWER."""
 
     def __init__(self, backlog: int) -> None:
         self.backlog = backlog
         self._waiting: queue.SimpleQueue[Call] = queue.SimpleQueue()
 
     def put(self, call: Call) -> None:
-        """Queues a call, unless too many wait."""
+        """Queues a call, or fails it at once if the backlog is full."""
         if self._waiting.qsize() > self.backlog:
             call.reply(NO_ANSWER, None)
         else:
             self._waiting.put(call)
 
     def take(self) -> Call:
-        """The call that waited for longest; waits for one if there is none."""
+        """Removes and returns the oldest call; blocks until there is one."""
         return self._waiting.get()
 
 
 def start_threads(run: Callable[[], None], count: int, name: str) -> None:
-    """Runs `run` on so many threads, until the process ends."""
+    """Starts `count` daemon threads that run `run`."""
     for number in range(count):
         threading.Thread(target=run, name=f"{name}-{number}", daemon=True).start()
 
 
 def perform(call: Call, connection: Connection) -> tuple[int, Any]:
-    """Carries a call over a connection, which is closed if that fails.
+    """Performs a call over a connection, and closes the connection on failure.
 
     Returns:
-        (status, body), with status REFUSED or NO_ANSWER if there is no answer.
+        (status, body); the status is REFUSED or NO_ANSWER if there is no response.
     """
     try:
         return connection.request(call.method, call.path, call.body, call.timeout)
@@ -78,16 +78,16 @@
         connection.close()
         return REFUSED, None
     except (OSError, ValueError, IndexError) as error:
-        log.debug("%s %s at %s: %s", call.method, call.path, connection.address, error)
+        log.debug("call %s %s to %s failed: %s", call.method, call.path, connection.address, error)
         connection.close()
         return NO_ANSWER, None
 
 
 class Client:
-    """A few threads that carry calls to one address; answers go to a callable.
+    """Performs calls to one address on a few threads.
 
-    `call(method, path, body, timeout, reply)` ends in `reply(status, body)`, with status
-    NO_ANSWER when the outcome is not known, REFUSED when nobody took the connection.
+    `call(method, path, body, timeout, reply)` leads to `reply(status, body)`, with status NO_ANSWER
+    if the outcome is unknown and REFUSED if the connection was refused.
     """
 
     def __init__(
@@ -98,9 +98,9 @@
         start_threads(self._run, threads, name)
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: Reply) -> None:
-        """Queues a call; `reply(status, body)` follows on a thread of the client.
+        """Queues a call; `reply(status, body)` is called on a thread of the client.
 
-        `timeout` is in seconds. Past the backlog of queued calls the reply is NO_ANSWER at once.
+        `timeout` is in seconds. If the backlog is full, the status is NO_ANSWER at once.
         """
         self._calls.put(Call("", method, path, body, timeout, reply))
 
@@ -112,24 +112,24 @@
 
 
 class IdleConnections:
-    """Open connections on which nothing is asked, one an address, for any thread.
+    """A thread-safe pool of idle connections, at most one per address.
 
-    Above the bound the one used longest ago gives way.
+    Above `limit` connections, the least recently used one is closed.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._by_address: dict[str, Connection] = {}  # the one used longest ago comes first
+        self._by_address: dict[str, Connection] = {}  # least recently used first
         self._lock = threading.Lock()
 
     def take(self, address: str) -> Connection:
-        """A connection to an address, which is the caller's until it is kept."""
+        """Takes the connection to an address out of the pool, or creates one."""
         with self._lock:
             connection = self._by_address.pop(address, None)
         return connection or Connection(parse_address(address))
 
     def keep(self, address: str, connection: Connection) -> None:
-        """Keeps a connection for the next call, if it is open."""
+        """Returns a connection to the pool, if it is open."""
         with self._lock:
             surplus = [self._by_address.pop(address, None)]
             if connection.sock is not None:
@@ -142,10 +142,10 @@
 
 
 class ClientPool:
-    """Threads that carry calls to many addresses over kept connections.
+    """Performs calls to many addresses on a pool of threads, over kept-alive connections.
 
-    A machine that hangs holds a thread for a whole timeout, so there are as many as may hang
-    together while the others' calls go on.
+    A hung machine blocks a thread until the timeout, so `threads` must exceed the number of
+    machines that may hang at the same time.
     """
 
     def __init__(self, threads: int, connections: int, name: str) -> None:
@@ -156,10 +156,10 @@
     def call(
         self, address: str, method: str, path: str, body: Any, timeout: float, reply: Reply
     ) -> None:
-        """Queues a call to `address` (host:port); `reply(status, body)` follows on a pool thread.
+        """Queues a call to `address` (host:port); `reply(status, body)` is called on a pool thread.
 
-        `timeout` is in seconds. Past four queued calls per thread the reply is NO_ANSWER at once,
-        and so it is when nobody takes the connection.
+        `timeout` is in seconds. The status is NO_ANSWER if the connection is refused, or at once
+        if the backlog (four calls per thread) is full.
         """
         self._calls.put(Call(address, method, path, body, timeout, reply))
 
--- a/emberglade/transport/client_connection.py
+++ b/emberglade/transport/client_connection.py
@@ -1,6 +1,6 @@
-"""One kept-alive connection of a client, on a blocking socket.
+"""A kept-alive client connection on a blocking socket.
 
-It is thin on purpose: a controller has a fraction of a core (docs/design.md, "Libraries").
+Deliberately minimal, because a controller has a fraction of a core (docs/design.md, "Libraries").
 """
 
 import logging
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("emberglade.transport")
 
-# The longest lines that are read at once, in bytes.
+# Maximum lengths of the lines of a response.
 MAX_STATUS_LINE_BYTES = 1024
 MAX_HEADER_LINE_BYTES = 8192
 MAX_CHUNK_LINE_BYTES = 64
@@ -20,11 +20,11 @@
 
 
 class ConnectionClosedError(OSError):
-    """The other side closed the connection before its answer was complete."""
+    """The server closed the connection before its response was complete."""
 
 
 class ResponseHeaders(NamedTuple):
-    """What a response's headers say of its body and of the connection."""
+    """The response headers that describe the body and the connection."""
 
     content_length: int
     close: bool
@@ -35,15 +35,15 @@
     """A complete response."""
 
     status: int
-    body: Any  # decoded; None if there is none, or none that is JSON
-    close: bool  # whether the other side closes the connection after it
+    body: Any  # decoded; None if there is no body or it is not JSON
+    close: bool  # whether the server closes the connection after it
 
 
 class Connection:
-    """One kept-alive client connection.
+    """A kept-alive client connection.
 
     Attributes:
-        address: (host, port) of the other side.
+        address: (host, port) of the server.
         sock: The socket; None while it is not connected.
     """
 
@@ -53,25 +53,28 @@
         self._reader: BinaryIO | None = None
 
     def close(self) -> None:
-        """Closes the reader and the socket, if open; a failure to close is logged and dropped."""
+        """Closes the reader and the socket, if open; a failure to close is only logged."""
         for part in (self._reader, self.sock):
             if part is not None:
                 try:
                     part.close()
                 except OSError:
-                    log.debug("closing a connection to %s failed; it is dropped", self.address)
+                    log.debug(
+                        "closing a connection to %s failed; the connection is discarded",
+                        self.address,
+                    )
         self.sock = self._reader = None
 
     def request(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, Any]:
-        """Sends a request and waits for its answer; `timeout` is in seconds.
+        """Sends a request and waits for its response; `timeout` is in seconds.
 
         Returns:
             (status, decoded body or None).
 
         Raises:
             OSError: The connection failed or timed out.
-            ValueError: The answer is no HTTP.
-            IndexError: The answer is no HTTP.
+            ValueError: The response is not valid HTTP.
+            IndexError: The response is not valid HTTP.
         """
         encoded = self._encode(method, path, body)
         sock, reader = self._open(timeout)
@@ -87,7 +90,7 @@
         return response.status, response.body
 
     def _open(self, timeout: float) -> tuple[socket.socket, BinaryIO]:
-        """The open socket and its reader; connects first if there are none."""
+        """The open socket and its reader; connects first if necessary."""
         if self.sock is None or self._reader is None:
             self.sock = socket.create_connection(self.address, timeout)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -104,10 +107,10 @@
 
 
 def read_response(reader: BinaryIO) -> Response:
-    """Reads one response, all of it."""
+    """Reads one complete response."""
     line = reader.readline(MAX_STATUS_LINE_BYTES)
     if not line:
-        raise ConnectionClosedError("closed by the other side")
+        raise ConnectionClosedError("connection closed by the server before the response")
     status = int(line.split(None, 2)[1])
     headers = _read_headers(reader)
     if headers.chunked:
@@ -116,7 +119,7 @@
         data = reader.read(headers.content_length)
         if len(data) < headers.content_length:
             raise ConnectionClosedError(
-                f"closed within the body: {len(data)} of {headers.content_length} bytes"
+                f"response body truncated: got {len(data)} of {headers.content_length} bytes"
             )
     return Response(status, _decode(data), headers.close)
 
@@ -125,7 +128,7 @@
     try:
         return orjson.loads(data) if data else None
     except ValueError:
-        # An HTML error page or the like: the status still counts, the body does not.
+        # Not JSON, for instance an HTML error page: only the status is used.
         return None
 
 
@@ -138,7 +141,9 @@
         if line in EMPTY_LINES:
             return ResponseHeaders(content_length, close, chunked)
         if not line:
-            raise ConnectionClosedError("closed within the headers")
+            raise ConnectionClosedError(
+                "connection closed by the server within the response headers"
+            )
         name, _, value = line.partition(b":")
         name, value = name.lower(), value.strip()
         if name == b"content-length":
@@ -150,7 +155,7 @@
 
 
 def _read_chunks(reader: BinaryIO) -> bytes:
-    """The body of a response that comes in chunks."""
+    """Reads the body of a response with chunked transfer encoding."""
     parts: list[bytes] = []
     while True:
         size = int(reader.readline(MAX_CHUNK_LINE_BYTES).split(b";")[0], 16)
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -1,4 +1,4 @@
-"""The state of one accepted connection, and of the one request on it that waits for its answer."""
+"""The state of an accepted connection, and of the request on it that waits for a response."""
 
 import socket
 import threading
@@ -7,22 +7,24 @@
 if TYPE_CHECKING:
     from .server import Server
 
-NEW_CONNECTION_GRACE_S = 1.0  # a new connection is not taken for an idle one for so long
+NEW_CONNECTION_GRACE_S = 1.0  # a connection without a request is not evicted before this
 
 
 class ServerConnection:
-    """One accepted connection. Only the server's thread reads, opens and closes it.
+    """An accepted connection. Only the server's thread opens, reads and closes it.
 
     Attributes:
-        sock: The socket, closed or not.
-        received: What came after the last complete request.
-        unsent: The rest of an answer that the socket could not take.
-        exchange: The request that waits for its answer.
-        active_at: When it was opened, or the last complete request came; monotonic, in seconds.
-        served: Whether a request was routed.
-        is_user: Whether a user's request was routed.
-        closing: Whether it is to be closed once `unsent` is sent.
-        lock: Sending and closing exclude each other: once closed, the descriptor may be another's.
+        sock: The socket, which may be closed.
+        received: The bytes received after the last complete request.
+        unsent: The rest of a response that did not fit into the socket's send buffer.
+        exchange: The request that waits for its response; None if there is none.
+        active_at: When the connection was opened or the last complete request was received, in
+            monotonic seconds.
+        served: Whether a request was received on it.
+        is_user: Whether a user's request was received on it.
+        closing: Whether the connection is closed once `unsent` is sent.
+        lock: Excludes closing while a thread sends, because the descriptor of a closed socket may
+            be reused for another connection.
     """
 
     __slots__ = (
@@ -56,20 +58,20 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request waits for its answer and no part of an answer is left to send."""
+        """Whether no request waits for a response and no part of a response is unsent."""
         return self.exchange is None and not self.unsent
 
     def is_evictable(self, now: float) -> bool:
-        """Whether nothing is asked on it, nor about to be."""
+        """Whether the connection is idle and not too new to have sent its first request."""
         return self.idle and (self.served or now - self.active_at > NEW_CONNECTION_GRACE_S)
 
 
 class Exchange:
-    """One request and the one answer that it gets.
+    """A request and its single response.
 
     Attributes:
-        keep_alive: Whether the connection stays open after the answer.
-        deadline: By when the request must be answered; monotonic, in seconds.
+        keep_alive: Whether the connection stays open after the response.
+        deadline: When the request must be answered, in monotonic seconds.
     """
 
     __slots__ = ("server", "connection", "keep_alive", "deadline")
@@ -82,9 +84,9 @@
 
     @property
     def answered(self) -> bool:
-        """Whether the answer was given, or the connection was closed."""
+        """Whether the response was sent or the connection was closed."""
         return self.connection.exchange is not self
 
     def reply(self, status: int, data: Any = None, retry_after: int | None = None) -> None:
-        """Sends the answer, unless there was one already or the connection is gone."""
+        """Sends the response, unless one was already sent or the connection is closed."""
         self.server.send_answer(self, status, data, retry_after)
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the server as bytes: an incremental parser and an encoder."""
+"""The server's HTTP messages: an incremental request parser and a response encoder."""
 
 from http import HTTPStatus
 from typing import Any, NamedTuple
@@ -11,17 +11,17 @@
 MAX_HEADERS = 100
 
 HEAD_END = b"\r\n\r\n"
-# First letters of the headers that matter: content-length, connection, transfer-encoding.
+# First letters of the headers that are evaluated: content-length, connection, transfer-encoding.
 RELEVANT_INITIALS = b"cCtT"
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
 
 class MalformedRequestError(ValueError):
-    """The bytes received can't become a request; the connection has to be closed."""
+    """The received bytes are not a valid request; the connection must be closed."""
 
 
 class Request(NamedTuple):
-    """One request, complete with its body."""
+    """A complete request with its body."""
 
     method: str
     path: str
@@ -30,7 +30,7 @@
 
 
 class Head(NamedTuple):
-    """What the request line and the headers say."""
+    """The relevant contents of the request line and the headers."""
 
     method: str
     path: str
@@ -39,12 +39,12 @@
 
 
 def take_request(received: bytes) -> tuple[Request, bytes] | None:
-    """(Request, bytes that follow it), or None while the request is incomplete."""
+    """Parses (request, remaining bytes); None while the request is incomplete."""
     head_length = received.find(HEAD_END)
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
             raise MalformedRequestError(
-                f"the head is not complete in {len(received)} bytes, over {MAX_HEAD_BYTES}"
+                f"request head too long: got {len(received)} bytes, at most {MAX_HEAD_BYTES} allowed"
             )
         return None
     head = parse_head(received[:head_length])
@@ -57,14 +57,16 @@
 
 
 def parse_head(data: bytes) -> Head:
-    """The Head in the bytes up to the empty line."""
+    """Parses the bytes up to the empty line after the headers."""
     lines = data.split(b"\r\n")
     words = lines[0].decode("latin-1").split()
     if len(words) != 3 or not words[2].startswith("HTTP/1."):
-        raise MalformedRequestError(f"malformed request line: {lines[0][:100]!r}")
+        raise MalformedRequestError(
+            f"malformed request line, expected METHOD PATH HTTP/1.x: {lines[0][:100]!r}"
+        )
     if len(lines) > MAX_HEADERS:
         raise MalformedRequestError(
-            f"too many lines in the head: {len(lines)}, at most {MAX_HEADERS}"
+            f"too many header lines: got {len(lines)}, at most {MAX_HEADERS} allowed"
         )
     method, path, version = words
     content_length, keep_alive = _parse_headers(lines[1:], version != "HTTP/1.0")
@@ -72,7 +74,7 @@
 
 
 def _parse_headers(lines: list[bytes], keep_alive: bool) -> tuple[int, bool]:
-    """(content length, keep alive); `keep_alive` is what holds if no header says otherwise."""
+    """(content length, keep alive); `keep_alive` is the default without a Connection header."""
     content_length = 0
     for line in lines:
         if not line or line[0] not in RELEVANT_INITIALS:
@@ -85,28 +87,28 @@
             keep_alive = value.strip().lower() != b"close"
         elif name == b"transfer-encoding":
             raise MalformedRequestError(
-                f"a body needs its Content-Length, not Transfer-Encoding: {value.strip()[:100]!r}"
+                f"Transfer-Encoding is not supported, use Content-Length: {value.strip()[:100]!r}"
             )
     return content_length, keep_alive
 
 
 def parse_content_length(value: bytes) -> int:
-    """The length that a Content-Length header names, in bytes.
+    """Parses the value of a Content-Length header, in bytes.
 
     Raises:
-        MalformedRequestError: The value is not a whole number of at most MAX_BODY_BYTES.
+        MalformedRequestError: The value is not an integer of at most MAX_BODY_BYTES.
     """
     value = value.strip()
     if not value.isdigit() or int(value) > MAX_BODY_BYTES:
         raise MalformedRequestError(
-            f"Content-Length must be a whole number of at most {MAX_BODY_BYTES} bytes,"
-            f" not {value[:100]!r}"
+            f"Content-Length must be an integer of at most {MAX_BODY_BYTES} bytes,"
+            f" got {value[:100]!r}"
         )
     return int(value)
 
 
 def encode_response(status: int, data: Any, retry_after: int | None, close: bool) -> bytes:
-    """The bytes of a response; `data` is encoded as JSON unless it is None."""
+    """Encodes a response; `data` is encoded as JSON unless it is None."""
     payload = b"" if data is None else orjson.dumps(data)
     retry = f"Retry-After: {retry_after}\r\n" if retry_after is not None else ""
     connection = "Connection: close\r\n" if close else ""
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 server: one thread for all connections, none of which can hold it up.
+"""The HTTP/1.1 server: one thread serves all connections with non-blocking I/O.
 
-A connection that is idle, or whose request has arrived in part, costs a socket and a buffer, not a
-thread. Requests are routed on the server's thread as soon as they are complete; the answer is sent
-by whichever thread gives it. What does not fit the socket's buffer is sent when there is room.
+A connection that is idle or has sent part of a request costs a socket and a buffer, not a thread.
+Complete requests are routed on the server's thread. The thread that replies also sends the
+response; the server's thread sends what did not fit into the socket's send buffer.
 """
 
 import logging
@@ -30,29 +30,29 @@
 
 log = logging.getLogger("emberglade.transport")
 
-# route(method, path, body, reply): leads to one `reply(status, data, retry_after)`
+# route(method, path, body, reply) must lead to one `reply(status, data, retry_after)`.
 Route = Callable[[str, str, bytes, Callable[..., None]], None]
 
 RECEIVE_BYTES = 64 * 1024
 OVERLOAD_RETRY_S = 1
-MIN_LISTEN_BACKLOG = 16  # connections that wait to be accepted
+MIN_LISTEN_BACKLOG = 16  # connections that may wait to be accepted
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
 
 class Server(socketserver.TCPServer):
-    """An HTTP/1.1 server that feeds each request to a route on its own thread.
+    """An HTTP/1.1 server that passes each request to a route on the server's thread.
 
-    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from
-    any thread and at any later time.
+    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from any
+    thread and at any later time.
 
-    At the bound on connections the one that has been idle for longest gives way, those of users
-    first; if none is idle, the new one is closed at once. Connections on which a path came that
-    `is_user_path` accepts are at most `max_user_connections`: past that they get 503 and are
-    closed, so that users can't crowd out workers.
+    At the connection limit, the connection that has been idle longest is evicted, users'
+    connections first; if none is idle, the new connection is closed at once. At most
+    `max_user_connections` may send requests to paths that `is_user_path` accepts; further ones get
+    503 and are closed, so that users do not take the connections of workers.
 
     Attributes:
-        connections: The open ones.
-        server_port: Where it listens.
+        connections: The open connections.
+        server_port: The port on which it listens.
     """
 
     allow_reuse_address = True
@@ -65,7 +65,7 @@
         is_user_path: Callable[[str], bool] = lambda path: False,
     ) -> None:
         self.route, self.limits = route, limits
-        # After the end of another controller all its workers come at once.
+        # When another controller stops, all its workers connect here at once.
         self.request_queue_size = max(MIN_LISTEN_BACKLOG, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
@@ -73,25 +73,25 @@
         self._selector = selectors.DefaultSelector()
         self.connections = ConnectionTable(self.socket, self._selector, limits, is_user_path)
         self._waker = Waker(self._selector)
-        # Requests that were not answered at once, the oldest first.
+        # Exchanges that were not answered at once, the oldest first.
         self._unanswered: deque[Exchange] = deque()
-        # Connections with something to send, to read or to close.
+        # Connections on which the server's thread must send, serve a request or close.
         self._pending: deque[ServerConnection] = deque()
         self._stopping = False
 
     @property
     def connection_count(self) -> int:
-        """The number of open connections, of users and of others."""
+        """The number of open connections."""
         return len(self.connections)
 
     # --- the server's thread
 
     def begin(self, name: str) -> None:
-        """Serves on a thread of its own."""
+        """Starts serving on a new thread."""
         threading.Thread(target=self.serve_forever, name=name, daemon=True).start()
 
     def serve_forever(self, poll_interval: float = 0.0) -> None:
-        """Serves until `shutdown`, on the caller's thread; `poll_interval` is of no use here."""
+        """Serves on the caller's thread until `shutdown`; `poll_interval` is ignored."""
         self._waker.set_waiting_thread()
         sweep_s = self.limits.idle_timeout_s / SWEEPS_PER_IDLE_TIMEOUT
         next_sweep = time.monotonic() + sweep_s
@@ -108,7 +108,7 @@
                 self.connections.close_idle(now)
 
     def _select_timeout_s(self, next_sweep: float) -> float:
-        """Seconds until something is due that no event announces."""
+        """Seconds until the next sweep, answer deadline or end of a pause of accepting."""
         due = next_sweep
         if self._unanswered:
             due = min(due, self._unanswered[0].deadline)
@@ -131,21 +131,21 @@
         try:
             self.connections.accept_new()
         except Exception:
-            log.exception("accepting connections failed; it goes on in a moment")
+            log.exception("accepting connections failed; retrying after a short pause")
             self.connections.pause_accepting(time.monotonic())
 
     def _guarded(
         self, action: Callable[[ServerConnection], None], connection: ServerConnection
     ) -> None:
-        """One connection's failure must not end the others'."""
+        """Runs an action on a connection; an exception closes only that connection."""
         try:
             action(connection)
         except Exception:
-            log.exception("a request failed; its connection is closed")
+            log.exception("serving a connection failed; the connection is closed")
             self.connections.close(connection)
 
     def shutdown(self) -> None:
-        """Ends `serve_forever`; the sockets stay open until `server_close`."""
+        """Stops `serve_forever`; the sockets stay open until `server_close`."""
         self._stopping = True
         self._waker.wake()
 
@@ -173,7 +173,7 @@
         self._serve_received(connection)
 
     def _serve_received(self, connection: ServerConnection) -> None:
-        """Routes the next request, if it is complete and the one before is answered."""
+        """Routes the next request, if it is complete and the previous one is answered."""
         if not connection.idle or connection.closing:
             return
         now = time.monotonic()
@@ -189,19 +189,25 @@
         connection.served = True
         if not self.connections.admit(connection, request.path):
             exchange = self._open_exchange(connection, False, now)
-            exchange.reply(503, {"error": "too many connections here; ask again"}, OVERLOAD_RETRY_S)
+            exchange.reply(
+                503,
+                {"error": "too many user connections to this controller; retry later"},
+                OVERLOAD_RETRY_S,
+            )
             return
         keep_alive = request.keep_alive and not self.connections.is_near_limit
         self._route(request, self._open_exchange(connection, keep_alive, now))
 
     def _route(self, request: Request, exchange: Exchange) -> None:
-        """Feeds a request to the route."""
+        """Passes a request to the route."""
         try:
             self.route(request.method, request.path, request.body, exchange.reply)
         except Exception:
-            log.exception("%s %s failed", request.method, request.path)
+            log.exception(
+                "request %s %s failed; it is answered with 500", request.method, request.path
+            )
             exchange.keep_alive = False
-            exchange.reply(500, {"error": "the request failed here"})
+            exchange.reply(500, {"error": "internal error: the request failed"})
         if not exchange.answered:
             self._unanswered.append(exchange)
 
@@ -213,21 +219,24 @@
         return exchange
 
     def _expire_exchanges(self, now: float) -> None:
-        """Answers the requests that got no decision in time."""
+        """Answers overdue requests with 503."""
         waiting = self._unanswered
         while waiting and (waiting[0].answered or waiting[0].deadline <= now):
             waiting.popleft().reply(
-                503, {"error": "no decision in time; ask again"}, OVERLOAD_RETRY_S
+                503,
+                {"error": "the request was not answered in time; retry later"},
+                OVERLOAD_RETRY_S,
             )
 
-    # --- answers
+    # --- responses
 
     def send_answer(
         self, exchange: Exchange, status: int, data: Any, retry_after: int | None
     ) -> None:
-        """Sends what the socket takes at once; the server's thread does the rest.
+        """Sends what fits into the socket's send buffer; the server's thread sends the rest.
 
-        From any thread. Nothing is sent if there was an answer already, or no connection any more.
+        May be called from any thread. Does nothing if the exchange is already answered or its
+        connection is closed.
         """
         connection = exchange.connection
         response = encode_response(status, data, retry_after, not exchange.keep_alive)
@@ -249,7 +258,7 @@
             self._waker.wake()
 
     def _continue_connection(self, connection: ServerConnection) -> None:
-        """What is left after an answer: its rest, the end of the connection, the next request."""
+        """Continues after a response: sends the rest, closes, or serves the next request."""
         if connection.is_closed:
             return
         if connection.unsent:
@@ -262,7 +271,7 @@
             self._serve_received(connection)
 
     def _send_remaining(self, connection: ServerConnection) -> None:
-        """Sends more of an answer that the socket could not take at once."""
+        """Sends more of a response that did not fit into the socket's send buffer."""
         with connection.lock:
             try:
                 sent = connection.sock.send(connection.unsent, socket.MSG_DONTWAIT)
