--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -44,7 +44,7 @@
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
             raise MalformedRequestError(
-                f"request head too long: got {len(received)} bytes, at most {MAX_HEAD_BYTES} allowed"
+                f"request head too long: {len(received)} bytes, at most {MAX_HEAD_BYTES} allowed"
             )
         return None
     head = parse_head(received[:head_length])
