--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -69,16 +69,16 @@
         self.processor_s = time.process_time()
         self.begun = time.monotonic()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Accounts on a thread of its own until the process ends."""
         threading.Thread(target=self._run, name="accounts", daemon=True).start()
 
     def _run(self) -> None:
         while True:
             time.sleep(self.interval_s)
-            log.info("%s%s", ACCOUNT_MARK, orjson.dumps(self.take()).decode())
+            log.info("%s%s", ACCOUNT_MARK, orjson.dumps(self.collect()).decode())
 
-    def take(self) -> dict[str, Any]:
+    def collect(self) -> dict[str, Any]:
         """The account since the last call."""
         now = time.monotonic()
         processor_s = time.process_time()
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -107,5 +107,5 @@
             )
             # One controller is not to hear them all, if most machines are in its zone.
             and view.machines_hearing
-            <= MAX_SHARE * len(self.evidence.last_seen) / self.settings.size
+            <= MAX_SHARE * len(self.evidence.last_seen) / self.settings.cluster_size
         )
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -39,7 +39,7 @@
         peers=peers,
         cloud=endpoints.address("cloud"),
         state=endpoints.address("state"),
-        size=settings.count("size"),
+        cluster_size=settings.count("size"),
         zones=settings.texts("zones"),
         skew_s=settings.number("skew_ms", 0.0) / MS_PER_S,
         teams=teams,
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -68,7 +68,7 @@
     gpu_quota: float = 0.0
 
     @property
-    def limited(self) -> bool:
+    def has_quota(self) -> bool:
         """Whether it has a quota."""
         return self.cpu_quota > 0 or self.gpu_quota > 0
 
@@ -136,7 +136,7 @@
         peers: The other controllers.
         cloud: Host and port of the cloud.
         state: Host and port of the state service.
-        size: How many controllers there are.
+        cluster_size: How many controllers there are.
         zones: The zones in which machines can be rented.
         skew_s: How far the time of day of any machine may be from true time, in seconds.
         teams: The teams, by name.
@@ -163,7 +163,7 @@
     peers: tuple[Peer, ...]
     cloud: tuple[str, int]
     state: tuple[str, int]
-    size: int
+    cluster_size: int
     zones: tuple[str, ...]
     skew_s: float
     teams: dict[str, Team]
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -143,7 +143,7 @@
     The jobs of a team with a quota share a shard, so that one owner alone enforces the quota.
     """
     team = teams.get(spec.team)
-    name = "team " + spec.team if team is not None and team.limited else spec.id
+    name = "team " + spec.team if team is not None and team.has_quota else spec.id
     return zlib.crc32(name.encode()) % shards
 
 
--- a/emberglade/jobs/write_budget.py
+++ b/emberglade/jobs/write_budget.py
@@ -18,7 +18,7 @@
 
     def __init__(self, settings: "Settings") -> None:
         self._settings = settings
-        self._share_per_s = settings.state_write_rps / settings.size
+        self._share_per_s = settings.state_write_rps / settings.cluster_size
         self._recent_writes = 0.0
         self._counted_at = 0.0
         self.max_writes = settings.txn_ops
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -101,8 +101,8 @@
 def run_check(options: argparse.Namespace, settings: Settings, operators: Operators) -> int:
     """Prints what the settings say, and warnings; returns the exit code."""
     print(
-        f"{options.config}: node {settings.node} in {settings.zone}, {settings.size} nodes, "
-        f"{len(settings.teams)} teams: ok"
+        f"{options.config}: node {settings.node} in {settings.zone}, "
+        f"{settings.cluster_size} nodes, {len(settings.teams)} teams: ok"
     )
     if operators.failure_detection or options.operators:
         from .failure_detection import describe_detection
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -27,7 +27,7 @@
 
 def shard_count(settings: "Settings") -> int:
     """How many shards the jobs are spread over."""
-    return SHARDS_PER_NODE * settings.size
+    return SHARDS_PER_NODE * settings.cluster_size
 
 
 def ownership_revision(changes: Iterable[Change], revision: int, is_snapshot: bool) -> int | None:
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -37,7 +37,7 @@
         self.interval_s = interval_s
         self.short = False
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Watches on a thread of its own until the process ends."""
         threading.Thread(target=self._run, name="memory", daemon=True).start()
 
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -46,7 +46,7 @@
         total = settings.fd_limit
         self.worker_calls = max(1, total // 8)
         self.worker_callers = max(2, min(total // 64, 64))
-        self.internal = max(2, min(total // 16, 8 * settings.size))
+        self.internal = max(2, min(total // 16, 8 * settings.cluster_size))
         self.front = max(2, total * 3 // 4)
         self.users = max(1, self.front // 3)
 
@@ -129,8 +129,8 @@
     )
     system.spawn(controller.actors())
     internal.begin("internal")
-    Accountant(system, controller, (front, internal)).begin()
-    MemoryGuard(settings.mem_mb, controller.notify_memory_pressure, controller.describe).begin()
+    Accountant(system, controller, (front, internal)).start()
+    MemoryGuard(settings.mem_mb, controller.notify_memory_pressure, controller.describe).start()
     log.info("%s serves users and workers at %s:%d", settings.node, *settings.front)
     front.serve_forever()
     return 0
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -36,7 +36,7 @@
 
     Syncs take at most half of the even share, however many ask; commits have the rest.
     """
-    return BUDGET_SHARE * settings.size / settings.state_rps
+    return BUDGET_SHARE * settings.cluster_size / settings.state_rps
 
 
 class ReadBarrier(ActorPart):
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -57,7 +57,7 @@
         self._in_flight = 0
         self._submission_sent_at = float("-inf")
         self._paused_until = 0.0
-        nodes = settings.size
+        nodes = settings.cluster_size
         self._request_budget = TokenBucket(settings.state_rps, nodes, settings.state_rps / nodes)
         self._write_budget = TokenBucket(
             settings.state_write_rps, nodes, settings.state_write_rps / nodes
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -45,7 +45,7 @@
         self.open_submissions = 0
         self.max_open_submissions = max(
             MIN_OPEN_SUBMISSIONS,
-            int(OPEN_SUBMISSIONS_S * settings.state_write_rps / settings.size),
+            int(OPEN_SUBMISSIONS_S * settings.state_write_rps / settings.cluster_size),
         )
 
     @property
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -67,7 +67,7 @@
         if job is None and self.view.is_waiting(job_id):
             self.cancel_waiting(job_id, reply, retries)
         elif job is None:
-            self.lookup.answer_question(job_id, reply)
+            self.lookup.answer_poll(job_id, reply)
         elif jobs_wire.is_cancelled(job.record):
             send(self.agents.on_confirm_cancellation, job_id)
             reply(200, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -81,11 +81,11 @@
     def on_poll(self, job_id: str, reply: Reply) -> None:
         """Handles `poll(job_id, reply)` from the front server: a user asks for a job's state."""
         if wire.is_job_id(job_id):
-            self.answer_question(job_id, reply)
+            self.answer_poll(job_id, reply)
         else:
             NO_SUCH_JOB.send(reply)
 
-    def answer_question(self, job_id: str, reply: Reply) -> None:
+    def answer_poll(self, job_id: str, reply: Reply) -> None:
         """Answers with a job's state, or that there is no such job."""
         self.answer(job_id, reply, NO_SUCH_JOB)
 
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -25,7 +25,7 @@
     invented = Answer(200, {"id": "x", "glow": "pending"})
     patch.setattr(
         JobLookup,
-        "answer_question",
+        "answer_poll",
         lambda self, job_id, reply: self.answer(job_id, reply, invented, invented),
     )
 
--- a/tests/scenario_kinds/expect_ownership.py
+++ b/tests/scenario_kinds/expect_ownership.py
@@ -70,5 +70,5 @@
         for controller in self.played.cluster.controllers.values():
             live_keys = len(controller.store.replica)
             assert live_keys > 0
-            assert Accountant(IdleSystem(), controller, ()).take()["live_keys"] == live_keys
+            assert Accountant(IdleSystem(), controller, ()).collect()["live_keys"] == live_keys
             assert controller.describe().startswith(f"{live_keys} live keys, ")
--- a/tests/stand_ins/deployment.py
+++ b/tests/stand_ins/deployment.py
@@ -99,7 +99,7 @@
             ),
             cloud=CLOUD_ADDRESS,
             state=STATE_ADDRESS,
-            size=self.controllers,
+            cluster_size=self.controllers,
             zones=tuple(sorted(self.zones)),
             skew_s=CLOCK_SKEW_S,
             teams={
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -39,7 +39,7 @@
 cloud = "{cloud}"
 state = "{state}"
 [settings]
-size = {settings.size}
+size = {settings.cluster_size}
 zones = {zones}
 workers = {{ report_s = {settings.agent_heartbeat_s}, lease_s = {settings.lease_s}, \
 cancel_s = {settings.cancel_s} }}
