--- a/emberglade/user_api/__init__.py
+++ b/emberglade/user_api/__init__.py
@@ -1,4 +1,4 @@
-"""The users' API: submissions, polls, cancellations, readiness; strict validation."""
+"""The HTTP API for users: job submissions, status polls, cancellations and the health check."""
 
 from .api import UserApi
 
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -1,4 +1,4 @@
-"""Commits accepted jobs, and bounds how many submissions are open at the same time."""
+"""Commits accepted jobs, and limits the number of submissions that are open at the same time."""
 
 import logging
 from typing import Any
@@ -14,19 +14,22 @@
 from ..state import wire as state_wire
 from ..state.store import SUBMISSIONS
 from . import wire
-from .answers import STORE_SILENT, Reply, too_many
+from .answers import STORE_UNAVAILABLE, Reply, too_many_requests
 from .job_state import JobState, JobStatus
 from .lookup import JobLookup
 
 log = logging.getLogger("emberglade.user_api")
 
-MIN_OPEN_SUBMISSIONS = 8  # that may be open at the same time, however small the write budget is
-OPEN_SUBMISSIONS_S = 2.0  # of the store's write budget: more can't be accepted in time
-STORE_BUSY = too_many("too many requests at once")
+# A controller has at most as many open submissions as its share of the store's write rate commits
+# in OPEN_SUBMISSIONS_S, since more of them would time out; the limit is at least
+# MIN_OPEN_SUBMISSIONS.
+MIN_OPEN_SUBMISSIONS = 8
+OPEN_SUBMISSIONS_S = 2.0
+STORE_BUSY = too_many_requests("too many requests are being processed")
 
 
 def never_accepted_conditions(job_id: str) -> list[tuple[str, int]]:
-    """The conditions `[(full key, mod_revision)]` that a job was never accepted."""
+    """Transaction conditions `[(full key, mod revision)]`: the job was never accepted."""
     return [
         (LIVE_PREFIX + job_key(job_id), 0),
         (LIVE_PREFIX + waiting_key(job_id), 0),
@@ -35,7 +38,7 @@
 
 
 class Acceptance(ActorPart):
-    """Makes accepted jobs durable and tells their users."""
+    """Commits accepted jobs to the store and answers their users."""
 
     def __init__(self, actor: Actor, settings: Settings, store: Store, lookup: JobLookup) -> None:
         super().__init__(actor)
@@ -50,19 +53,19 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further submission may be opened now."""
+        """Whether the limit of open submissions is reached."""
         return self.open_submissions >= self.max_open_submissions
 
     def open(self) -> None:
-        """Counts a submission as open, until `close` or the end of `commit`."""
+        """Counts a submission as open until `close`, or until its `commit` is answered."""
         self.open_submissions += 1
 
     def close(self) -> None:
-        """Counts a submission as answered."""
+        """Counts a submission as no longer open."""
         self.open_submissions -= 1
 
     def commit(self, spec: JobSpec, reply: Reply) -> None:
-        """Commits a job that may run at once, unless it was accepted before; then answers."""
+        """Commits a job whose dependencies, if any, are done, unless it was accepted before."""
         job = Job(spec, chunk_size_for(spec, self.settings.value_bytes))
         send(
             self.store.on_commit,
@@ -75,33 +78,38 @@
     def on_committed(
         self, spec: JobSpec, reply: Reply, status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to `commit`: answers the submission, which is closed."""
+        """Handles the store's answer to `commit`: closes the submission and answers it."""
         self.close()
         if status != 200:
             self.answer_not_committed(spec, reply, status, failed)
             return
         log.info(
-            "%s accepted: %d tasks of %g cpus, priority %d, team %s, due %s",
+            "job %s accepted: %d tasks of %g CPUs each, priority %d, team %s, deadline %s",
             spec.id,
             spec.tasks,
             spec.cpus,
             spec.priority,
             spec.team,
-            "never" if spec.deadline_s is None else f"in {spec.deadline_s:g} s",
+            "none" if spec.deadline_s is None else f"in {spec.deadline_s:g} s",
         )
         reply(201, wire.write_state(JobState(spec.id, JobStatus.PENDING)))
 
     def answer_not_committed(self, spec: JobSpec, reply: Reply, status: int, failed: Any) -> None:
-        """Answers a submission whose commit ended with another status than 200."""
+        """Answers a submission whose commit got a status other than 200."""
         if status == 409:
             self.answer_accepted_before(spec.id, reply)
         elif status == 429:
             STORE_BUSY.send(reply)
         else:
             if status == 400:
-                log.error("the state service refuses %s (%s)", spec.id, failed)
-            STORE_SILENT.send(reply)
+                log.error(
+                    "job %s not accepted: the state service refused its record as invalid (%s); "
+                    "its user gets 503",
+                    spec.id,
+                    failed,
+                )
+            STORE_UNAVAILABLE.send(reply)
 
     def answer_accepted_before(self, job_id: str, reply: Reply) -> None:
-        """Answers with the state of a job that was accepted, as far as is known here."""
-        self.lookup.answer(job_id, reply, if_never_accepted=STORE_SILENT)
+        """Answers a submission with the state of its job, which was accepted before."""
+        self.lookup.answer(job_id, reply, if_never_accepted=STORE_UNAVAILABLE)
--- a/emberglade/user_api/answers.py
+++ b/emberglade/user_api/answers.py
@@ -1,4 +1,4 @@
-"""Answers to HTTP requests as data, and those that several parts of the users' API give."""
+"""Answers to HTTP requests as data, and the answers that several modules of the API share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from . import wire
 
-# reply(status, body, retry_after_s): answers one request; `retry_after_s` may be left out.
+# reply(status, body, retry_after_s): answers one request; `retry_after_s` is optional.
 Reply = Callable[..., None]
 
 RETRY_AFTER_S = 1
@@ -19,7 +19,7 @@
     Attributes:
         status: The HTTP status.
         body: Sent as JSON.
-        retry_after_s: After how many seconds the user should ask again; None: not at all.
+        retry_after_s: The value of `Retry-After`, in seconds; None: no such header.
     """
 
     status: int
@@ -27,22 +27,22 @@
     retry_after_s: int | None = None
 
     def send(self, reply: Reply) -> None:
-        """Answers a request with this."""
+        """Sends this answer to a request."""
         reply(self.status, self.body, self.retry_after_s)
 
 
-def try_later(reason: str) -> Answer:
-    """The answer to what can't be done now."""
+def service_unavailable(reason: str) -> Answer:
+    """The answer to a request that can't be served now."""
     return Answer(503, wire.error(reason), RETRY_AFTER_S)
 
 
-def too_many(reason: str) -> Answer:
-    """The answer to a request beyond what is taken at the same time."""
+def too_many_requests(reason: str) -> Answer:
+    """The answer to a request above the limit of open requests."""
     return Answer(429, wire.error(reason), RETRY_AFTER_S)
 
 
 def malformed(reason: str) -> Answer:
-    """The answer to a request that breaks the protocol."""
+    """The answer to a request that violates the protocol."""
     return Answer(400, wire.error(reason))
 
 
@@ -51,11 +51,11 @@
     return Answer(422, wire.error(reason))
 
 
-def wrong_method(needed: str) -> Answer:
-    """The answer to another HTTP method than the path's own."""
-    return Answer(405, wire.error(f"{needed} is needed"))
+def method_not_allowed(allowed: str) -> Answer:
+    """The answer to an HTTP method that the path does not allow."""
+    return Answer(405, wire.error(f"method not allowed: expected {allowed}"))
 
 
 NO_SUCH_PATH = Answer(404, wire.error("no such path"))
 NO_SUCH_JOB = Answer(404, wire.error("no such job"))
-STORE_SILENT = try_later("the state service does not answer")
+STORE_UNAVAILABLE = service_unavailable("the state service does not answer")
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -1,6 +1,7 @@
-"""The users' API as one actor. Whatever it tells is durable, and read after the question came.
+"""The user API as one actor.
 
-What can't be done now is answered at once with `Retry-After`: nothing is held back.
+An answer reports only committed state, read after the request arrived. A request that can't be
+served now is answered immediately with `Retry-After`; none is queued until it can be.
 """
 
 from typing import TYPE_CHECKING
@@ -21,14 +22,14 @@
 
 
 class UserApi(ReplicaSubscriber):
-    """Users' submissions, questions and cancellations.
+    """Handles users' submissions, polls and cancellations.
 
     Attributes:
         view: The committed jobs.
-        lookup: Answers questions about jobs.
-        submissions: Takes submissions.
-        cancellations: Takes cancellations.
-        routes: Leads the front server's requests to these, and to the agent manager.
+        lookup: Answers polls of a job's state.
+        submissions: Handles submissions.
+        cancellations: Handles cancellations.
+        routes: Dispatches the front server's requests to these and to the agent manager.
     """
 
     def __init__(self, settings: Settings, store: Store, agents: "AgentManager") -> None:
@@ -49,15 +50,15 @@
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
-        Follows committed jobs.
+        Updates the view of committed jobs.
         """
         self.view.apply(changes, is_snapshot)
 
-    def on_memory_pressure(self, short: bool) -> None:
-        """Handles `memory_pressure(short)` from the memory guard.
+    def on_memory_pressure(self, memory_is_low: bool) -> None:
+        """Handles `memory_pressure(memory_is_low)` from the memory guard.
 
-        While memory is short no job is accepted here, and no final state is kept at hand.
+        While memory is low, no job is accepted here. The cache of final states is cleared.
         """
-        self.submissions.memory_short = short
-        if short:
+        self.submissions.memory_is_low = memory_is_low
+        if memory_is_low:
             self.lookup.final_states.clear()
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -1,4 +1,7 @@
-"""Users' cancellations: marked in the job's record, and told only once the replica shows them."""
+"""Users' cancellations.
+
+A cancellation is written to the job's record and confirmed once the replica shows it.
+"""
 
 import logging
 from typing import TYPE_CHECKING, Any
@@ -10,7 +13,7 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
-from .answers import NO_SUCH_JOB, STORE_SILENT, Reply
+from .answers import NO_SUCH_JOB, STORE_UNAVAILABLE, Reply
 from .committed_view import CommittedView, LiveJob
 from .job_state import JobState, JobStatus
 from .lookup import JobLookup
@@ -20,11 +23,11 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-MAX_RETRIES = 8  # of one cancellation, whose record was written by its owner in between
+MAX_RETRIES = 8  # of a cancellation that conflicts with writes of the job's owner
 
 
 class CancellationRequests(ActorPart):
-    """Cancels jobs for their users. A repeated cancellation gets the same answer."""
+    """Cancels jobs on behalf of their users; cancellation is idempotent."""
 
     def __init__(
         self,
@@ -43,7 +46,7 @@
     def on_cancel(self, job_id: str, reply: Reply, retries: int = 0) -> None:
         """Handles `cancel(job_id, reply)` from the front server: a user cancels a job.
 
-        `retries` counts how often that was tried before for the same request.
+        `retries` is the number of earlier attempts for the same request.
         """
         final = self.lookup.final_states.get(job_id)
         if not wire.is_job_id(job_id):
@@ -56,12 +59,12 @@
     def on_cancel_synced(
         self, job_id: str, reply: Reply, retries: int, revision: int | None
     ) -> None:
-        """Handles a sync before a cancellation is committed, and the one after it.
+        """Handles the sync before a cancellation's commit, and the one after it.
 
-        From `on_cancel` and `on_cancel_committed`; the revision is None if the sync failed.
+        Requested by `on_cancel` and `on_cancel_committed`; `revision` is None if the sync failed.
         """
         if revision is None:
-            STORE_SILENT.send(reply)
+            STORE_UNAVAILABLE.send(reply)
             return
         job = self.view.live_jobs.get(job_id)
         if job is None and self.view.is_waiting(job_id):
@@ -75,7 +78,7 @@
             self.cancel_live(job_id, job, reply, retries)
 
     def cancel_live(self, job_id: str, job: LiveJob, reply: Reply, retries: int) -> None:
-        """Marks a live job as cancelled; its owner stops its tasks."""
+        """Commits the cancellation of a live job; its owner then stops its tasks."""
         key = LIVE_PREFIX + job_key(job_id)
         send(
             self.store.on_commit,
@@ -86,7 +89,10 @@
         )
 
     def cancel_waiting(self, job_id: str, reply: Reply, retries: int) -> None:
-        """Ends a job that waits: it has no task, so it is over as soon as it is cancelled."""
+        """Commits the cancellation of a waiting job.
+
+        Such a job has no tasks, so its final record is written at once.
+        """
         waiting = self.view.graph.waiting[job_id]
         key = LIVE_PREFIX + waiting_key(job_id)
         final_record = jobs_wire.final_record(Outcome.CANCELLED, waiting.spec.tasks, done=0)
@@ -112,13 +118,13 @@
     ) -> None:
         """Handles the store's answer to the commit of a cancellation."""
         if status == 200:
-            log.info("%s cancelled by its user", job_id)
-            # Nothing is told that this controller's own replica does not show: others conclude
-            # from its revision that they miss nothing, and its halts go to every machine that the
-            # replica names.
+            log.info("job %s cancelled by its user", job_id)
+            # Confirmed only once this controller's own replica shows it: other controllers rely on
+            # the replica's revision to know that they miss no confirmed cancellation, and halts go
+            # to every machine that the replica names.
             send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
         elif status == 409 and retries < MAX_RETRIES:
-            # Its owner wrote in between.
+            # The job's owner wrote the record in between.
             self.on_cancel(job_id, reply, retries + 1)
         else:
-            STORE_SILENT.send(reply)
+            STORE_UNAVAILABLE.send(reply)
--- a/emberglade/user_api/committed_jobs.py
+++ b/emberglade/user_api/committed_jobs.py
@@ -1,4 +1,4 @@
-"""What users are told of a job, out of the records that the store holds (`jobs/wire`)."""
+"""Derives the job states that users see from the records in the store (`jobs/wire`)."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -9,19 +9,19 @@
 
 _FINAL_STATUSES = {Outcome.DONE: JobStatus.DONE, Outcome.CANCELLED: JobStatus.CANCELLED}
 
-# A chunk is told from those of other layouts by its generation: (generation, number) -> its value.
+# (generation, number) -> chunk value; the generation identifies the layout of the job's chunks.
 Chunks = Mapping[tuple[str, int], dict[str, Any]]
 
 
 class TaskCounts(NamedTuple):
-    """How many tasks of a job are done, and how many are bound to a machine."""
+    """The numbers of a job's tasks that are done, and that are bound to a machine."""
 
     done: int
     running: int
 
 
 def count_tasks(record: dict[str, Any], chunks: Chunks) -> TaskCounts:
-    """Counts a live job's tasks over its record's own chunk and the others of its layout."""
+    """Counts a live job's tasks in its record's own chunk and in the others of the same layout."""
     generation = jobs_wire.read_generation(record)
     own_chunks = [
         jobs_wire.first_chunk(record),
@@ -34,7 +34,7 @@
 
 
 def read_final_state(job_id: str, status: int, record: Any) -> JobState | None:
-    """The state of a job that is over, out of the store's answer; None if it tells none."""
+    """The state of a finished job from the store's answer; None if that holds no final record."""
     final = jobs_wire.read_final(status, record)
     if final is None:
         return None
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -1,6 +1,7 @@
-"""What the users' API keeps of the store's live keys: jobs as committed, and who awaits whom.
+"""The user API's view of the store's live keys: committed jobs and their dependencies.
 
-From what is committed, not from the job manager, whose view runs ahead while it writes.
+It is built from the replica and not from the job manager, whose view is ahead of the committed
+state while a write is under way.
 """
 
 from collections.abc import Iterable
@@ -22,7 +23,7 @@
     Attributes:
         record: The value of the job's own key.
         mod_revision: The revision at which that key last changed.
-        chunks: Its further chunks, of any layout: (generation, number) -> value.
+        chunks: Its further chunks, of every layout: (generation, number) -> value.
     """
 
     record: dict[str, Any]
@@ -31,13 +32,13 @@
 
 
 class CommittedView:
-    """The committed jobs, kept in step by the store's changes.
+    """The committed jobs, kept up to date by the store's changes.
 
     Attributes:
         live_jobs: job id -> LiveJob.
-        graph: The jobs that wait for others, and how jobs ended as far as that is known.
-        machine_types: name -> MachineType; empty until the catalog was read.
-        format_raised: Whether every controller reads records of jobs that await others.
+        graph: The waiting jobs, their dependencies, and the known outcomes of finished jobs.
+        machine_types: name -> MachineType; empty until the catalog has been read.
+        format_raised: Whether every controller can read the records of waiting jobs.
     """
 
     def __init__(self) -> None:
@@ -47,7 +48,7 @@
         self.format_raised = False
 
     def apply(self, changes: Iterable[Change], is_snapshot: bool) -> None:
-        """Takes in changes of the replica; `is_snapshot`: they are all keys."""
+        """Applies changes of the replica; `is_snapshot`: they are the complete replica."""
         if is_snapshot:
             self.live_jobs = {}
         for key, data, mod_revision in changes:
@@ -73,22 +74,22 @@
             job.mod_revision = mod_revision
 
     def _apply_chunk(self, key: str, data: dict[str, Any] | None) -> None:
-        """Keeps a further chunk; only the counts that users are shown need it."""
+        """Stores a further chunk; only the task counts in answers to users use it."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
         job = self.live_jobs.get(job_id)
         if job is not None:
             job.chunks[(generation, number)] = data or {}
 
     def is_waiting(self, job_id: str) -> bool:
-        """Whether a job waits for others."""
+        """Whether a job waits for its dependencies."""
         return job_id in self.graph.waiting
 
     def is_unfinished(self, job_id: str) -> bool:
-        """Whether a job is live or waits for others."""
+        """Whether a job is live or waiting."""
         return job_id in self.live_jobs or job_id in self.graph.waiting
 
     def is_known(self, job_id: str) -> bool:
-        """Whether the replica, or what was read before, shows that a job was accepted."""
+        """Whether the replica or an earlier read shows that a job was accepted."""
         return self.is_unfinished(job_id) or job_id in self.graph.outcomes
 
     def is_service(self, job_id: str) -> bool:
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -1,4 +1,4 @@
-"""Reads how awaited jobs ended, where the replica does not show it."""
+"""Reads the outcomes of dependencies where the replica does not show them."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
@@ -10,43 +10,46 @@
 from ..state import FINAL_PREFIX, Store
 from ..state.store import DECISIONS
 
-MAX_READS = 32  # final keys that one request may have read; a repeat of it finds them at hand
+# A request that needs more final keys fails; its retry only reads those that are still unknown.
+MAX_READS_PER_REQUEST = 32
 
 
 @dataclass
-class DependenciesRead:
-    """The awaited jobs whose final keys a request has read.
+class DependencyReadRequest:
+    """One request to read the final keys of dependencies.
 
     Attributes:
-        unread: Those that are still being read.
+        unread: The dependencies that are still being read.
         then: Called with this object once all are read.
-        never_accepted: Those that were never accepted.
-        failed: Whether some could not be read now.
+        never_accepted: The dependencies that were never accepted.
+        failed: Whether the outcome of at least one dependency could not be read now.
     """
 
     unread: set[str]
-    then: Callable[["DependenciesRead"], None]
+    then: Callable[["DependencyReadRequest"], None]
     never_accepted: list[str] = field(default_factory=list)
     failed: bool = False
 
 
 class DependencyOutcomes(ActorPart):
-    """Reads final keys, each once at a time, and notes in the graph how the jobs ended."""
+    """Reads final keys and records the outcomes in the graph; each key is read once at a time."""
 
     def __init__(self, actor: Actor, store: Store, graph: DependencyGraph) -> None:
         super().__init__(actor)
         self.store = store
         self.graph = graph
-        self.reads: dict[str, list[DependenciesRead]] = {}  # job being read -> who waits for it
+        self.reads: dict[str, list[DependencyReadRequest]] = {}  # job being read -> requests
 
-    def read(self, dependencies: Collection[str], then: Callable[[DependenciesRead], None]) -> None:
-        """Reads the final keys of jobs, or of as many as one request may read.
+    def read(
+        self, dependencies: Collection[str], then: Callable[[DependencyReadRequest], None]
+    ) -> None:
+        """Reads the final keys of jobs, up to MAX_READS_PER_REQUEST of them.
 
-        `then(DependenciesRead)` is called once they are read; jobs that were left out count as
-        failed.
+        `then(DependencyReadRequest)` is called once they are read; the request is marked as failed
+        if there are more jobs than that.
         """
-        chosen = set(sorted(dependencies)[:MAX_READS])
-        request = DependenciesRead(set(chosen), then, failed=len(chosen) < len(dependencies))
+        chosen = set(sorted(dependencies)[:MAX_READS_PER_REQUEST])
+        request = DependencyReadRequest(set(chosen), then, failed=len(chosen) < len(dependencies))
         for dependency in chosen:
             if dependency in self.reads:
                 self.reads[dependency].append(request)
@@ -62,7 +65,7 @@
     def on_dependency_read(
         self, dependency: str, status: int, data: Any, mod_revision: int | None
     ) -> None:
-        """Handles the store's answer to `read`: one final key, or that there is none."""
+        """Handles the store's answer for one final key, requested by `read`; 404: no such key."""
         final = read_final(status, data)
         if final is not None:
             self.graph.resolve(dependency, final.outcome)
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -1,7 +1,8 @@
-"""Submissions that await other jobs.
+"""Submissions of jobs that depend on other jobs.
 
-A job may only wait for jobs that were accepted before it, and what an accepted job waits for never
-changes. So no cycle can be accepted: of its jobs, one would have been accepted first.
+A job can only depend on jobs that were accepted before it, and the dependencies of an accepted job
+never change. So there are no dependency cycles: the job of a cycle that was accepted first would
+depend on one accepted later.
 """
 
 import logging
@@ -20,30 +21,32 @@
 from ..state.store import SUBMISSIONS
 from . import wire
 from .acceptance import Acceptance, never_accepted_conditions
-from .answers import Reply, refused, try_later
+from .answers import Reply, refused, service_unavailable
 from .committed_view import CommittedView
-from .dependency_outcomes import DependenciesRead, DependencyOutcomes
+from .dependency_outcomes import DependencyOutcomes, DependencyReadRequest
 from .job_state import JobState, JobStatus
 from .lookup import JobLookup
 
 log = logging.getLogger("emberglade.user_api")
 
-TRANSACTION_BYTES = 40 * 1024  # of the segments in one transaction; PROTOCOL allows 64 KiB in all
+TRANSACTION_BYTES = 40 * 1024  # of segments in a transaction; PROTOCOL allows 64 KiB in total
 MAX_LOGGED_DEPENDENCIES = 8
 MAX_DEPENDENCIES_IN_REASON = 4
-DEPENDENCIES_UNREAD = try_later("the state service does not answer for all awaited jobs yet")
+DEPENDENCIES_UNREAD = service_unavailable(
+    "the state service does not answer for all awaited jobs yet"
+)
 
 
 @dataclass
 class DependentSubmission:
-    """A submission that awaits other jobs, until it is answered.
+    """A submission of a job with dependencies that has not been answered yet.
 
     Attributes:
         spec: What the user asks for.
-        dependencies: The awaited jobs.
+        dependencies: The ids of the jobs that it depends on.
         reply: Answers the submission.
-        record: The waiting job's record, once its list of dependencies is laid out.
-        segments: (key, ids) of the list of dependencies, to be written from the last to the first.
+        record: The waiting job's record; None until it is prepared.
+        segments: (key, ids) of the dependency list's unwritten segments; the last is written first.
     """
 
     spec: JobSpec
@@ -54,7 +57,7 @@
 
 
 class DependentSubmissions(ActorPart):
-    """Accepts jobs that await others, if these were accepted."""
+    """Accepts jobs that depend on others, provided that those were accepted."""
 
     actor: ReplicaSubscriber
 
@@ -75,32 +78,32 @@
         self.lookup = lookup
         self.dependency_outcomes = dependency_outcomes
         self.acceptance = acceptance
-        self.list_count = 0  # lists of dependencies that this process has laid out
+        self.dependency_list_count = 0  # prepared by this process
 
     def submit(self, request: wire.Submission, reply: Reply) -> None:
-        """Accepts a job that awaits others; the submission counts as open already."""
+        """Accepts a job with dependencies; the caller has counted the submission as open."""
         submission = DependentSubmission(request.spec, request.dependencies, reply)
         send(self.store.on_sync, callback(self.on_dependencies_synced, submission))
 
     # --- checks
 
     def on_dependencies_synced(self, submission: DependentSubmission, revision: int | None) -> None:
-        """Handles the sync of `submit`: the replica now shows what was accepted before."""
+        """Handles the sync that `submit` requested: the replica shows all jobs accepted before."""
         job_id = submission.spec.id
         if revision is None:
-            self.put_off(submission)
+            self.answer_unavailable(submission)
         elif self.view.is_unfinished(job_id):
             self.acceptance.close()
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         elif job_id in submission.dependencies:
-            self.refuse(submission, f"{job_id} can't await itself")
+            self.refuse(submission, f"awaits: {job_id} can't depend on itself")
         elif any(self.view.is_service(dependency) for dependency in submission.dependencies):
-            self.refuse(submission, "a service can't be awaited")
+            self.refuse(submission, "awaits: a job can't depend on a service")
         else:
             self._read_dependencies(submission)
 
     def _read_dependencies(self, submission: DependentSubmission) -> None:
-        """Accepts the job, once it is known that all its dependencies were accepted."""
+        """Accepts the job if all its dependencies were accepted; reads the unknown ones first."""
         unread = [
             dependency
             for dependency in submission.dependencies
@@ -108,29 +111,31 @@
         ]
         if unread:
             self.dependency_outcomes.read(
-                unread, lambda read: self._dependencies_read(submission, read)
+                unread, lambda request: self._handle_dependencies_read(submission, request)
             )
         else:
             self._accept(submission)
 
-    def _dependencies_read(self, submission: DependentSubmission, read: DependenciesRead) -> None:
-        if read.never_accepted:
-            named = sorted(read.never_accepted)[:MAX_DEPENDENCIES_IN_REASON]
-            self.refuse(submission, f"{' '.join(named)} was never accepted")
-        elif read.failed:
-            self.put_off(submission)
+    def _handle_dependencies_read(
+        self, submission: DependentSubmission, request: DependencyReadRequest
+    ) -> None:
+        if request.never_accepted:
+            shown = sorted(request.never_accepted)[:MAX_DEPENDENCIES_IN_REASON]
+            self.refuse(submission, f"awaits: never accepted: {' '.join(shown)}")
+        elif request.failed:
+            self.answer_unavailable(submission)
         else:
             self._accept(submission)
 
-    def put_off(self, submission: DependentSubmission) -> None:
-        """Ends a submission that can't be decided on now."""
+    def answer_unavailable(self, submission: DependentSubmission) -> None:
+        """Closes a submission that can't be decided now; its user is asked to retry."""
         self.acceptance.close()
         DEPENDENCIES_UNREAD.send(submission.reply)
 
     def refuse(self, submission: DependentSubmission, reason: str) -> None:
-        """Ends a submission that can never be accepted.
+        """Closes a submission that can never be accepted.
 
-        A job accepted earlier is not refused now.
+        If its job was accepted earlier, it is answered with the job's state instead.
         """
         self.acceptance.close()
         self.lookup.answer(submission.spec.id, submission.reply, if_never_accepted=refused(reason))
@@ -142,16 +147,16 @@
         if all(outcomes.get(dependency) is Outcome.DONE for dependency in submission.dependencies):
             self.acceptance.commit(submission.spec, submission.reply)
         elif self.actor.incarnation is None:
-            self.put_off(submission)
+            self.answer_unavailable(submission)
         else:
-            self._lay_out(submission)
+            self._prepare_records(submission)
             self.write_segments(submission, None)
 
-    def _lay_out(self, submission: DependentSubmission) -> None:
-        """Makes the waiting job's record and the segments of its list of dependencies."""
+    def _prepare_records(self, submission: DependentSubmission) -> None:
+        """Creates the waiting job's record and the segments of its dependency list."""
         spec = submission.spec
-        self.list_count += 1
-        list_id = f"{self.actor.incarnation}-{self.list_count}"
+        self.dependency_list_count += 1
+        list_id = f"{self.actor.incarnation}-{self.dependency_list_count}"
         submission.record, segments = waiting_record_with_segments(
             spec, submission.dependencies, list_id, self.settings.value_bytes
         )
@@ -162,9 +167,10 @@
     def write_segments(
         self, submission: DependentSubmission, first_mod_revision: int | None
     ) -> None:
-        """Writes what is left of the list, the first segment last, and then the job itself.
+        """Writes the remaining segments, the first one last, and then the job itself.
 
-        The job's key hangs on the first segment: on `first_mod_revision`, once that is written.
+        The job's key is committed on condition that the first segment has not changed since it was
+        written at revision `first_mod_revision`.
         """
         if not submission.segments:
             self.write_waiting(submission, first_mod_revision)
@@ -183,16 +189,16 @@
     def on_segments_written(
         self, submission: DependentSubmission, status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to `write_segments`: writes the rest, or gives up."""
+        """Handles the store's answer to `write_segments`: continues, or asks the user to retry."""
         if status == 200:
             self.write_segments(submission, revision)
         else:
-            self.put_off(submission)
+            self.answer_unavailable(submission)
 
     def write_waiting(
         self, submission: DependentSubmission, first_mod_revision: int | None
     ) -> None:
-        """Commits the waiting job, unless it was accepted before."""
+        """Commits the waiting job's record, unless the job was accepted before."""
         job_id, record = submission.spec.id, submission.record
         assert record is not None
         conditions = [*never_accepted_conditions(job_id)]
@@ -221,15 +227,15 @@
 
     def _answer_accepted(self, submission: DependentSubmission) -> None:
         job_id, dependencies, graph = submission.spec.id, submission.dependencies, self.view.graph
-        named = " ".join(dependencies[:MAX_LOGGED_DEPENDENCIES])
-        log.info("%s accepted: waits for %d jobs: %s", job_id, len(dependencies), named)
+        shown = " ".join(dependencies[:MAX_LOGGED_DEPENDENCIES])
+        log.info("job %s accepted: waits for %d dependencies: %s", job_id, len(dependencies), shown)
         if any(graph.is_cancelled(dependency) for dependency in dependencies):
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
         elif any(
             dependency in graph.unresolved or graph.unresolved_before(dependency)
             for dependency in dependencies
         ):
-            # Another controller may have told that one of these is cancelled.
+            # Another controller may have reported that one of these is cancelled.
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         else:
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.PENDING)))
--- a/emberglade/user_api/job_state.py
+++ b/emberglade/user_api/job_state.py
@@ -1,11 +1,11 @@
-"""A job's state, as users are told it, and what a look-up of a job can come to."""
+"""A job's state as reported to users, and the results of a job look-up."""
 
 import enum
 from dataclasses import dataclass
 
 
 class JobStatus(enum.Enum):
-    """How far a job has come. `wire.py` maps these to the protocol's words."""
+    """A job's status; `wire.py` maps it to the protocol's name."""
 
     PENDING = enum.auto()
     RUNNING = enum.auto()
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """What a user is told about a job.
+    """A job's state as reported to its user.
 
     Attributes:
         job_id: The job.
-        status: How far it has come.
-        done_tasks: Tasks that have completed; None if the counts are not told.
-        running_tasks: Tasks that are bound to a machine; None if the counts are not told.
+        status: Its status.
+        done_tasks: Number of completed tasks; None if the answer has no counts.
+        running_tasks: Number of tasks bound to a machine; None if the answer has no counts.
     """
 
     job_id: str
@@ -31,10 +31,10 @@
 
 
 class LookupFailure(enum.Enum):
-    """Why a look-up has no JobState to give."""
+    """Why a look-up returned no JobState."""
 
-    NEVER_ACCEPTED = enum.auto()  # nobody ever submitted a job of that id with success
-    UNAVAILABLE = enum.auto()  # it can't be said now: ask again
+    NEVER_ACCEPTED = enum.auto()  # no job of that id was ever accepted
+    UNAVAILABLE = enum.auto()  # can't be determined now; the user should retry
 
 
 LookupResult = JobState | LookupFailure
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -1,4 +1,4 @@
-"""Looks a job up: the state of live, waiting and final jobs, read after the question came."""
+"""Looks up the state of live, waiting and finished jobs, read after the request arrived."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -11,17 +11,18 @@
 from ..state import FINAL_PREFIX, Store
 from ..state.store import DECISIONS
 from . import committed_jobs, wire
-from .answers import NO_SUCH_JOB, STORE_SILENT, Answer, Reply
+from .answers import NO_SUCH_JOB, STORE_UNAVAILABLE, Answer, Reply
 from .committed_view import CommittedView, LiveJob
-from .dependency_outcomes import DependenciesRead, DependencyOutcomes
+from .dependency_outcomes import DependencyOutcomes, DependencyReadRequest
 from .job_state import JobState, JobStatus, LookupFailure, LookupResult
 
-MAX_FINAL_STATES = 20_000  # kept at hand; others are read from the store
-OPEN_LOOKUPS_S = 2.0  # of the store's requests: so many look-ups may be open at the same time
+MAX_FINAL_STATES = 20_000  # in the cache; others are read from the store
+# The limit of open look-ups is the number of requests that the store serves in so many seconds.
+OPEN_LOOKUPS_S = 2.0
 
 
 class FinalStates:
-    """The states of jobs that are over, the latest that were read; they never change."""
+    """A bounded cache of the states of finished jobs, which never change."""
 
     def __init__(self) -> None:
         self.states: OrderedDict[str, JobState] = OrderedDict()
@@ -30,17 +31,17 @@
         return len(self.states)
 
     def get(self, job_id: str) -> JobState | None:
-        """The final state of a job, if it is at hand."""
+        """The final state of a job, or None if it is not in the cache."""
         return self.states.get(job_id)
 
     def keep(self, state: JobState) -> None:
-        """Keeps a final state at hand, in the place of the one kept for longest if need be."""
+        """Adds a final state to the cache; evicts the oldest entry if the cache is full."""
         self.states[state.job_id] = state
         if len(self.states) > MAX_FINAL_STATES:
             self.states.popitem(last=False)
 
     def clear(self) -> None:
-        """Forgets all of them; they are read again when they are asked for."""
+        """Empties the cache; final states are read from the store again on demand."""
         self.states.clear()
 
 
@@ -57,7 +58,7 @@
 
 
 class JobLookup(ActorPart):
-    """Finds out a job's state, and answers users who ask for it."""
+    """Looks up job states and answers requests with them."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         self.view = view
         self.dependency_outcomes = dependency_outcomes
         self.final_states = FinalStates()
-        # Look-ups wait for a sync together; more than a few syncs' worth would time out.
+        # Open look-ups share a sync; more of them than a few syncs serve would time out.
         self.open_lookups = 0
         self.max_open_lookups = int(OPEN_LOOKUPS_S * settings.state_rps)
 
@@ -86,7 +87,7 @@
             NO_SUCH_JOB.send(reply)
 
     def answer_poll(self, job_id: str, reply: Reply) -> None:
-        """Answers with a job's state, or that there is no such job."""
+        """Answers with a job's state, or with 404 if there is no such job."""
         self.answer(job_id, reply, NO_SUCH_JOB)
 
     def answer(
@@ -94,15 +95,22 @@
         job_id: str,
         reply: Reply,
         if_never_accepted: Answer,
-        if_unavailable: Answer = STORE_SILENT,
+        if_unavailable: Answer = STORE_UNAVAILABLE,
     ) -> None:
-        """Answers a request with a job's state, or with one of these where there is none."""
+        """Answers a request with a job's state.
+
+        Args:
+            job_id: The job.
+            reply: Answers the request.
+            if_never_accepted: Sent if no job of that id was ever accepted.
+            if_unavailable: Sent if the state can't be determined now.
+        """
         self.look_up(job_id, callback(self.on_looked_up, reply, if_never_accepted, if_unavailable))
 
     def on_looked_up(
         self, reply: Reply, if_never_accepted: Answer, if_unavailable: Answer, result: LookupResult
     ) -> None:
-        """Handles the result of `answer`'s look-up: answers the request."""
+        """Handles the result of the look-up that `answer` started: answers the request."""
         if isinstance(result, JobState):
             reply(200, wire.write_state(result))
         elif result is LookupFailure.NEVER_ACCEPTED:
@@ -113,13 +121,13 @@
     # --- the look-up
 
     def look_up(self, job_id: str, then: Callable[[LookupResult], None]) -> None:
-        """`then(result)` with what was true of a job after this was asked for."""
+        """Calls `then(result)` with the job's state, no older than this call."""
         final = self.final_states.get(job_id)
         if final is not None:
             then(final)
             return
         if self.open_lookups >= self.max_open_lookups:
-            # A flood of questions is not to take the processor from the agents' heartbeats.
+            # A flood of polls must not take processor time from the agents' heartbeats.
             then(LookupFailure.UNAVAILABLE)
             return
         self.open_lookups += 1
@@ -128,7 +136,7 @@
     def on_lookup_synced(
         self, job_id: str, then: Callable[[LookupResult], None], revision: int | None
     ) -> None:
-        """Handles the sync of `look_up`; its revision is None if it failed."""
+        """Handles the sync that `look_up` requested; `revision` is None if it failed."""
         self.open_lookups -= 1
         if revision is None:
             then(LookupFailure.UNAVAILABLE)
@@ -139,7 +147,7 @@
         elif self.view.is_waiting(job_id):
             self.look_up_waiting(job_id, then)
         else:
-            # Not live at the sync: over, or never accepted. Final states are never removed.
+            # Not live at the sync: finished, or never accepted. Final records are never removed.
             send(
                 self.store.on_read,
                 DECISIONS,
@@ -165,13 +173,13 @@
         else:
             then(LookupFailure.UNAVAILABLE)
 
-    # --- jobs that wait for others
+    # --- waiting jobs
 
     def look_up_waiting(self, job_id: str, then: Callable[[LookupResult], None]) -> None:
-        """Finds out the state of a waiting job.
+        """Looks up the state of a waiting job.
 
-        A dependency of which the replica does not tell how it ended is asked for first: another
-        controller may have told that it is cancelled.
+        Dependencies whose outcome the replica does not show are read first: if one of them was
+        cancelled, another controller may have reported this job as cancelled already.
         """
         graph = self.view.graph
         if graph.waiting[job_id].cancelled:
@@ -180,16 +188,16 @@
         unresolved = graph.unresolved_before(job_id)
         if unresolved:
             self.dependency_outcomes.read(
-                unresolved, lambda read: self._dependencies_read(job_id, then, read)
+                unresolved, lambda request: self._handle_dependencies_read(job_id, then, request)
             )
         else:
             then(JobState(job_id, JobStatus.PENDING, 0, 0))
 
-    def _dependencies_read(
-        self, job_id: str, then: Callable[[LookupResult], None], read: DependenciesRead
+    def _handle_dependencies_read(
+        self, job_id: str, then: Callable[[LookupResult], None], request: DependencyReadRequest
     ) -> None:
-        if read.failed or read.never_accepted:
+        if request.failed or request.never_accepted:
             then(LookupFailure.UNAVAILABLE)
             return
-        # Meanwhile it may have been released, and more: what the replica shows now is no older.
+        # The job may have been released or have finished meanwhile, so it is looked up again.
         self.look_up(job_id, then)
--- a/emberglade/user_api/routes.py
+++ b/emberglade/user_api/routes.py
@@ -7,7 +7,7 @@
 
 from ..actors import send_inline
 from . import wire
-from .answers import NO_SUCH_PATH, Reply, malformed, try_later, wrong_method
+from .answers import NO_SUCH_PATH, Reply, malformed, method_not_allowed, service_unavailable
 from .cancellations import CancellationRequests
 from .lookup import JobLookup
 from .submissions import Submissions
@@ -16,21 +16,21 @@
     from ..agents import AgentManager
 
 GET, POST = "GET", "POST"
-MALFORMED_HEARTBEAT = malformed("the report is not JSON")
-NOT_READY = try_later("not in step with the state service yet")
+MALFORMED_HEARTBEAT = malformed("the heartbeat is not JSON")
+NOT_READY = service_unavailable("the replica is not up to date with the state service yet")
 
 
 class Route(NamedTuple):
-    """The method that a path needs, and who handles its requests."""
+    """The HTTP method that a path allows, and the handler of its requests."""
 
     method: str
     handle: Callable[[bytes, Reply], None]
 
 
 class FrontRoutes:
-    """Hands each request of the front server to the actor that answers it.
+    """Dispatches each request of the front server to the actor that answers it.
 
-    Called by the server's threads; keeps no state of its own.
+    Called on the server's threads, so it keeps no state of its own.
     """
 
     def __init__(
@@ -51,18 +51,18 @@
         }
 
     def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
-        """Leads one request to one call of `reply(status, body, retry_after_s)`."""
+        """Dispatches one request; `reply(status, body, retry_after_s)` is called once for it."""
         path = path.partition("?")[0]
         route = self.routes.get(path) or self._job_route(path)
         if route is None:
             NO_SUCH_PATH.send(reply)
         elif method != route.method:
-            wrong_method(route.method).send(reply)
+            method_not_allowed(route.method).send(reply)
         else:
             route.handle(body, reply)
 
     def _job_route(self, path: str) -> Route | None:
-        """The route of a path that names a job."""
+        """The route of a path that names a job; None for other paths."""
         target = wire.read_job_path(path)
         if target is None:
             return None
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -1,4 +1,4 @@
-"""Checks submissions and decides what becomes of them: accepted, refused, or to be sent again."""
+"""Validates submissions, and accepts them, refuses them or asks the user to retry later."""
 
 from ..actors import Actor, ActorPart
 from ..config import Settings
@@ -7,21 +7,25 @@
 from ..placement import fits_some_type
 from . import wire
 from .acceptance import Acceptance
-from .answers import Answer, Reply, malformed, refused, too_many, try_later
+from .answers import Answer, Reply, malformed, refused, service_unavailable, too_many_requests
 from .committed_view import CommittedView
 from .dependent_submissions import DependentSubmissions
 from .lookup import JobLookup
 
-QUOTA_TOLERANCE = 1e-9  # sums of floating-point numbers are off by less
+QUOTA_TOLERANCE = 1e-9  # above the rounding errors of floating-point sums
 
-CATALOG_UNKNOWN = try_later("the machine types are not known yet")
-MEMORY_SHORT = try_later("this controller is short of memory")
-TOO_MANY_SUBMISSIONS = too_many("too many submissions at once")
-FORMAT_NOT_RAISED = try_later("not all controllers run the version yet that lets jobs await others")
+CATALOG_NOT_READ = service_unavailable(
+    "the machine types have not been read from the state service yet"
+)
+LOW_MEMORY = service_unavailable("this controller is low on memory")
+TOO_MANY_SUBMISSIONS = too_many_requests("too many submissions are being processed")
+DEPENDENCIES_NOT_ENABLED = service_unavailable(
+    "awaits: not supported while some controllers run the previous version"
+)
 
 
 class Submissions(ActorPart):
-    """Takes submissions; one that is repeated gets its job's state."""
+    """Handles submissions; a repeated one is answered with its job's state."""
 
     def __init__(
         self,
@@ -38,7 +42,7 @@
         self.lookup = lookup
         self.acceptance = acceptance
         self.dependent_submissions = dependent_submissions
-        self.memory_short = False  # while it is, no job is accepted here
+        self.memory_is_low = False  # no job is accepted here while it is
 
     def on_submit(self, body: bytes, reply: Reply) -> None:
         """Handles `submit(body, reply)` from the front server: a user submits a job."""
@@ -53,17 +57,18 @@
         self._submit(submission, reply)
 
     def _check_size(self, spec: JobSpec) -> None:
-        """Raises MalformedSubmissionError if a job's description is too long for one value."""
+        """Raises MalformedSubmissionError if the job's description does not fit in one value."""
         if not chunk_size_for(spec, self.settings.value_bytes):
-            raise wire.MalformedSubmissionError("the description is too long to be kept")
+            raise wire.MalformedSubmissionError(
+                "the job's description is larger than a value of the state service"
+            )
 
     def _answer_malformed(self, data: object, answer: Answer, reply: Reply) -> None:
         """Answers a malformed submission.
 
-        A repeat gets its job's state, whatever its body holds now.
-
-        Once broken: a malformed repeat of a job that was over got 400 while the state service
-        did not answer (dependencies/random_faults.txt, 730).
+        A repeat of an accepted submission is answered with its job's state even if its body is
+        malformed. Otherwise a malformed repeat for a finished job gets 400 while the state service
+        does not answer (dependencies/random_faults.txt, 730).
         """
         job_id = wire.read_id(data)
         if job_id is None:
@@ -72,7 +77,7 @@
             self.lookup.answer(job_id, reply, if_never_accepted=answer)
 
     def _submit(self, submission: wire.Submission, reply: Reply) -> None:
-        """Accepts a well-formed submission, or answers why it is not accepted now or ever."""
+        """Accepts a well-formed submission, or answers why it can't be accepted now or ever."""
         spec = submission.spec
         final = self.lookup.final_states.get(spec.id)
         if final is not None:
@@ -80,17 +85,17 @@
             return
         reason = self.refusal_reason(spec)
         if reason is not None:
-            # A job accepted earlier is not refused now, whatever has changed since.
+            # A job that was accepted earlier is not refused, even if the limits have changed.
             self.lookup.answer(spec.id, reply, if_never_accepted=refused(reason))
         elif not self.view.machine_types:
-            CATALOG_UNKNOWN.send(reply)
-        elif self.memory_short:
-            self.lookup.answer(spec.id, reply, MEMORY_SHORT, MEMORY_SHORT)
+            CATALOG_NOT_READ.send(reply)
+        elif self.memory_is_low:
+            self.lookup.answer(spec.id, reply, LOW_MEMORY, LOW_MEMORY)
         elif self.acceptance.is_full:
             TOO_MANY_SUBMISSIONS.send(reply)
         elif submission.dependencies and not self.view.format_raised:
-            # Controllers of the version before would know nothing of the job.
-            self.lookup.answer(spec.id, reply, FORMAT_NOT_RAISED, FORMAT_NOT_RAISED)
+            # Controllers of the previous version would ignore the job.
+            self.lookup.answer(spec.id, reply, DEPENDENCIES_NOT_ENABLED, DEPENDENCIES_NOT_ENABLED)
         else:
             self._accept(submission, reply)
 
@@ -102,17 +107,17 @@
             self.acceptance.commit(submission.spec, reply)
 
     def refusal_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never run with these settings and machine types, or None."""
+        """Why a job can never run with the current settings and machine types, or None."""
         team = self.settings.teams.get(spec.team)
         if team is None:
-            return f"crew {spec.team} is not known"
+            return f"crew: {spec.team} is not a known team"
         if self.view.machine_types and not fits_some_type(spec, self.view.machine_types):
-            return "a task fits no allowed machine type"
+            return "a task fits on none of the allowed machine types"
         tasks_at_once = spec.tasks if spec.service or spec.gang else 1
-        for quota, needed, what in (
+        for quota, needed, field in (
             (team.cpu_quota, spec.cpus, "cpus"),
             (team.gpu_quota, spec.gpus, "cards"),
         ):
             if quota > 0 and needed * tasks_at_once > quota + QUOTA_TOLERANCE:
-                return f"the job needs more {what} than the limit of {spec.team}"
+                return f"{field}: the job needs more than the quota of {spec.team}"
         return None
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -1,6 +1,6 @@
-"""What users say and are told: the one place that knows its paths, words and field names.
+"""The user API's protocol: its paths, field names and values are defined only here.
 
-Also the paths of the agents' heartbeats and of the health check, which the same server takes.
+The paths of agent heartbeats and of the health check, which the same server serves, are here too.
 """
 
 import math
@@ -17,16 +17,16 @@
 READY_PATH = "/ready"
 SUBMISSIONS_PATH = "/submissions"
 JOB_PATH_PREFIX = SUBMISSIONS_PATH + "/"
-CANCEL_WORD = "abort"  # SUBMISSIONS_PATH/JOB/abort
+CANCEL_SEGMENT = "abort"  # SUBMISSIONS_PATH/JOB/abort
 
 JOB_ID = re.compile(r"job-[0-9A-Za-z_-]{1,64}\Z", re.ASCII)
 MAX_TASKS = 100_000
 
 JOB_ARRAY, SERVICE = "sweep", "standing"
-GANG = "group"  # not in PROTOCOL, but in what platforms send (docs/questions.md)
+GANG = "group"  # not in PROTOCOL, but sent by platforms (docs/questions.md)
 SHAPES = (JOB_ARRAY, SERVICE, GANG)
 
-STATUS_WORDS = {
+STATUS_NAMES = {
     JobStatus.PENDING: "pending",
     JobStatus.RUNNING: "running",
     JobStatus.DONE: "done",
@@ -35,7 +35,7 @@
 
 
 class MalformedSubmissionError(Exception):
-    """A one-line reason for the user, naming the field."""
+    """A submission that is malformed; the message is one line for the user and names the field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
     Attributes:
         spec: What the user asks for.
-        dependencies: The ids of the jobs that it awaits, each once.
+        dependencies: The ids of the jobs that it depends on, without duplicates.
     """
 
     spec: JobSpec
@@ -52,31 +52,31 @@
 
 
 class JobPath(NamedTuple):
-    """What a path below SUBMISSIONS_PATH asks for: a job's state, or its cancellation."""
+    """The job that a path names, and whether the path is that of its cancellation."""
 
     job_id: str
     cancel: bool
 
 
 def is_user_path(path: str) -> bool:
-    """Whether a path is one that users ask for."""
+    """Whether a path belongs to users, and not to agents or health checks."""
     return path.startswith(SUBMISSIONS_PATH)
 
 
 def read_job_path(path: str) -> JobPath | None:
-    """The job that a path names, or None if it is no path of a job."""
+    """The parsed path of a job, or None if the path names no job."""
     if not path.startswith(JOB_PATH_PREFIX):
         return None
     match path.removeprefix(JOB_PATH_PREFIX).split("/"):
         case [job_id] if job_id:
             return JobPath(job_id, cancel=False)
-        case [job_id, word] if job_id and word == CANCEL_WORD:
+        case [job_id, segment] if job_id and segment == CANCEL_SEGMENT:
             return JobPath(job_id, cancel=True)
     return None
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a text has the form of a job's id."""
+    """Whether a string has the form of a job id."""
     return JOB_ID.match(text) is not None
 
 
@@ -87,7 +87,7 @@
     """The JSON value of a submission's body.
 
     Raises:
-        MalformedSubmissionError: It is not JSON.
+        MalformedSubmissionError: The body is not JSON.
     """
     try:
         return orjson.loads(body)
@@ -96,7 +96,7 @@
 
 
 def read_id(data: object) -> str | None:
-    """The job's id if there is a proper one, whatever else the body holds."""
+    """The job id in a body if it is well-formed, even if other fields are not; else None."""
     job_id = data.get("id") if isinstance(data, dict) else None
     return job_id if isinstance(job_id, str) and is_job_id(job_id) else None
 
@@ -105,89 +105,89 @@
     """The Submission in a body; `submitted_at` is the time of day, in seconds.
 
     Raises:
-        MalformedSubmissionError: A field is missing or wrong: the first of them in this order.
+        MalformedSubmissionError: A field is missing or invalid; the message names the first one.
     """
     spec = read_spec(data, submitted_at)
     assert isinstance(data, dict)
-    return Submission(spec, read_awaits(data))
+    return Submission(spec, read_dependencies(data))
 
 
 def read_spec(data: object, submitted_at: float) -> JobSpec:
-    """What a submission asks for, awaited jobs aside.
+    """The job described by a submission, without its dependencies.
 
     Raises:
-        MalformedSubmissionError: A field is missing or wrong.
+        MalformedSubmissionError: A field is missing or invalid.
     """
     if not isinstance(data, dict):
         raise MalformedSubmissionError("the body is not a JSON object")
     job_id = read_id(data)
     if job_id is None:
-        raise MalformedSubmissionError("id: a job id like job-000412 is needed")
+        raise MalformedSubmissionError("id: expected a job id like job-000412")
     shape = _shape(data)
     priority = _priority(data)
     tasks = _task_count(data)
     allowed_types = _allowed_types(data)
-    deadline_s = None if data.get("due_s") is None else _amount(data, "due_s")
+    deadline_s = None if data.get("due_s") is None else _non_negative_number(data, "due_s")
     return JobSpec(
         id=job_id,
-        job_class=_text(data, "breed"),
-        team=_text(data, "crew"),
+        job_class=_non_empty_string(data, "breed"),
+        team=_non_empty_string(data, "crew"),
         service=shape == SERVICE,
         priority=priority,
         tasks=tasks,
-        cpus=_amount(data, "cpus"),
-        gpus=_amount(data, "cards"),
-        ram_gb=_amount(data, "ram_gb"),
-        image=_text(data, "kindling"),
-        image_gb=_amount(data, "image_gb"),
+        cpus=_non_negative_number(data, "cpus"),
+        gpus=_non_negative_number(data, "cards"),
+        ram_gb=_non_negative_number(data, "ram_gb"),
+        image=_non_empty_string(data, "kindling"),
+        image_gb=_non_negative_number(data, "image_gb"),
         allowed_types=allowed_types,
-        zone=_optional_text(data, "glade"),
-        single_zone=_flag(data, "one_zone"),
-        zone_spread=_flag(data, "scatter"),
-        spot=_flag(data, "driftwood"),
-        estimated_run_s=_amount(data, "burn_s"),
-        checkpoint_interval_s=_amount(data, "bank_s"),
-        checkpoint_save_s=_amount(data, "banking_s"),
+        zone=_optional_string(data, "glade"),
+        single_zone=_boolean(data, "one_zone"),
+        zone_spread=_boolean(data, "scatter"),
+        spot=_boolean(data, "driftwood"),
+        estimated_run_s=_non_negative_number(data, "burn_s"),
+        checkpoint_interval_s=_non_negative_number(data, "bank_s"),
+        checkpoint_save_s=_non_negative_number(data, "banking_s"),
         deadline_s=deadline_s,
         submitted_at=round(submitted_at, 3),
         gang=shape == GANG,
     )
 
 
-def read_awaits(data: dict[str, Any]) -> tuple[str, ...]:
-    """The ids of the jobs that a submission waits for, each once.
+def read_dependencies(data: dict[str, Any]) -> tuple[str, ...]:
+    """The ids of the jobs that a submission depends on, without duplicates.
 
     Raises:
-        MalformedSubmissionError: It is not a list of ids.
+        MalformedSubmissionError: The field is not a list of job ids.
     """
-    awaits = data.get("awaits")
-    if awaits is None:
+    dependencies = data.get("awaits")
+    if dependencies is None:
         return ()
-    if not isinstance(awaits, list) or not all(
-        isinstance(dependency, str) and is_job_id(dependency) for dependency in awaits
+    if not isinstance(dependencies, list) or not all(
+        isinstance(dependency, str) and is_job_id(dependency) for dependency in dependencies
     ):
-        raise MalformedSubmissionError("awaits: a list of job ids or null is needed")
-    return tuple(dict.fromkeys(awaits))
+        raise MalformedSubmissionError("awaits: expected a list of job ids or null")
+    return tuple(dict.fromkeys(dependencies))
 
 
 def _shape(data: dict[str, Any]) -> str:
     shape = data.get("shape")
     if shape not in SHAPES:
-        raise MalformedSubmissionError("shape: sweep, standing or group is needed")
+        raise MalformedSubmissionError("shape: expected sweep, standing or group")
     return shape
 
 
 def _priority(data: dict[str, Any]) -> int:
-    word = data.get("rank")
-    if word not in PRIORITIES:
-        raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
-    return PRIORITIES.index(word)
+    rank = data.get("rank")
+    if rank not in PRIORITIES:
+        raise MalformedSubmissionError(f"rank: expected one of {', '.join(PRIORITIES)}")
+    return PRIORITIES.index(rank)
 
 
 def _task_count(data: dict[str, Any]) -> int:
     tasks = data.get("embers")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
-        raise MalformedSubmissionError(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
+        raise MalformedSubmissionError(f"embers: expected an integer from 1 to {MAX_TASKS}")
     return tasks
 
 
@@ -200,39 +200,41 @@
         or not names
         or not all(isinstance(name, str) and name for name in names)
     ):
-        raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
+        raise MalformedSubmissionError(
+            "hearth_kinds: expected a non-empty list of machine types or null"
+        )
     return tuple(names)
 
 
-def _amount(data: dict[str, Any], key: str) -> float:
+def _non_negative_number(data: dict[str, Any], key: str) -> float:
     value = data.get(key)
     if value is None:
-        raise MalformedSubmissionError(f"{key} is missing")
+        raise MalformedSubmissionError(f"{key}: the field is missing")
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
         or not math.isfinite(value)
         or value < 0
     ):
-        raise MalformedSubmissionError(f"{key}: a number of at least 0 is needed")
+        raise MalformedSubmissionError(f"{key}: expected a number of at least 0")
     return float(value)
 
 
-def _text(data: dict[str, Any], key: str) -> str:
+def _non_empty_string(data: dict[str, Any], key: str) -> str:
     value = data.get(key)
     if not isinstance(value, str) or not value:
-        raise MalformedSubmissionError(f"{key}: a text is needed")
+        raise MalformedSubmissionError(f"{key}: expected a non-empty string")
     return value
 
 
-def _optional_text(data: dict[str, Any], key: str) -> str | None:
-    return None if data.get(key) is None else _text(data, key)
+def _optional_string(data: dict[str, Any], key: str) -> str | None:
+    return None if data.get(key) is None else _non_empty_string(data, key)
 
 
-def _flag(data: dict[str, Any], key: str) -> bool:
+def _boolean(data: dict[str, Any], key: str) -> bool:
     value = data.get(key)
     if not isinstance(value, bool):
-        raise MalformedSubmissionError(f"{key}: true or false is needed")
+        raise MalformedSubmissionError(f"{key}: expected true or false")
     return value
 
 
@@ -240,8 +242,8 @@
 
 
 def write_state(state: JobState) -> dict[str, Any]:
-    """A job's state as its user is told; the counts only if they are known."""
-    answer: dict[str, Any] = {"id": state.job_id, "glow": STATUS_WORDS[state.status]}
+    """The body that reports a job's state; it has task counts only if they are known."""
+    answer: dict[str, Any] = {"id": state.job_id, "glow": STATUS_NAMES[state.status]}
     if state.done_tasks is not None:
         answer["done"] = state.done_tasks
         answer["running"] = state.running_tasks
@@ -249,10 +251,10 @@
 
 
 def ready() -> dict[str, Any]:
-    """The body that tells a health check that this controller is ready."""
+    """The body that reports to a health check that this controller is ready."""
     return {"ready": True}
 
 
 def error(text: str) -> dict[str, Any]:
-    """The body of an answer that refuses a request."""
+    """The body of an answer that reports an error."""
     return {"error": text}
