--- a/emberglade/account_profile.py
+++ b/emberglade/account_profile.py
@@ -1,4 +1,4 @@
-"""Reads accounts back from controllers' logs and sums them up, for `python3 run.py profile`."""
+"""Reads accounts from controllers' logs and summarizes them, for `python3 run.py profile`."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any
@@ -22,18 +22,18 @@
 
 
 def read_accounts(lines: Iterable[str]) -> Iterator[Account]:
-    """The accounts among the lines of one or more controllers' logs."""
+    """The accounts in the lines of one or more controllers' logs."""
     for line in lines:
         _, found, text = line.partition(f"{accounting.log.name}: {ACCOUNT_MARK}")
         if found:
             try:
                 yield orjson.loads(text)
             except ValueError:
-                accounting.log.debug("a cut-off account is left out")
+                accounting.log.debug("account line skipped: its JSON is malformed or truncated")
 
 
 def render(accounts: Iterable[Account]) -> str:
-    """A table for each controller: processor time by actor and message, and what it held."""
+    """A table for each controller: processor time by actor and message, and resource use."""
     by_controller: dict[str, list[Account]] = {}
     for account in accounts:
         by_controller.setdefault(account["node"], []).append(account)
@@ -70,7 +70,7 @@
 
 
 def _render_messages(accounts: Sequence[Account], elapsed_s: float) -> Iterator[str]:
-    """A line for each actor's message, those that took the most time first."""
+    """A line for each message of each actor, in descending order of time."""
     totals = _total_messages(accounts)
     for (actor, message), (seconds, count) in sorted(totals.items(), key=lambda item: -item[1][0]):
         if count:
@@ -82,7 +82,7 @@
 
 
 def _total_messages(accounts: Sequence[Account]) -> dict[tuple[str, str], list[Any]]:
-    """(actor, message) -> [seconds, count] over all accounts."""
+    """(actor, message) -> [seconds, count], added up over all accounts."""
     totals: dict[tuple[str, str], list[Any]] = {}
     for account in accounts:
         for actor, messages in account["actors"].items():
--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -1,7 +1,6 @@
-"""Where a running controller's processor time and memory go, as one log line an interval.
+"""Accounts of a running controller's processor time and memory: one log line per interval.
 
-The line holds a JSON object, so that `python3 run.py profile` can sum up many of them
-(`account_profile.py`).
+Each line holds a JSON object; `python3 run.py profile` summarizes them (`account_profile.py`).
 """
 
 import logging
@@ -20,15 +19,15 @@
 
 log = logging.getLogger("emberglade.accounts")
 
-ACCOUNT_MARK = "account "  # what stands before the JSON object in the log line
+ACCOUNT_MARK = "account "  # precedes the JSON object in the log line
 ACCOUNT_INTERVAL_S = 60.0
-SHOWN_SHARE = 0.001  # of the interval; messages that took less are summed up as "other"
+MIN_SHOWN_SHARE = 0.001  # of the interval; messages below it are added up as "other"
 OTHER = "other"
 MEGABYTE = 1024 * 1024
 
 
 def resident_bytes() -> int:
-    """The memory that this process holds now, or 0 where the platform doesn't say."""
+    """The resident memory of this process, or 0 if the platform does not report it."""
     try:
         with open("/proc/self/statm", "rb") as source:
             return int(source.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
@@ -39,10 +38,13 @@
 def summarize_messages(
     messages: Mapping[str, Sequence[Any]], interval_s: float
 ) -> dict[str, list[Any]]:
-    """{message: [seconds, count]} of what matters, the largest first."""
+    """{message: [seconds, count]} in descending order of time.
+
+    Messages that took less than MIN_SHOWN_SHARE of the interval are added up as OTHER.
+    """
     shown, other_s, other_count = {}, 0.0, 0
     for name, (seconds, count) in sorted(messages.items(), key=lambda item: -item[1][0]):
-        if seconds >= SHOWN_SHARE * interval_s:
+        if seconds >= MIN_SHOWN_SHARE * interval_s:
             shown[name] = [round(seconds, 4), count]
         else:
             other_s += seconds
@@ -53,7 +55,7 @@
 
 
 class Accountant:
-    """Writes an account of the interval that has just passed."""
+    """Logs an account of each interval."""
 
     def __init__(
         self,
@@ -67,10 +69,10 @@
         self.servers = servers
         self.interval_s = interval_s
         self.processor_s = time.process_time()
-        self.begun = time.monotonic()
+        self.interval_start = time.monotonic()
 
     def start(self) -> None:
-        """Accounts on a thread of its own until the process ends."""
+        """Starts a thread that logs accounts until the process ends."""
         threading.Thread(target=self._run, name="accounts", daemon=True).start()
 
     def _run(self) -> None:
@@ -79,19 +81,19 @@
             log.info("%s%s", ACCOUNT_MARK, orjson.dumps(self.collect()).decode())
 
     def collect(self) -> dict[str, Any]:
-        """The account since the last call."""
+        """The account of the time since the previous call."""
         now = time.monotonic()
         processor_s = time.process_time()
-        elapsed_s = max(now - self.begun, 1e-9)
-        spent_s = processor_s - self.processor_s
-        self.begun = now
+        elapsed_s = max(now - self.interval_start, 1e-9)
+        used_s = processor_s - self.processor_s
+        self.interval_start = now
         self.processor_s = processor_s
         return {
             **self._identity(),
             "elapsed_s": round(elapsed_s, 3),
-            "processor_s": round(spent_s, 3),
+            "processor_s": round(used_s, 3),
             **self._resources(),
-            **self._kept(),
+            **self._state_counts(),
             "actors": {
                 name: summarize_messages(messages, elapsed_s)
                 for name, messages in self.system.take_account().items()
@@ -99,7 +101,7 @@
         }
 
     def _identity(self) -> dict[str, Any]:
-        """Which controller this is, whether it leads, and how many shards it holds."""
+        """Which controller this is, whether it is leader, and how many shards it owns."""
         controller = self.controller
         node = controller.store.settings.node
         identity = (node, controller.job_manager.incarnation)
@@ -112,7 +114,7 @@
         }
 
     def _resources(self) -> dict[str, Any]:
-        """What the process holds of memory, threads and connections."""
+        """The process's use of memory, threads and connections."""
         return {
             "memory_mb": round(resident_bytes() / MEGABYTE, 1),
             "threads": threading.active_count(),
@@ -122,8 +124,8 @@
             "refused": sum(server.connections.refused for server in self.servers),
         }
 
-    def _kept(self) -> dict[str, Any]:
-        """How much the controller keeps, and what it takes its peers for."""
+    def _state_counts(self) -> dict[str, Any]:
+        """The size of the controller's state, and how it judges its peers."""
         controller = self.controller
         return {
             "live_keys": len(controller.store.replica),
--- a/emberglade/config/__init__.py
+++ b/emberglade/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's TOML file and the operators' own file."""
+"""Settings: the platform's TOML file and the operators' file in protobuf text format."""
 
 from .operators import DomainNetwork, Operators, load_operators
 from .platform import load_platform
--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -1,7 +1,7 @@
-"""The operators' own settings: an optional file in protobuf text format.
+"""The operators' settings: an optional file in protobuf text format.
 
-The message is described here rather than generated, so that no compiler is needed; protobuf is
-only imported when a file is named, since starting has to be cheap.
+The message type is built here rather than generated, so no protobuf compiler is needed. The
+protobuf library is imported only if a file is named, which keeps other starts fast.
 """
 
 import math
@@ -13,7 +13,7 @@
 MAX_EPSILON = 0.5
 MIN_LOOKBACK_S = 1
 MIN_COST_ROUND_S = 1
-DOMAINS_FIELD = "failure_domain"  # the only one that is repeated
+DOMAINS_FIELD = "failure_domain"  # the only repeated field
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,28 +31,28 @@
 
 @dataclass(frozen=True)
 class Operators:
-    """The operators' settings; the names are those of the file's fields.
+    """The operators' settings; the attributes have the names of the file's fields.
 
-    Defaults are those of DESIGN-emberglade, or tainted there as open.
+    The defaults are those of DESIGN-emberglade, or are marked there as open.
 
     Attributes:
-        epsilon: How fast weights of experts learn, above 0 and at most 0.5.
+        epsilon: Learning rate of the experts' weights, above 0 and at most 0.5.
         cost_round_s: Length of a cost round, in seconds, at least 1.
-        pool_premium: What unmet demand costs, in prices of a machine.
+        pool_premium: Cost of unmet demand, as a multiple of a machine's price.
         hold_idle_s: Idle time before a machine above the target is scaled in, in seconds.
         min_lookback_s: Shortest lookback of an expert, in seconds, at least 1.
         max_lookback_s: Longest lookback of an expert, in seconds.
-        boot_guess_s: Boot time where the catalog names none, in seconds.
-        seed: Seed of the draws.
-        cost_spread: Costs above this many times the best count as this.
-        share: Share of all weight that is spread anew each cost round.
-        failure_detection: Whether controllers watch each other by heartbeats.
-        suspect_after: The shortest silence of a peer that is suspected, in intervals of the
-            exchange between controllers.
-        confirm_after: The silence of a peer that counts as its end once its key is gone, in
-            leases of a worker.
+        boot_guess_s: Boot time of machines for which the catalog has none, in seconds.
+        seed: Seed of the random number generator that draws experts.
+        cost_spread: Cap on an expert's cost, as a multiple of the best expert's cost.
+        share: Share of the total weight that is redistributed evenly in each cost round.
+        failure_detection: Whether controllers detect each other's failures by heartbeats.
+        suspect_after: Shortest time without a heartbeat after which a peer is suspected, in
+            intervals of the exchange between controllers.
+        confirm_after: Time without a heartbeat after which a peer whose key is gone is considered
+            dead, in leases of an agent.
         suspect_phi: The suspicion level (phi accrual) from which a peer is suspected.
-        failure_domain: Networks that are failure domains; none: zones are.
+        failure_domain: Networks that are failure domains; if there are none, zones are.
     """
 
     epsilon: float = 0.5
@@ -73,13 +73,13 @@
 
 
 def load_operators(file: Any) -> Operators:
-    """The operators' settings in a file, or the defaults.
+    """Reads the operators' settings from a file; without a file, returns the defaults.
 
     Args:
         file: Path of the file, or None.
 
     Raises:
-        SettingsError: The file is missing or wrong.
+        SettingsError: The file is missing or invalid.
     """
     if file is None:
         return Operators()
@@ -109,7 +109,7 @@
 
 
 def _parse(file: Any, text: str) -> Any:
-    """The protobuf message in a text."""
+    """Parses a file's text into the protobuf message."""
     from google.protobuf import text_format
 
     message = _message_class()()
@@ -137,7 +137,7 @@
 
 
 def _message_class() -> Any:
-    """The class of the protobuf message `emberglade.Operators`, whose fields are as above."""
+    """Creates the class of the protobuf message `emberglade.Operators` from the dataclasses."""
     from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
     file = descriptor_pb2.FileDescriptorProto(
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's settings file: TOML, read once at the start; unknown fields are ignored.
+"""Reads the platform's settings file: TOML, read once at the start; unknown fields are ignored.
 
-The names of its fields are given by the platform. They are read here and nowhere else.
+The platform defines the names of the fields; only this module uses them.
 """
 
 import tomllib
@@ -14,13 +14,13 @@
 
 
 def load_platform(file: object) -> Settings:
-    """The settings in a file.
+    """Reads the settings from a file.
 
     Args:
         file: Path of the file.
 
     Raises:
-        SettingsError: The file is missing or wrong.
+        SettingsError: The file is missing or invalid.
     """
     top = TomlTable(file, "", _read_toml(file))
     endpoints, settings = top.table("endpoints"), top.table("settings")
@@ -30,18 +30,18 @@
     teams = _read_teams(settings)
     objectives = _read_objectives(settings)
     limits = _read_limits(state)
-    node = top.text("node_name")
+    node = top.string("node_name")
     return Settings(
         node=node,
-        zone=top.text("location"),
+        zone=top.string("location"),
         front=top.address("front"),
         internal=top.address("internal_addr"),
         peers=peers,
         cloud=endpoints.address("cloud"),
         state=endpoints.address("state"),
-        cluster_size=settings.count("size"),
-        zones=settings.texts("zones"),
-        skew_s=settings.number("skew_ms", 0.0) / MS_PER_S,
+        cluster_size=settings.positive_integer("size"),
+        zones=settings.strings("zones"),
+        skew_s=settings.non_negative_number("skew_ms", 0.0) / MS_PER_S,
         teams=teams,
         objectives=objectives,
         agent_heartbeat_s=workers.positive_number("report_s"),
@@ -52,10 +52,10 @@
         value_bytes=limits.value_bytes,
         txn_ops=limits.txn_ops,
         cloud_rps=cloud.positive_number("rps"),
-        list_lag_s=cloud.number("list_lag_s"),
+        list_lag_s=cloud.non_negative_number("list_lag_s"),
         cpu=quota.positive_number("cpu"),
         mem_mb=quota.positive_number("mem_mb"),
-        fd_limit=quota.count("fd_limit"),
+        fd_limit=quota.positive_integer("fd_limit"),
         names=tuple(sorted([node, *(peer.name for peer in peers)])),
     )
 
@@ -72,7 +72,7 @@
 
 def _read_peers(top: TomlTable) -> tuple[Peer, ...]:
     return tuple(
-        Peer(row.text("node_name"), row.text("location"), row.address("endpoint"))
+        Peer(row.string("node_name"), row.string("location"), row.address("endpoint"))
         for row in top.tables("peers")
     )
 
@@ -80,15 +80,15 @@
 def _read_teams(settings: TomlTable) -> dict[str, Team]:
     teams: dict[str, Team] = {}
     for row in settings.tables("teams"):
-        name = row.text("name")
+        name = row.string("name")
         if name in teams:
-            row.refuse("name", name, "is not used once")
+            row.reject("name", name, "is the name of more than one team")
         teams[name] = Team(
             name=name,
-            guaranteed_cpus=row.number("cpus", 0.0),
-            cpu_quota=row.number("cpus_max", 0.0),
-            guaranteed_gpus=row.number("gpus", 0.0),
-            gpu_quota=row.number("gpus_max", 0.0),
+            guaranteed_cpus=row.non_negative_number("cpus", 0.0),
+            cpu_quota=row.non_negative_number("cpus_max", 0.0),
+            guaranteed_gpus=row.non_negative_number("gpus", 0.0),
+            gpu_quota=row.non_negative_number("gpus_max", 0.0),
         )
     return teams
 
@@ -96,22 +96,22 @@
 def _read_objectives(settings: TomlTable) -> tuple[ServiceLevelObjective, ...]:
     return tuple(
         ServiceLevelObjective(
-            kind=row.text("kind"),
-            job_class=row.unchecked("class") or "",
-            within_s=row.number("within_s") if "within_s" in row else None,
-            share=row.number("share", 0.0),
+            kind=row.string("kind"),
+            job_class=row.raw_value("class") or "",
+            within_s=row.non_negative_number("within_s") if "within_s" in row else None,
+            share=row.non_negative_number("share", 0.0),
         )
         for row in settings.tables("objectives")
     )
 
 
 def _read_limits(state: TomlTable) -> StateLimits:
-    """The smaller of the state service's limits now and of those that are announced."""
+    """The smaller of each current and announced limit of the state service."""
     limits = StateLimits(
         rps=state.positive_number("rps"),
         write_rps=state.positive_number("write_rps"),
         value_bytes=int(state.positive_number("value_kb") * BYTES_PER_KB),
-        txn_ops=state.count("txn_ops"),
+        txn_ops=state.positive_integer("txn_ops"),
     )
     if "next" not in state:
         return limits
@@ -122,6 +122,6 @@
             rps=announced.positive_number("rps", limits.rps),
             write_rps=announced.positive_number("write_rps", limits.write_rps),
             value_bytes=int(announced.positive_number("value_kb", value_kb) * BYTES_PER_KB),
-            txn_ops=announced.count("txn_ops", limits.txn_ops),
+            txn_ops=announced.positive_integer("txn_ops", limits.txn_ops),
         )
     )
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -1,27 +1,27 @@
-"""What one controller is told by the platform's settings file, in this project's own words."""
+"""The data types of a controller's settings, independent of the file that they are read from."""
 
 from dataclasses import dataclass
 from typing import Final
 
-ABSENT: Final = object()  # the value of a field that a file does not have
+ABSENT: Final = object()  # stands for the value of a field that is not in the file
 
 
 class SettingsError(Exception):
-    """A settings file that can't be used; the message is one line that names what is wrong.
+    """A settings file is invalid; the message is one line with file, field, value and reason.
 
     Attributes:
         file: The file.
-        field: Full name of the field in it; None if the file as a whole can't be read.
-        value: The field's value; None if it has none.
+        field: Full name of the field; None if the error concerns the whole file.
+        value: The field's value; None if the field is missing.
     """
 
     def __init__(
         self, file: object, reason: str, field: str | None = None, value: object = ABSENT
     ) -> None:
-        """Puts the message together.
+        """Composes the message.
 
         Args:
-            file: The file, or whatever else the settings come from.
+            file: The file, or another source of the settings.
             reason: What is wrong, like "is not a number".
             field: Full name of the field.
             value: The field's value, shown before the reason.
@@ -29,9 +29,9 @@
         self.file = file
         self.field = field
         self.value = None if value is ABSENT else value
-        place = f"{file}" if field is None else f"{file}: {field}"
+        location = f"{file}" if field is None else f"{file}: {field}"
         shown = "" if value is ABSENT else f"{value!r} "
-        super().__init__(f"{place}: {shown}{reason}")
+        super().__init__(f"{location}: {shown}{reason}")
 
 
 @dataclass(frozen=True)
@@ -40,8 +40,8 @@
 
     Attributes:
         name: Its name.
-        zone: The zone that it is in.
-        address: Host and port at which it serves controllers.
+        zone: Its zone.
+        address: Host and port of its server for other controllers.
     """
 
     name: str
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True)
 class Team:
-    """A team with its guarantee and its quota; 0 means none.
+    """A team with its guarantee and its quota; 0 means that it has none.
 
     Attributes:
         name: Its name.
-        guaranteed_cpus: Processors that it need not wait for.
-        cpu_quota: The most processors that its tasks may use.
-        guaranteed_gpus: GPUs that it need not wait for.
-        gpu_quota: The most GPUs that its tasks may use.
+        guaranteed_cpus: CPUs that it can use without waiting for other teams.
+        cpu_quota: Maximum number of CPUs of its tasks.
+        guaranteed_gpus: GPUs that it can use without waiting for other teams.
+        gpu_quota: Maximum number of GPUs of its tasks.
     """
 
     name: str
@@ -69,24 +69,24 @@
 
     @property
     def has_quota(self) -> bool:
-        """Whether it has a quota."""
+        """Whether it has a quota of CPUs or GPUs."""
         return self.cpu_quota > 0 or self.gpu_quota > 0
 
     @property
     def has_guarantee(self) -> bool:
-        """Whether it is guaranteed anything."""
+        """Whether it has a guarantee of CPUs or GPUs."""
         return bool(self.guaranteed_cpus or self.guaranteed_gpus)
 
 
 @dataclass(frozen=True)
 class ServiceLevelObjective:
-    """An objective on starting or finishing the jobs of a class.
+    """An objective for the start or the end of a class's jobs.
 
     Attributes:
-        kind: What it is on, as the platform names it: "wait", "finished" and others.
+        kind: What it limits, as the platform names it: "wait", "finished" and others.
         job_class: The class.
-        within_s: The time allowed from the first attempt to submit, in seconds, or None.
-        share: The share of jobs that are to keep to it.
+        within_s: Time limit from the first attempt to submit the job, in seconds, or None.
+        share: Share of the jobs that must meet the objective.
     """
 
     kind: str
@@ -97,13 +97,13 @@
 
 @dataclass(frozen=True)
 class StateLimits:
-    """What the state service takes from all controllers together.
+    """Limits of the state service, for all controllers together.
 
     Attributes:
         rps: Requests per second.
-        write_rps: Of them at most so many changes per second.
+        write_rps: Keys written per second.
         value_bytes: Size of a value, in bytes.
-        txn_ops: Changes of a transaction; it may have four times as many conditions.
+        txn_ops: Writes in a transaction; it may have four times as many conditions.
     """
 
     rps: float
@@ -112,7 +112,7 @@
     txn_ops: int
 
     def within(self, other: "StateLimits") -> "StateLimits":
-        """The smaller of each limit."""
+        """The smaller of each of the two limits."""
         return StateLimits(
             rps=min(self.rps, other.rps),
             write_rps=min(self.write_rps, other.write_rps),
@@ -125,34 +125,35 @@
 class Settings:
     """One controller's settings.
 
-    The limits of the state service are the smaller of those in force now and those announced in
-    `settings.state.next`: the latter come into force without notice.
+    Each limit of the state service is the smaller of the current one and the one announced in
+    `settings.state.next`, because the latter takes effect without notice.
 
     Attributes:
         node: Name of this controller.
-        zone: The zone that it is in.
-        front: Host and port at which it serves users and workers.
-        internal: Host and port at which it serves other controllers.
+        zone: Its zone.
+        front: Host and port of its server for users and agents.
+        internal: Host and port of its server for other controllers.
         peers: The other controllers.
         cloud: Host and port of the cloud.
         state: Host and port of the state service.
-        cluster_size: How many controllers there are.
+        cluster_size: Number of controllers in the cluster.
         zones: The zones in which machines can be rented.
-        skew_s: How far the time of day of any machine may be from true time, in seconds.
+        skew_s: Maximum deviation of any machine's time of day from true time, in seconds.
         teams: The teams, by name.
         objectives: The service-level objectives.
         agent_heartbeat_s: Interval of an agent's heartbeats, in seconds.
         lease_s: How long an agent keeps its tasks without an answer, in seconds.
-        cancel_s: Time within which a cancelled job's tasks must be gone, in seconds.
-        state_rps: Requests per second that the state service takes from all controllers.
-        state_write_rps: Changes per second that it takes from all controllers.
-        value_bytes: Largest value that it keeps, in bytes.
-        txn_ops: Most changes of a transaction; it may have four times as many conditions.
-        cloud_rps: Requests per second that the cloud takes.
-        list_lag_s: How old the cloud's list of machines is, in seconds; at times twice that.
-        cpu: Share of one processor that this controller may use.
-        mem_mb: Memory that this controller may use, in MB.
-        fd_limit: How many file descriptors this controller may have open.
+        cancel_s: Time within which a cancelled job's tasks must end, in seconds.
+        state_rps: Requests per second to the state service, of all controllers together.
+        state_write_rps: Keys written per second, of all controllers together.
+        value_bytes: Maximum size of a value in the state service, in bytes.
+        txn_ops: Maximum number of writes in a transaction; it may have four times as many
+            conditions.
+        cloud_rps: Requests per second to the cloud.
+        list_lag_s: Age of the cloud's list of machines, in seconds; sometimes twice that.
+        cpu: CPU cores that this controller's process may use.
+        mem_mb: Memory that this controller's process may use, in MB.
+        fd_limit: File descriptors that this controller's process may have open.
         names: The names of all controllers, sorted.
     """
 
@@ -184,16 +185,17 @@
 
     @property
     def peer_exchange_s(self) -> float:
-        """Interval at which controllers exchange statements and heartbeats, in seconds."""
+        """Interval at which controllers exchange status updates and heartbeats, in seconds."""
         return max(1.0, self.agent_heartbeat_s / 2)
 
     @property
     def max_staleness_s(self) -> float:
-        """How long a controller without the state service may answer workers, in seconds.
+        """How long a controller without the state service may answer agents, in seconds.
 
-        After a cancellation was accepted, its tasks must be gone within `cancel_s`. A worker that
-        is answered by a controller which can't know of it lives on, and then for a lease, counted
-        from when its heartbeat was sent; a tenth of one is spare. The longer, the better: a zone
-        that is cut off works on while its controller answers.
+        After a cancellation is accepted, the job's tasks must end within `cancel_s`. An agent that
+        is answered by a controller without knowledge of the cancellation keeps the tasks for
+        another lease, counted from when it sent its heartbeat; a tenth of a lease is margin. The
+        longest permitted time is best, because a partitioned zone keeps running its tasks while
+        its controller answers.
         """
         return max(self.lease_s / 4, self.cancel_s - self.lease_s * 1.1)
--- a/emberglade/config/toml_table.py
+++ b/emberglade/config/toml_table.py
@@ -1,4 +1,4 @@
-"""Typed reading of a TOML file: each wrong value is refused with its full name."""
+"""Typed access to a TOML file; errors give the full name of the field."""
 
 import math
 from typing import Any, NoReturn
@@ -12,21 +12,20 @@
 class TomlTable:
     """One table of a file.
 
-    The readers return a field's value as their type, or `default` if the file does not have it.
-    They raise SettingsError if the value is of another type, or if it is missing without a
-    default.
+    The methods return a field's value as their type, or `default` if the field is missing. They
+    raise SettingsError if the value is invalid, or if the field is missing and has no default.
     """
 
     def __init__(self, file: object, name: str, data: Any) -> None:
-        """Takes what the TOML library made of a table.
+        """Wraps a table as parsed by the TOML library.
 
         Args:
             file: The file, for errors.
-            name: Full name of the table; empty for the file's own fields.
-            data: The table.
+            name: Full name of the table; empty for the top level of the file.
+            data: The parsed table.
 
         Raises:
-            SettingsError: It is no table.
+            SettingsError: The value is not a table.
         """
         self.file = file
         self.name = name
@@ -37,43 +36,43 @@
     def __contains__(self, key: str) -> bool:
         return key in self._data
 
-    def number(self, key: str, default: float | None = None) -> float:
+    def non_negative_number(self, key: str, default: float | None = None) -> float:
         """A number of at least 0."""
         value = self._take(key, default)
         if not _is_finite_number(value) or value < 0:
-            self.refuse(key, value, "is not a number of at least 0")
+            self.reject(key, value, "is not a number of at least 0")
         return float(value)
 
     def positive_number(self, key: str, default: float | None = None) -> float:
         """A number above 0."""
         value = self._take(key, default)
         if not _is_finite_number(value) or value <= 0:
-            self.refuse(key, value, "is not a number above 0")
+            self.reject(key, value, "is not a number above 0")
         return float(value)
 
-    def count(self, key: str, default: int | None = None) -> int:
+    def positive_integer(self, key: str, default: int | None = None) -> int:
         """A whole number above 0."""
         value = self._take(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-            self.refuse(key, value, "is not a whole number above 0")
+            self.reject(key, value, "is not a whole number above 0")
         return value
 
-    def text(self, key: str) -> str:
-        """A text that is not empty."""
+    def string(self, key: str) -> str:
+        """A non-empty string."""
         value = self._take(key)
         if not isinstance(value, str) or not value:
-            self.refuse(key, value, "is not a text")
+            self.reject(key, value, "is not a non-empty string")
         return value
 
-    def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts, which may be empty."""
+    def strings(self, key: str) -> tuple[str, ...]:
+        """A list of strings, which may be empty."""
         value = self._take(key)
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            self.refuse(key, value, "is not a list of texts")
+            self.reject(key, value, "is not a list of strings")
         return tuple(value)
 
     def address(self, key: str) -> tuple[str, int]:
-        """Host and port, written like `10.0.0.1:8080`."""
+        """Host and port from an address like `10.0.0.1:8080`."""
         value = self._take(key)
         try:
             host, port = parse_address(value)
@@ -81,29 +80,29 @@
         except (ValueError, AttributeError, TypeError):
             is_address = False
         if not is_address:
-            self.refuse(key, value, "is not an address like 10.0.0.1:8080")
+            self.reject(key, value, "is not an address like 10.0.0.1:8080")
         return host, port
 
-    def unchecked(self, key: str) -> Any:
-        """The value as it is, or None."""
+    def raw_value(self, key: str) -> Any:
+        """The value without any check; None if the field is missing."""
         return self._data.get(key)
 
     def table(self, key: str) -> "TomlTable":
-        """A table in this one."""
+        """A table in this table."""
         return TomlTable(self.file, self._full_name(key), self._data.get(key))
 
     def tables(self, key: str) -> "list[TomlTable]":
-        """A list of tables; empty if the file does not have it."""
+        """A list of tables; empty if the field is missing."""
         rows = self._data.get(key, [])
         if not isinstance(rows, list):
-            self.refuse(key, rows, "is not a list of tables")
+            self.reject(key, rows, "is not a list of tables")
         return [
             TomlTable(self.file, f"{self._full_name(key)}[{number}]", row)
             for number, row in enumerate(rows)
         ]
 
-    def refuse(self, key: str, value: object, reason: str) -> NoReturn:
-        """Raises the SettingsError for a field's value."""
+    def reject(self, key: str, value: object, reason: str) -> NoReturn:
+        """Raises the SettingsError for a field's invalid value."""
         raise SettingsError(self.file, reason, self._full_name(key), value)
 
     def _take(self, key: str, default: Any = None) -> Any:
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -17,26 +17,26 @@
     small_quota_warnings,
 )
 
-# Switches of the operators' settings that the command line can turn on as well: reading the
-# operators' file takes a library that a start without it does not import.
+# Features that the command line can enable as well as the operators' file: reading that file takes
+# a library that is not imported otherwise.
 FEATURES = ("failure-detection",)
 
-LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # any other is INFO
+LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # others mean INFO
 DEFAULT_LOG_LEVEL = "info"
-EXIT_WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
-def enable(operators: Operators, names: Iterable[str]) -> Operators:
-    """The operators' settings with these features turned on."""
+def enable_features(operators: Operators, names: Iterable[str]) -> Operators:
+    """The operators' settings with these features enabled."""
     switches: dict[str, Any] = {name.replace("-", "_"): True for name in names}
     return replace(operators, **switches)
 
 
 def check_detection(settings: Settings, operators: Operators, source: str) -> None:
-    """Checks the bounds and domains of failure detection.
+    """Checks the bounds and failure domains of failure detection.
 
     Raises:
-        SettingsError: They are wrong; its message names `source`.
+        SettingsError: A setting is invalid; the message names `source`.
     """
     from .failure_detection import DetectionError, detection_bounds, failure_domains
 
@@ -48,7 +48,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The parser of the command line."""
+    """Creates the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="emberglade", description="One controller of an emberglade cluster."
     )
@@ -57,14 +57,14 @@
         nargs="?",
         choices=("serve", "check", "profile"),
         default="serve",
-        help="serve (default); check the settings and start nothing; or profile: sum up the "
-        "accounts in controllers' logs, read from standard input",
+        help="serve: run a controller (default); check: check the settings and exit; profile: "
+        "summarize the accounts in controllers' logs, read from standard input",
     )
     parser.add_argument(
-        "--operators", metavar="FILE", help="the operators' own settings, protobuf text format"
+        "--operators", metavar="FILE", help="the operators' settings, in protobuf text format"
     )
     parser.add_argument(
-        "--config", metavar="FILE", help="the platform's settings, TOML; not needed for profile"
+        "--config", metavar="FILE", help="the platform's settings, in TOML; not used by profile"
     )
     parser.add_argument(
         "--enable",
@@ -72,7 +72,7 @@
         action="append",
         choices=FEATURES,
         default=[],
-        help="turn a feature on, as the operators' file can: " + ", ".join(FEATURES),
+        help="enable a feature, as the operators' file can: " + ", ".join(FEATURES),
     )
     return parser
 
@@ -81,17 +81,17 @@
     """The platform's and the operators' settings, checked.
 
     Raises:
-        SettingsError: A file is missing or wrong.
+        SettingsError: A file is missing or invalid.
     """
     settings = load_platform(options.config)
-    operators = enable(load_operators(options.operators), options.enable)
+    operators = enable_features(load_operators(options.operators), options.enable)
     if operators.failure_detection or options.operators:
         check_detection(settings, operators, options.operators or "the defaults")
     return settings, operators
 
 
 def run_profile() -> int:
-    """Sums up the accounts in the logs on standard input; returns the exit code."""
+    """Summarizes the accounts in the logs on standard input; returns the exit code."""
     from .account_profile import read_accounts, render
 
     print(render(read_accounts(sys.stdin)))
@@ -99,7 +99,7 @@
 
 
 def run_check(options: argparse.Namespace, settings: Settings, operators: Operators) -> int:
-    """Prints what the settings say, and warnings; returns the exit code."""
+    """Prints a summary of the settings, and warnings; returns the exit code."""
     print(
         f"{options.config}: node {settings.node} in {settings.zone}, "
         f"{settings.cluster_size} nodes, {len(settings.teams)} teams: ok"
@@ -135,12 +135,12 @@
     if options.command == "profile":
         return run_profile()
     if options.config is None:
-        parser.error("--config is needed")
+        parser.error("--config is required")
     try:
         settings, operators = load_settings(options)
     except SettingsError as error:
         print(f"emberglade: {error}", file=sys.stderr)
-        return EXIT_WRONG_SETTINGS
+        return EXIT_INVALID_SETTINGS
     if options.command == "check":
         return run_check(options, settings, operators)
     return run_serve(settings, operators)
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -1,8 +1,8 @@
-"""Sheds what can be spared when memory runs short, before the platform ends the process.
+"""Reduces memory use when memory is low, before the platform kills the process.
 
-Final states kept at hand are dropped, since the store has them, and new submissions are put off.
-Questions and cancellations are answered all the same: being ended and starting again would cost
-their users less than minutes without an answer.
+The cache of final states is cleared, since the store has them, and new submissions get 503. Polls
+and cancellations are still served: a kill and a restart would interrupt their users for less time
+than minutes of refused requests.
 """
 
 import logging
@@ -14,13 +14,14 @@
 
 log = logging.getLogger("emberglade.memory")
 
-HIGH_SHARE = 0.85  # of the limit: from here on memory is short
-LOW_SHARE = 0.75  # below this it no longer is
+# Shares of the limit: memory counts as low above the first, until use is down to the second.
+HIGH_WATERMARK = 0.85
+LOW_WATERMARK = 0.75
 CHECK_INTERVAL_S = 2.0
 
 
 class MemoryGuard:
-    """Watches the process's memory and tells the users' API when it is short."""
+    """Checks the process's memory use, and notifies the user API when it becomes low or normal."""
 
     def __init__(
         self,
@@ -30,15 +31,15 @@
         resident: Callable[[], float] = resident_bytes,
         interval_s: float = CHECK_INTERVAL_S,
     ) -> None:
-        self.limit = limit_mb * MEGABYTE
+        self.limit_bytes = limit_mb * MEGABYTE
         self.notify_pressure = notify_pressure
         self.describe = describe
         self.resident = resident
         self.interval_s = interval_s
-        self.short = False
+        self.is_low = False
 
     def start(self) -> None:
-        """Watches on a thread of its own until the process ends."""
+        """Starts a thread that checks memory use until the process ends."""
         threading.Thread(target=self._run, name="memory", daemon=True).start()
 
     def _run(self) -> None:
@@ -47,17 +48,17 @@
             self.check()
 
     def check(self) -> None:
-        """Looks once; tells of each change."""
-        share = self.resident() / self.limit
-        short = share > (LOW_SHARE if self.short else HIGH_SHARE)
-        if short == self.short:
+        """Checks memory use once; logs and reports a change between low and normal."""
+        share = self.resident() / self.limit_bytes
+        is_low = share > (LOW_WATERMARK if self.is_low else HIGH_WATERMARK)
+        if is_low == self.is_low:
             return
-        self.short = short
+        self.is_low = is_low
         log.warning(
-            "memory is %s: %.0f %% of %.0f MB; %s",
-            "short, submissions are put off" if short else "enough again",
+            "memory %s: %.0f %% of %.0f MB in use; %s",
+            "low, new submissions get 503" if is_low else "normal, submissions are accepted again",
             100 * share,
-            self.limit / MEGABYTE,
+            self.limit_bytes / MEGABYTE,
             self.describe(),
         )
-        self.notify_pressure(short)
+        self.notify_pressure(is_low)
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -1,4 +1,4 @@
-"""Runs one controller as this process: its clients, its servers, its accounts."""
+"""Runs one controller in this process, with its clients, its servers and its accounting."""
 
 import gc
 import logging
@@ -15,54 +15,57 @@
 log = logging.getLogger("emberglade")
 
 THREAD_STACK_BYTES = 256 * 1024
-# Records and heartbeats hold no cycles worth speaking of; looking through all of them as often as
-# Python does by default took a tenth of the processor at 600 machines.
+# Records and heartbeats form hardly any reference cycles; with Python's default thresholds, garbage
+# collection took a tenth of the processor time at 600 machines.
 GC_THRESHOLDS = (50_000, 20, 50)
 
 MAX_ANSWER_TIMEOUT_S = 3.0
-FRONT_ANSWER_MARGIN_S = 0.5  # users and agents wait a little longer than a request to the store
+FRONT_ANSWER_MARGIN_S = 0.5  # users' and agents' requests outlast a request to the store
 
-# Threads of the clients, each with a connection of its own, and calls that may wait for them.
+# Threads of each client, each with its own connection, and calls that may be queued for them.
 STORE_THREADS = 6
 CLOUD_THREADS = 2
-# Status updates and questions each have a thread: neither waits for the other's long bodies.
+# One thread each for status updates and for questions, so that the large bodies of one kind do not
+# delay the other.
 PEER_THREADS = 2
 PEER_BACKLOG = 64
 
 
 class DescriptorBudget:
-    """Who may hold how many of the descriptors.
+    """How the process's file descriptors are divided.
 
     Attributes:
-        worker_calls: Kept connections to workers, for commands.
-        worker_callers: Threads for these: each may wait for a machine that hangs.
+        agent_connections: Connections to agents that are kept open for commands.
+        agent_threads: Threads for commands to agents; a machine that hangs can block one each.
         internal: Connections of the other controllers.
-        front: Connections of users and workers. A controller that stands alone has to hold all
-            workers; the rest is for clients, listeners and what the platform itself needs.
-        users: Of those of the front, the ones of users at most.
+        front: Connections of users and agents. A single controller serves all agents; what remains
+            is for clients, listeners and the platform itself.
+        users: How many of the front connections users may have.
     """
 
     def __init__(self, settings: Settings) -> None:
         total = settings.fd_limit
-        self.worker_calls = max(1, total // 8)
-        self.worker_callers = max(2, min(total // 64, 64))
+        self.agent_connections = max(1, total // 8)
+        self.agent_threads = max(2, min(total // 64, 64))
         self.internal = max(2, min(total // 16, 8 * settings.cluster_size))
         self.front = max(2, total * 3 // 4)
         self.users = max(1, self.front // 3)
 
 
 def answer_timeout_s(settings: Settings) -> float:
-    """How long a request waits for a decision, in seconds."""
+    """How long a request waits for its answer, in seconds."""
     return min(settings.lease_s / 4, MAX_ANSWER_TIMEOUT_S)
 
 
 def idle_timeout_s(settings: Settings) -> float:
-    """How long a connection without a request is kept, in seconds."""
+    """How long an idle connection is kept open, in seconds."""
     return 2 * settings.lease_s
 
 
-def connect(settings: Settings, operators: Operators, descriptors: DescriptorBudget) -> Controller:
-    """One controller, with the clients that it uses."""
+def create_controller(
+    settings: Settings, operators: Operators, descriptors: DescriptorBudget
+) -> Controller:
+    """Creates a controller and the clients that it uses."""
     return assemble(
         settings,
         operators,
@@ -72,14 +75,14 @@
             peer.name: Client(peer.address, PEER_THREADS, "peer-" + peer.name, PEER_BACKLOG)
             for peer in settings.peers
         },
-        ClientPool(descriptors.worker_callers, descriptors.worker_calls, "workers"),
+        ClientPool(descriptors.agent_threads, descriptors.agent_connections, "workers"),
     )
 
 
 def front_server(
     settings: Settings, controller: Controller, descriptors: DescriptorBudget
 ) -> Server:
-    """The server of users, agents and health checks."""
+    """Creates the server for users, agents and health checks."""
     return Server(
         settings.front,
         controller.user_api.routes.route,
@@ -96,7 +99,7 @@
 def internal_server(
     settings: Settings, controller: Controller, descriptors: DescriptorBudget
 ) -> Server:
-    """The server of the other controllers."""
+    """Creates the server for the other controllers."""
     return Server(
         settings.internal,
         controller.peer_routes.route,
@@ -113,17 +116,17 @@
     """Runs a controller until the process ends; returns the exit code."""
     threading.stack_size(THREAD_STACK_BYTES)
     gc.set_threshold(*GC_THRESHOLDS)
-    gc.enable()  # off while modules were imported (`run.py`)
+    gc.enable()  # `run.py` disables it while modules are imported
     system = ThreadSystem()
     descriptors = DescriptorBudget(settings)
     for warning in small_quota_warnings(settings):
         log.warning(warning)
-    controller = connect(settings, operators, descriptors)
+    controller = create_controller(settings, operators, descriptors)
     front = front_server(settings, controller, descriptors)
     internal = internal_server(settings, controller, descriptors)
     log.info(
-        "%s reads what is stored from the state service at %s:%d; it waits for that as long as it "
-        "takes, and answers users 503 until then",
+        "%s loads its replica from the state service at %s:%d; it waits until the service "
+        "answers, and users get 503 until then",
         settings.node,
         *settings.state,
     )
@@ -131,6 +134,6 @@
     internal.begin("internal")
     Accountant(system, controller, (front, internal)).start()
     MemoryGuard(settings.mem_mb, controller.notify_memory_pressure, controller.describe).start()
-    log.info("%s serves users and workers at %s:%d", settings.node, *settings.front)
+    log.info("%s serves users and agents at %s:%d", settings.node, *settings.front)
     front.serve_forever()
     return 0
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start one emberglade controller: `python3 run.py --config settings.toml`."""
+"""Starts one emberglade controller: `python3 run.py --config settings.toml`."""
 
 import gc
 import os
@@ -8,12 +8,12 @@
 
 sys.path.insert(0, os.path.join(TARGET, "deps"))
 if os.path.isdir(os.path.join(TARGET, "bytecode")):
-    # Compiled by the build (`tools/precompile_bytecode.py`, with figures): where nothing can be
-    # written, every start would compile all of the source.
+    # Byte code compiled by the build (`tools/precompile_bytecode.py`). Without it, a process that
+    # can't write files compiles all source files at every start.
     sys.pycache_prefix = os.path.join(TARGET, "bytecode")
 
-# Nothing of what is imported is garbage; looking through it took a tenth of a start. A controller
-# that serves turns the collector on again (`emberglade/process.py`).
+# Imports create no garbage, and collections during them took a tenth of the start time.
+# `emberglade/process.py` enables the collector again.
 gc.disable()
 
 from emberglade.main import main  # noqa: E402
--- a/tools/precompile_bytecode.py
+++ b/tools/precompile_bytecode.py
@@ -1,18 +1,19 @@
-"""Build step: keeps the byte code of all that a controller imports under `target/bytecode`.
+"""Build step: compiles the modules that a controller imports to `target/bytecode`.
 
-`run.py` has Python look there. A controller's platform has no disk to write to, so without this
-every start compiles the source anew, from a third of a core. Processor time of a start, user and
-system, as `tests/benchmarks/start_cost.py` measured it (Python 3.11, 15 starts each, median, least
-to most; on a machine that was busy otherwise, so rounds differ by some tens of ms):
+`run.py` sets that directory as Python's cache of byte code. The platform gives a controller no
+writable disk and a third of a core, so without this step every start compiles all source files.
+Processor time of a start, user and system (`tests/benchmarks/start_cost.py`, Python 3.11, 15 starts
+each, median, minimum to maximum; other load on the machine shifts rounds by some tens of ms):
 
-    with target/bytecode              223 ms (157 to 285)
-    without, nothing can be written   277 ms (234 to 360)
+    with target/bytecode                 223 ms (157 to 285)
+    without it, on a read-only disk      277 ms (234 to 360)
 
-Where Python can write its byte code beside the source, a second start does as well without this
-(167 ms, 127 to 210): it is not needed for development.
+Development does not need this step: where Python can write byte code beside the source, a second
+start is as fast (167 ms, 127 to 210).
 
-Python checks the byte code against time and size of each source, so what is out of date is not
-used. Run it as `deploy/service.toml` does, without the site module, once `target/deps` is there.
+Python compares the byte code with the time and size of each source file, so outdated byte code is
+not used. Run this as `deploy/service.toml` does: without the site module, after `target/deps` has
+been installed.
 """
 
 import os
@@ -25,7 +26,7 @@
 sys.pycache_prefix = os.path.join(TARGET, "bytecode")
 sys.dont_write_bytecode = False
 
-# Imported only where it is turned on, but then at each start.
+# A controller imports this one at start only if failure detection is enabled.
 import emberglade.failure_detection  # noqa: E402, F401
 import emberglade.main  # noqa: E402, F401
 import emberglade.process  # noqa: E402, F401
