--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -109,5 +109,5 @@
             )
             # Limits the load of one controller if most machines are in its zone.
             and view.active_machines
-            <= MAX_SHARE_FACTOR * len(self.evidence.last_seen) / self.settings.size
+            <= MAX_SHARE_FACTOR * len(self.evidence.last_seen) / self.settings.cluster_size
         )
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -141,7 +141,11 @@
         # Without any heartbeat, the time of the last one is this process's start. A new leader must
         # not treat that as evidence that machines behind a network partition are alive
         # (fleet/taint_kept_by_new_leader.txt).
-        if liveness.heartbeat_received and since_heartbeat_s < alive_within_s and not liveness.unreachable:
+        if (
+            liveness.heartbeat_received
+            and since_heartbeat_s < alive_within_s
+            and not liveness.unreachable
+        ):
             return taint == Taint.LOST or not occupied
         forget_after_s = FORGET_AFTER_LEASES * self.settings.lease_s
         return (
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -147,7 +147,7 @@
     All jobs of a team with a quota belong to one shard, so that a single owner enforces the quota.
     """
     team = teams.get(spec.team)
-    name = "team " + spec.team if team is not None and team.limited else spec.id
+    name = "team " + spec.team if team is not None and team.has_quota else spec.id
     return zlib.crc32(name.encode()) % shards
 
 
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -37,7 +37,7 @@
     However many actors request syncs, they take at most half of the controller's even share of
     requests; the rest is left for commits.
     """
-    return SYNC_BUDGET_DIVISOR * settings.size / settings.state_rps
+    return SYNC_BUDGET_DIVISOR * settings.cluster_size / settings.state_rps
 
 
 class ReadBarrier(ActorPart):
