--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -50,7 +50,7 @@
     ) -> None:
         super().__init__(actor)
         self.client = client
-        # An unanswered request occupies a client thread until it times out.
+        # An unanswered request occupies a client thread until it times out, hence the upper bound.
         self.timeout_s = min(settings.lease_s / 4, MAX_TIMEOUT_S)
         self.pause_s = pause_s
         self._queues: dict[Priority, deque[Request]] = {priority: deque() for priority in Priority}
