--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -83,7 +83,9 @@
         for name, liveness in liveness_of.items():
             taint = self.taints.get(name)
             if taint is None:
-                last_heartbeat_at, _, unreachable, _ = liveness  # fast for thousands each second
+                last_heartbeat_at, _, unreachable, _ = (
+                    liveness  # unpacked, as attributes are slower
+                )
                 if unreachable or (
                     now - last_heartbeat_at > lost_after_s and name in self.machines.occupied
                 ):
--- a/emberglade/fleet/states.py
+++ b/emberglade/fleet/states.py
@@ -14,7 +14,7 @@
 class Taint(StrEnum):
     """A taint that the leader sets on a machine; no task is placed on a tainted machine."""
 
-    LOST = "lost"  # no controller receives its heartbeats, or it does not receive the answers
+    LOST = "lost"  # cordoned: no controller receives its heartbeats, or the answers don't reach it
     ENDED = "ended"  # its lease has provably expired, so its tasks may move
     DRAIN = "drain"  # its tasks are evicted gracefully; then it is scaled in
     GONE = "gone"  # scaled in, as the cloud has confirmed: nothing runs there
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -79,7 +79,7 @@
     def on_written(self, owner: Owner, status: int, revision: int | None, failed: Any) -> None:
         """Handles the store's answer to a commit of taints: a sync will show its outcome.
 
-        `owner` is the owner of the leader's key at the time of the commit.
+        `owner` is the owner of the leader's key when the commit was sent.
         """
         send(self.store.on_sync, callback(self.on_taints_synced, owner, status))
 
