--- a/emberglade/agents/wire/agents.py
+++ b/emberglade/agents/wire/agents.py
@@ -76,19 +76,19 @@
 
 def _read_count(value: Any) -> int:
     if type(value) is not int or not 0 <= value < MAX_COUNT:
-        raise HeartbeatError(f"expected an integer from 0 to 2**64 - 1, got {value!r}")
+        raise HeartbeatError(f"{value!r} is not a count")
     return value
 
 
 def _read_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise HeartbeatError(f"expected a non-empty string, got {value!r}")
+        raise HeartbeatError(f"{value!r} is not a text")
     return value
 
 
 def _read_spot_notice(value: Any) -> float | None:
     if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
-        raise HeartbeatError(f"reclaim_s: expected a number or null, got {value!r}")
+        raise HeartbeatError(f"reclaim_s {value!r} is not a number")
     return value
 
 
@@ -99,12 +99,12 @@
         HeartbeatError: The message is malformed.
     """
     if not isinstance(data, dict):
-        raise HeartbeatError("heartbeat: expected a JSON object")
+        raise HeartbeatError("the report is not an object")
     try:
         spot_notice_s = _read_spot_notice(data.get("reclaim_s"))
         raw_tasks = data.get("embers") or []
         if not isinstance(raw_tasks, list):
-            raise HeartbeatError("embers: expected a list")
+            raise HeartbeatError("embers is not a list")
         return AgentHeartbeat(
             _read_text(data["hearth"]),
             _read_text(data["addr"]),
@@ -118,7 +118,7 @@
             raw_tasks,
         )
     except KeyError as error:
-        raise HeartbeatError(f"heartbeat: missing field {error.args[0]}") from None
+        raise HeartbeatError(f"the report lacks {error.args[0]}") from None
 
 
 def read_tasks(raw_tasks: list) -> dict[TaskKey, TaskStatus]:
@@ -138,9 +138,9 @@
                 bool(row.get("stored")),
             )
     except KeyError as error:
-        raise HeartbeatError(f"embers: a task lacks the field {error.args[0]}") from None
+        raise HeartbeatError(f"a task of the report lacks {error.args[0]}") from None
     except (TypeError, AttributeError) as error:
-        raise HeartbeatError(f"embers: a task is malformed: {error}") from None
+        raise HeartbeatError(f"a task of the report is malformed: {error}") from None
     except ValueError as error:
         raise HeartbeatError(str(error)) from None
     return tasks
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -71,7 +71,7 @@
             MalformedPeerMessageError: `name` is not another controller of this cluster.
         """
         if name not in self.peers:
-            raise MalformedPeerMessageError(f"{name!r} is not another controller of this cluster")
+            raise MalformedPeerMessageError(f"{name!r} is no other controller of this cluster")
         return self.peers[name]
 
     def receive_heartbeat(self, heartbeat: Heartbeat, now: float, wall_time: float) -> bool:
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -196,7 +196,7 @@
 
 def changes_not_kept() -> dict[str, Any]:
     """The body of a 410: some of the requested changes are no longer kept."""
-    return {"error": "some of the requested changes are no longer kept"}
+    return {"error": "not all of these changes are kept here"}
 
 
 def changes_request(revision: int) -> dict[str, Any]:
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -44,7 +44,7 @@
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
             raise MalformedRequestError(
-                f"request head too long: {len(received)} bytes, at most {MAX_HEAD_BYTES} allowed"
+                f"the head is not complete in {len(received)} bytes, over {MAX_HEAD_BYTES}"
             )
         return None
     head = parse_head(received[:head_length])
@@ -61,12 +61,10 @@
     lines = data.split(b"\r\n")
     words = lines[0].decode("latin-1").split()
     if len(words) != 3 or not words[2].startswith("HTTP/1."):
-        raise MalformedRequestError(
-            f"malformed request line, expected METHOD PATH HTTP/1.x: {lines[0][:100]!r}"
-        )
+        raise MalformedRequestError(f"malformed request line: {lines[0][:100]!r}")
     if len(lines) > MAX_HEADERS:
         raise MalformedRequestError(
-            f"too many header lines: got {len(lines)}, at most {MAX_HEADERS} allowed"
+            f"too many lines in the head: {len(lines)}, at most {MAX_HEADERS}"
         )
     method, path, version = words
     content_length, keep_alive = _parse_headers(lines[1:], version != "HTTP/1.0")
@@ -87,7 +85,7 @@
             keep_alive = value.strip().lower() != b"close"
         elif name == b"transfer-encoding":
             raise MalformedRequestError(
-                f"Transfer-Encoding is not supported, use Content-Length: {value.strip()[:100]!r}"
+                f"a body needs its Content-Length, not Transfer-Encoding: {value.strip()[:100]!r}"
             )
     return content_length, keep_alive
 
@@ -101,8 +99,8 @@
     value = value.strip()
     if not value.isdigit() or int(value) > MAX_BODY_BYTES:
         raise MalformedRequestError(
-            f"Content-Length must be an integer of at most {MAX_BODY_BYTES} bytes,"
-            f" got {value[:100]!r}"
+            f"Content-Length must be a whole number of at most {MAX_BODY_BYTES} bytes,"
+            f" not {value[:100]!r}"
         )
     return int(value)
 
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -191,7 +191,7 @@
             exchange = self._open_exchange(connection, False, now)
             exchange.reply(
                 503,
-                {"error": "too many user connections to this controller; retry later"},
+                {"error": "too many connections here; ask again"},
                 OVERLOAD_RETRY_S,
             )
             return
@@ -207,7 +207,7 @@
                 "request %s %s failed; it is answered with 500", request.method, request.path
             )
             exchange.keep_alive = False
-            exchange.reply(500, {"error": "internal error: the request failed"})
+            exchange.reply(500, {"error": "the request failed here"})
         if not exchange.answered:
             self._unanswered.append(exchange)
 
@@ -224,7 +224,7 @@
         while waiting and (waiting[0].answered or waiting[0].deadline <= now):
             waiting.popleft().reply(
                 503,
-                {"error": "the request was not answered in time; retry later"},
+                {"error": "no decision in time; ask again"},
                 OVERLOAD_RETRY_S,
             )
 
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -25,7 +25,7 @@
 # MIN_OPEN_SUBMISSIONS.
 MIN_OPEN_SUBMISSIONS = 8
 OPEN_SUBMISSIONS_S = 2.0
-STORE_BUSY = too_many_requests("too many requests are being processed")
+STORE_BUSY = too_many_requests("too many requests at once")
 
 
 def never_accepted_conditions(job_id: str) -> list[tuple[str, int]]:
--- a/emberglade/user_api/answers.py
+++ b/emberglade/user_api/answers.py
@@ -53,7 +53,7 @@
 
 def method_not_allowed(allowed: str) -> Answer:
     """The answer to an HTTP method that the path does not allow."""
-    return Answer(405, wire.error(f"method not allowed: expected {allowed}"))
+    return Answer(405, wire.error(f"{allowed} is needed"))
 
 
 NO_SUCH_PATH = Answer(404, wire.error("no such path"))
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -96,9 +96,9 @@
             self.acceptance.close()
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         elif job_id in submission.dependencies:
-            self.refuse(submission, f"awaits: {job_id} can't depend on itself")
+            self.refuse(submission, f"{job_id} can't await itself")
         elif any(self.view.is_service(dependency) for dependency in submission.dependencies):
-            self.refuse(submission, "awaits: a job can't depend on a service")
+            self.refuse(submission, "a service can't be awaited")
         else:
             self._read_dependencies(submission)
 
@@ -121,7 +121,7 @@
     ) -> None:
         if request.never_accepted:
             shown = sorted(request.never_accepted)[:MAX_DEPENDENCIES_IN_REASON]
-            self.refuse(submission, f"awaits: never accepted: {' '.join(shown)}")
+            self.refuse(submission, f"{' '.join(shown)} was never accepted")
         elif request.failed:
             self.answer_unavailable(submission)
         else:
--- a/emberglade/user_api/routes.py
+++ b/emberglade/user_api/routes.py
@@ -16,8 +16,8 @@
     from ..agents import AgentManager
 
 GET, POST = "GET", "POST"
-MALFORMED_HEARTBEAT = malformed("the heartbeat is not JSON")
-NOT_READY = service_unavailable("the replica is not up to date with the state service yet")
+MALFORMED_HEARTBEAT = malformed("the report is not JSON")
+NOT_READY = service_unavailable("not in step with the state service yet")
 
 
 class Route(NamedTuple):
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -14,13 +14,11 @@
 
 QUOTA_TOLERANCE = 1e-9  # above the rounding errors of floating-point sums
 
-CATALOG_NOT_READ = service_unavailable(
-    "the machine types have not been read from the state service yet"
-)
-LOW_MEMORY = service_unavailable("this controller is low on memory")
-TOO_MANY_SUBMISSIONS = too_many_requests("too many submissions are being processed")
+CATALOG_NOT_READ = service_unavailable("the machine types are not known yet")
+LOW_MEMORY = service_unavailable("this controller is short of memory")
+TOO_MANY_SUBMISSIONS = too_many_requests("too many submissions at once")
 DEPENDENCIES_NOT_ENABLED = service_unavailable(
-    "awaits: not supported while some controllers run the previous version"
+    "not all controllers run the version yet that lets jobs await others"
 )
 
 
@@ -59,9 +57,7 @@
     def _check_size(self, spec: JobSpec) -> None:
         """Raises MalformedSubmissionError if the job's description does not fit in one value."""
         if not chunk_size_for(spec, self.settings.value_bytes):
-            raise wire.MalformedSubmissionError(
-                "the job's description is larger than a value of the state service"
-            )
+            raise wire.MalformedSubmissionError("the description is too long to be kept")
 
     def _answer_malformed(self, data: object, answer: Answer, reply: Reply) -> None:
         """Answers a malformed submission.
@@ -110,14 +106,14 @@
         """Why a job can never run with the current settings and machine types, or None."""
         team = self.settings.teams.get(spec.team)
         if team is None:
-            return f"crew: {spec.team} is not a known team"
+            return f"crew {spec.team} is not known"
         if self.view.machine_types and not fits_some_type(spec, self.view.machine_types):
-            return "a task fits on none of the allowed machine types"
+            return "a task fits no allowed machine type"
         tasks_at_once = spec.tasks if spec.service or spec.gang else 1
         for quota, needed, field in (
             (team.cpu_quota, spec.cpus, "cpus"),
             (team.gpu_quota, spec.gpus, "cards"),
         ):
             if quota > 0 and needed * tasks_at_once > quota + QUOTA_TOLERANCE:
-                return f"{field}: the job needs more than the quota of {spec.team}"
+                return f"the job needs more {field} than the limit of {spec.team}"
         return None
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -122,7 +122,7 @@
         raise MalformedSubmissionError("the body is not a JSON object")
     job_id = read_id(data)
     if job_id is None:
-        raise MalformedSubmissionError("id: expected a job id like job-000412")
+        raise MalformedSubmissionError("id: a job id like job-000412 is needed")
     shape = _shape(data)
     priority = _priority(data)
     tasks = _task_count(data)
@@ -166,28 +166,28 @@
     if not isinstance(dependencies, list) or not all(
         isinstance(dependency, str) and is_job_id(dependency) for dependency in dependencies
     ):
-        raise MalformedSubmissionError("awaits: expected a list of job ids or null")
+        raise MalformedSubmissionError("awaits: a list of job ids or null is needed")
     return tuple(dict.fromkeys(dependencies))
 
 
 def _shape(data: dict[str, Any]) -> str:
     shape = data.get("shape")
     if shape not in SHAPES:
-        raise MalformedSubmissionError("shape: expected sweep, standing or group")
+        raise MalformedSubmissionError("shape: sweep, standing or group is needed")
     return shape
 
 
 def _priority(data: dict[str, Any]) -> int:
     rank = data.get("rank")
     if rank not in PRIORITIES:
-        raise MalformedSubmissionError(f"rank: expected one of {', '.join(PRIORITIES)}")
+        raise MalformedSubmissionError(f"rank: one of {', '.join(PRIORITIES)} is needed")
     return PRIORITIES.index(rank)
 
 
 def _task_count(data: dict[str, Any]) -> int:
     tasks = data.get("embers")
     if isinstance(tasks, bool) or not isinstance(tasks, int) or not 1 <= tasks <= MAX_TASKS:
-        raise MalformedSubmissionError(f"embers: expected an integer from 1 to {MAX_TASKS}")
+        raise MalformedSubmissionError(f"embers: a whole number from 1 to {MAX_TASKS} is needed")
     return tasks
 
 
@@ -200,30 +200,28 @@
         or not names
         or not all(isinstance(name, str) and name for name in names)
     ):
-        raise MalformedSubmissionError(
-            "hearth_kinds: expected a non-empty list of machine types or null"
-        )
+        raise MalformedSubmissionError("hearth_kinds: a list of machine types or null is needed")
     return tuple(names)
 
 
 def _non_negative_number(data: dict[str, Any], key: str) -> float:
     value = data.get(key)
     if value is None:
-        raise MalformedSubmissionError(f"{key}: the field is missing")
+        raise MalformedSubmissionError(f"{key} is missing")
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
         or not math.isfinite(value)
         or value < 0
     ):
-        raise MalformedSubmissionError(f"{key}: expected a number of at least 0")
+        raise MalformedSubmissionError(f"{key}: a number of at least 0 is needed")
     return float(value)
 
 
 def _non_empty_string(data: dict[str, Any], key: str) -> str:
     value = data.get(key)
     if not isinstance(value, str) or not value:
-        raise MalformedSubmissionError(f"{key}: expected a non-empty string")
+        raise MalformedSubmissionError(f"{key}: a text is needed")
     return value
 
 
@@ -234,7 +232,7 @@
 def _boolean(data: dict[str, Any], key: str) -> bool:
     value = data.get(key)
     if not isinstance(value, bool):
-        raise MalformedSubmissionError(f"{key}: expected true or false")
+        raise MalformedSubmissionError(f"{key}: true or false is needed")
     return value
 
 
