--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger("emberglade.agents")
 
-# Added to the time that the job declares for saving a checkpoint.
+# Grace period to save a checkpoint: the time that the job declares, times a factor, plus an extra.
 SAVE_GRACE_FACTOR = 1.5
 SAVE_GRACE_EXTRA_S = 1
 
@@ -155,7 +155,7 @@
         may_start: bool,
         synced: bool,
     ) -> None:
-        """Handles a bound task that is not on the machine; `found`: another attempt of it is."""
+        """Handles a bound attempt that is not on the machine; `found` is another one there."""
         stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop != StopMode.KEEP:
             # Once the agent has this fencing token, it rejects a delayed start of the task.
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -88,7 +88,7 @@
         }
 
     def _has_contact(self, view: PeerMachineView, now: float) -> bool:
-        """Whether a peer has answered recently and was then in contact with the store."""
+        """Whether a peer has answered recently and was recently in contact with the store."""
         return (
             now - view.received_at < 2 * self.settings.agent_heartbeat_s
             and view.contact_age_at(now) < self.settings.lease_s / 4
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -19,7 +19,7 @@
 
 MAX_UPDATES_PER_MESSAGE = 200
 VALUE_OVERHEAD_BYTES = 256  # field and controller names in the value with undelivered updates
-MAX_BATCHES_PER_HEARTBEAT = 20  # limits the messages to each owner
+MAX_BATCHES_PER_HEARTBEAT = 20  # updates in between are sent together
 
 
 class UpdateForwarding(AgentPart):
@@ -124,7 +124,7 @@
         undelivered.update((update.key, update) for update in updates)
 
     def write_undelivered(self) -> None:
-        """Writes updates that owners could not be sent to the store, up to a value's size."""
+        """Stores updates that could not be sent to their owners, up to the size of a value."""
         undelivered, self.undelivered = self.undelivered, {}
         bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -97,7 +97,7 @@
         self.undo()
 
     def max_tasks(self, spec: "JobSpec") -> int:
-        """An upper bound on how many tasks `place` can place; cheap, and 0 for most jobs."""
+        """An upper bound on how many tasks `place` can place: a cheap check that saves most calls."""
         if not has_zone_rule(spec) and self._requirements(spec) in self._unplaceable:
             return 0
         return self.capacity.tasks_within_quota(spec)
@@ -125,7 +125,7 @@
         return machines
 
     def undo_place(self, machines: list[str]) -> None:
-        """Undoes the latest change, the reservation for which `place` returned these machines."""
+        """Undoes the `place` just made, given the machines that it returned."""
         if machines:
             self._undo_change(self._changes.pop())
 
