--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -97,7 +97,7 @@
         self.undo()
 
     def max_tasks(self, spec: "JobSpec") -> int:
-        """An upper bound on how many tasks `place` can place: a cheap check that saves most calls."""
+        """An upper bound on how many tasks `place` can place; a cheap check before a call."""
         if not has_zone_rule(spec) and self._requirements(spec) in self._unplaceable:
             return 0
         return self.capacity.tasks_within_quota(spec)
