--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -1,4 +1,4 @@
-"""All that the agents take from the replica."""
+"""The part of the replica that the agent manager uses."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -19,12 +19,12 @@
 
 @dataclass
 class ReplicaChange:
-    """What a change of the replica brought besides what is kept in CommittedState.
+    """What follows from a change of the replica, besides the new CommittedState.
 
     Attributes:
-        bindings: What was bound, or is to be stopped.
+        bindings: New bindings, and bindings that have to be stopped.
         controllers: Controllers whose keys or tables changed.
-        task_updates: Updates for this controller, which their senders could not tell it.
+        task_updates: Updates for this controller that their senders could not deliver directly.
     """
 
     bindings: list[ChangedBinding] = field(default_factory=list)
@@ -33,17 +33,17 @@
 
 
 class CommittedState(ActorPart):
-    """What the replica shows of jobs, machines and controllers.
+    """Jobs, machines and controllers as the replica shows them.
 
     Attributes:
-        bindings: Of all live jobs.
-        cancelled: The cancelled ones among them.
-        taints: Of machines.
-        holders: {shard: controller}.
-        machine_types: {name: MachineType}, of the catalog.
-        controllers: Those whose keys are there.
-        tables: {controller: {key: what it holds}}, of its own key and its overflow values.
-        revision: The newest that the replica shows; -1 before there is one.
+        bindings: The bindings of all live jobs.
+        cancelled: The cancelled jobs among them.
+        taints: The taints of machines.
+        owners: {shard: controller}.
+        machine_types: {name: MachineType}, from the catalog.
+        controllers: The controllers whose keys exist.
+        tables: {controller: {key: value}}: its own key and the overflow keys of its table.
+        revision: The newest revision that the replica shows; -1 while there is no replica.
     """
 
     def __init__(self, actor: Actor, settings: Any) -> None:
@@ -52,29 +52,29 @@
         self.cancelled = CancelledJobs(actor, settings.agent_heartbeat_s)
         self.bindings = CommittedBindings(self.cancelled)
         self.taints = Taints()
-        self.holders: dict[int, str | None] = {}
+        self.owners: dict[int, str | None] = {}
         self.machine_types: dict[str, MachineType] = {}
         self.controllers: set[str] = set()
         self.tables: dict[str, dict[str, Any]] = {}
         self.revision = -1
 
-    def holder_of(self, spec: JobSpec) -> str | None:
-        """The controller that holds a job."""
+    def owner_of(self, spec: JobSpec) -> str | None:
+        """The controller that owns a job."""
         shard = shard_of(spec, self.settings.teams, shard_count(self.settings))
-        return self.holders.get(shard)
+        return self.owners.get(shard)
 
     def note_announced(self, job_id: str, revision: int) -> None:
-        """Notes a cancellation that a peer has announced."""
+        """Records a cancellation that a peer has announced."""
         if revision <= self.revision:
-            return  # shown by the replica, if the job is not over by now
+            return  # the replica shows it already, unless the job is finished
         self.cancelled.announced[job_id] = revision
         job = self.bindings.jobs.get(job_id)
         if job is not None and job_id not in self.cancelled.by_job:
             self.bindings.note_cancelled(job_id, job, revision)
 
-    def apply(self, events: list, revision: int, whole: bool) -> ReplicaChange:
-        """Takes over a change of the replica, as `ReplicaSubscriber` is told of it."""
-        if whole:
+    def apply(self, events: list, revision: int, is_snapshot: bool) -> ReplicaChange:
+        """Applies a change of the replica, as `ReplicaSubscriber` receives it."""
+        if is_snapshot:
             self._forget_missing(events)
         change = ReplicaChange()
         for key, data, mod_revision in events:
@@ -84,7 +84,7 @@
         return change
 
     def _forget_missing(self, events: list) -> None:
-        """Forgets what the whole replica, read anew, may not show any more."""
+        """Drops whatever a snapshot of the replica no longer contains."""
         self.bindings.keep_only(
             jobs_wire.job_id_of(key)
             for key, data, _ in events
@@ -104,11 +104,11 @@
             self.bindings.apply_chunk(key, data, mod_revision)
         elif key.startswith(fleet_wire.TAINT_PREFIX):
             changed = self.taints.apply(key, data, mod_revision, self.now())
-            self.bindings.touched.update(changed)
+            self.bindings.changed_machines.update(changed)
         elif key.startswith(records.SHARD_PREFIX):
             if data is not None:
                 shard = int(key[len(records.SHARD_PREFIX) :])
-                self.holders[shard] = records.shard_holder(data)
+                self.owners[shard] = records.shard_owner(data)
         elif key.startswith(records.NODE_PREFIX):
             self._apply_controller(key, data, change)
         elif key.startswith(records.OVERFLOW_PREFIX):
@@ -119,7 +119,7 @@
             self.machine_types = read_machine_types(data)
 
     def _apply_controller(self, key: str, data: Any, change: ReplicaChange) -> None:
-        """A controller's own key, with the first value of its table."""
+        """Applies a controller's own key, which holds the first value of its table."""
         node = key[len(records.NODE_PREFIX) :]
         change.controllers.add(node)
         if data is None:
@@ -130,7 +130,7 @@
             self.tables.setdefault(node, {})[key] = data
 
     def _apply_overflow(self, key: str, data: Any, change: ReplicaChange) -> None:
-        """A further value of a controller's table."""
+        """Applies a further value of a controller's table."""
         node = records.overflow_owner(key)
         if data is None:
             self.tables.get(node, {}).pop(key, None)
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -1,13 +1,13 @@
-"""Status updates of tasks, passed on to the controllers that hold their jobs."""
+"""Forwards task status updates to the controllers that own the jobs."""
 
 from typing import Any
 
 import orjson
 
 from .. import peer_paths
-from ..actors import Actor, callback, tell, tell_after
+from ..actors import Actor, callback, send, send_after
 from ..jobs.binding import StopMode
-from ..jobs.task_updates import StopWanted, TaskExited, TaskGone, TaskUpdate, UpdateKey
+from ..jobs.task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate, UpdateKey
 from ..state import LIVE_PREFIX
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
@@ -17,13 +17,13 @@
 from .wire import records
 from .wire.agents import EXITED, AgentHeartbeat, TaskKey, TaskStatus
 
-MAX_UPDATES_SENT = 200  # in one message to a holder
-FRAME_BYTES = 256  # of the value that holds undelivered updates: names of fields and controllers
-BATCHES_PER_HEARTBEAT = 20  # updates are gathered for this part of a heartbeat interval
+MAX_UPDATES_PER_MESSAGE = 200
+VALUE_OVERHEAD_BYTES = 256  # field and controller names in the value with undelivered updates
+MAX_BATCHES_PER_HEARTBEAT = 20  # updates in between are sent together
 
 
 class UpdateForwarding(AgentPart):
-    """Tells the holders of jobs what heartbeats prove."""
+    """Notifies the owners of jobs of the task updates that follow from heartbeats."""
 
     def __init__(
         self,
@@ -39,12 +39,12 @@
         self.peers = peers
         self.outbox: dict[str, dict[UpdateKey, TaskUpdate]] = {}  # by controller
         self.outbox_due = False
-        # By controller: what it could not be told directly.
+        # By controller: updates that could not be sent to it directly.
         self.undelivered: dict[str, dict[UpdateKey, TaskUpdate]] = {}
         self.wrote_updates = False
 
-    def tell_holders(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
-        """Passes on what the heartbeat proves; True if anything was."""
+    def notify_owners(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
+        """Forwards the updates that follow from a heartbeat; True if there are any."""
         updates = [
             update
             for key, desired in self.committed.bindings.of_machine(heartbeat.machine).items()
@@ -61,11 +61,11 @@
         desired: DesiredTask,
         found: TaskStatus | None,
     ) -> TaskUpdate | None:
-        """What a heartbeat proves of a task that the replica binds to its machine, or None.
+        """What a heartbeat proves about a task that the replica binds to its machine, or None.
 
-        `found` is what the heartbeat shows of the task.
+        `found` is the task's status in the heartbeat.
         """
-        stop, stop_seen = self.committed.bindings.stop_of(key, desired)
+        stop, stop_revision = self.committed.bindings.stop_of(key, desired)
         if found is not None and found.attempt == desired.attempt:
             if found.state is EXITED:
                 machine = heartbeat.machine
@@ -75,37 +75,37 @@
         elif heartbeat.agent_epoch > desired.agent_epoch or (
             heartbeat.agent_epoch == desired.agent_epoch
             and stop != StopMode.KEEP
-            and heartbeat.fencing_token >= stop_seen
+            and heartbeat.fencing_token >= stop_revision
         ):
-            # Its epoch is over, or its start can't be accepted any more: it will never run.
+            # The binding's agent epoch has ended, or a start would be fenced: it will never run.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
         if stop == StopMode.KEEP and heartbeat.spot_notice_s is not None:
-            return StopWanted(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
+            return StopRequested(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
         return None
 
     def forward(self, update: TaskUpdate) -> None:
-        """Passes an update on to the holder of its job, which may be this controller."""
+        """Forwards an update to the owner of its job, which may be this controller."""
         job = self.committed.bindings.jobs.get(update.job_id)
         if job is None:
             return
-        node = self.committed.holder_of(job.spec)
+        node = self.committed.owner_of(job.spec)
         if node == self.settings.node:
-            tell(self.job_manager.on_task_update, update)
+            send(self.job_manager.on_task_update, update)
         elif node in self.peers:
             self.outbox.setdefault(node, {})[update.key] = update
             if not self.outbox_due:
                 self.outbox_due = True
-                delay_s = self.settings.agent_heartbeat_s / BATCHES_PER_HEARTBEAT
-                tell_after(delay_s, self.on_send_updates)
+                delay_s = self.settings.agent_heartbeat_s / MAX_BATCHES_PER_HEARTBEAT
+                send_after(delay_s, self.on_send_updates)
 
     def on_send_updates(self) -> None:
-        """Handles `send_updates`, from `forward`: sends each holder what is for it, in batches."""
+        """Handles `send_updates`, from `forward`: sends each owner its updates in batches."""
         self.outbox_due = False
         outbox, self.outbox = self.outbox, {}
         for node, by_key in outbox.items():
             updates = list(by_key.values())
-            for first in range(0, len(updates), MAX_UPDATES_SENT):
-                batch = updates[first : first + MAX_UPDATES_SENT]
+            for first in range(0, len(updates), MAX_UPDATES_PER_MESSAGE):
+                batch = updates[first : first + MAX_UPDATES_PER_MESSAGE]
                 self.peers[node].call(
                     "POST",
                     peer_paths.TASK_UPDATES,
@@ -115,18 +115,18 @@
                 )
 
     def on_updates_sent(self, node: str, updates: list[TaskUpdate], status: int, body: Any) -> None:
-        """Handles the holder's answer to one batch."""
+        """Handles the owner's answer to one batch."""
         if status == 200:
             self.undelivered.pop(node, None)
             return
-        # Heartbeats repeat what was not recorded; so only the latest failures are worth keeping.
+        # Later heartbeats repeat updates that were not recorded, so only the latest are kept.
         undelivered = self.undelivered.setdefault(node, {})
         undelivered.update((update.key, update) for update in updates)
 
     def write_undelivered(self) -> None:
-        """Writes what peers could not be told directly to the store, as far as a value takes it."""
+        """Stores updates that could not be sent to their owners, up to the size of a value."""
         undelivered, self.undelivered = self.undelivered, {}
-        bytes_left = self.settings.value_bytes - FRAME_BYTES
+        bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
         for node, updates in undelivered.items():
             for row in peer_wire.write_task_updates(updates.values()):
@@ -137,7 +137,7 @@
             return
         self.wrote_updates = bool(rows)
         key = LIVE_PREFIX + records.undelivered_key(self.settings.node)
-        tell(
+        send(
             self.store.on_commit,
             DECISIONS,
             [],
--- a/emberglade/user_api/routes.py
+++ b/emberglade/user_api/routes.py
@@ -5,9 +5,9 @@
 
 import orjson
 
-from ..actors import tell_inline
+from ..actors import send_inline
 from . import wire
-from .answers import NO_SUCH_PATH, Reply, malformed, try_later, wrong_method
+from .answers import NO_SUCH_PATH, Reply, malformed, method_not_allowed, service_unavailable
 from .cancellations import CancellationRequests
 from .lookup import JobLookup
 from .submissions import Submissions
@@ -17,20 +17,20 @@
 
 GET, POST = "GET", "POST"
 MALFORMED_HEARTBEAT = malformed("the report is not JSON")
-NOT_READY = try_later("not in step with the state service yet")
+NOT_READY = service_unavailable("not in step with the state service yet")
 
 
 class Route(NamedTuple):
-    """The method that a path needs, and who handles its requests."""
+    """The HTTP method that a path allows, and the handler of its requests."""
 
     method: str
     handle: Callable[[bytes, Reply], None]
 
 
 class FrontRoutes:
-    """Hands each request of the front server to the actor that answers it.
+    """Dispatches each request of the front server to the actor that answers it.
 
-    Called by the server's threads; keeps no state of its own.
+    Called on the server's threads, so it keeps no state of its own.
     """
 
     def __init__(
@@ -51,25 +51,25 @@
         }
 
     def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
-        """Leads one request to one call of `reply(status, body, retry_after_s)`."""
+        """Dispatches one request; `reply(status, body, retry_after_s)` is called once for it."""
         path = path.partition("?")[0]
         route = self.routes.get(path) or self._job_route(path)
         if route is None:
             NO_SUCH_PATH.send(reply)
         elif method != route.method:
-            wrong_method(route.method).send(reply)
+            method_not_allowed(route.method).send(reply)
         else:
             route.handle(body, reply)
 
     def _job_route(self, path: str) -> Route | None:
-        """The route of a path that names a job."""
+        """The route of a path that names a job; None for other paths."""
         target = wire.read_job_path(path)
         if target is None:
             return None
         handler = self.cancellations.on_cancel if target.cancel else self.lookup.on_poll
 
         def handle(body: bytes, reply: Reply) -> None:
-            tell_inline(handler, target.job_id, reply)
+            send_inline(handler, target.job_id, reply)
 
         return Route(POST if target.cancel else GET, handle)
 
@@ -79,7 +79,7 @@
         except ValueError:
             MALFORMED_HEARTBEAT.send(reply)
             return
-        tell_inline(self.agents.on_heartbeat, data, reply)
+        send_inline(self.agents.on_heartbeat, data, reply)
 
     def _ready(self, body: bytes, reply: Reply) -> None:
         def answer(ready: bool) -> None:
@@ -88,7 +88,7 @@
             else:
                 NOT_READY.send(reply)
 
-        tell_inline(self.agents.on_ready, answer)
+        send_inline(self.agents.on_ready, answer)
 
     def _submit(self, body: bytes, reply: Reply) -> None:
-        tell_inline(self.submissions.on_submit, body, reply)
+        send_inline(self.submissions.on_submit, body, reply)
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -1,19 +1,19 @@
 """Broken builds of which controllers are alive and who fails over."""
 
-from emberglade.actors import tell
+from emberglade.actors import send
 from emberglade.failure_detection import FailureDomains, PeerMonitor, ShardPlanner
 from emberglade.failure_detection.detector import PeerDetector
 from emberglade.failure_detection.local_health import LocalHealth
 from emberglade.failure_detection.messages import Incarnation, PeerState
 from emberglade.failure_detection.peer import Peer
-from emberglade.membership import NOBODY
+from emberglade.membership import NO_OWNER
 
 
 def suspicion_is_death(patch):
     """Whoever is suspected counts as dead."""
 
     def confirm(self, peer, isolated, now):
-        self._move(peer, PeerState.DEAD, "suspected")
+        self._set_state(peer, PeerState.DEAD, "suspected")
         return True
 
     patch.setattr(PeerDetector, "_confirm", confirm)
@@ -30,10 +30,10 @@
     """Any heartbeat is a sign of life, whatever came before it and however old it is."""
     original = PeerDetector.receive_heartbeat
 
-    def receive_heartbeat(self, heartbeat, now, wall):
+    def receive_heartbeat(self, heartbeat, now, wall_time):
         peer = self.peers[heartbeat.sender]
         peer.direct_version = peer.version = None
-        return original(self, heartbeat._replace(sent_wall=wall), now, wall)
+        return original(self, heartbeat._replace(sent_wall_time=wall_time), now, wall_time)
 
     patch.setattr(PeerDetector, "receive_heartbeat", receive_heartbeat)
 
@@ -56,7 +56,7 @@
 def no_startup_grace(patch):
     """Who has not been heard yet serves only by its key, from the first moment on."""
     original = Peer.serves
-    patch.setattr(Peer, "serves", lambda self, now, startup_over: original(self, now, True))
+    patch.setattr(Peer, "serves", lambda self, now, startup_complete: original(self, now, True))
 
 
 def serves_by_key_alone(patch):
@@ -65,8 +65,8 @@
     patch.setattr(
         Peer,
         "serves",
-        lambda self, now, startup_over: (
-            self.key_lease is not None and original(self, now, startup_over)
+        lambda self, now, startup_complete: (
+            self.key_lease is not None and original(self, now, startup_complete)
         ),
     )
 
@@ -81,16 +81,16 @@
     patch.setattr(Peer, "failback_delay_s", lambda self, now: 0.0)
     original = ShardPlanner._is_failback_due
 
-    def is_failback_due(self, shard, holder, view):
-        return original(self, shard, holder, view._replace(may_fail_back=True))
+    def is_failback_due(self, shard, owner, view):
+        return original(self, shard, owner, view._replace(may_fail_back=True))
 
     patch.setattr(ShardPlanner, "_is_failback_due", is_failback_due)
 
 
 def never_fails_over(patch):
-    """A shard that loses its holder waits for its home."""
+    """A shard that loses its owner waits for its home."""
     patch.setattr(
-        ShardPlanner, "_is_due", lambda self, shard, holder, successors, view, now: holder == NOBODY
+        ShardPlanner, "_is_due", lambda self, shard, owner, successors, view, now: owner == NO_OWNER
     )
 
 
@@ -98,14 +98,14 @@
     """Claims follow the view of the last turn, also one that is older than the replica."""
     on_changed = PeerMonitor.on_changed
 
-    def change_without_view(self, events, revision, whole):
+    def change_without_view(self, events, revision, is_snapshot):
         with patch.context() as quiet:
             quiet.setattr(PeerMonitor, "publish", lambda self, view: None)
-            on_changed(self, events, revision, whole)
+            on_changed(self, events, revision, is_snapshot)
 
     def publish(self, view):
         for listener in self.listeners:
-            tell(listener.on_liveness, view._replace(revision=2**60))
+            send(listener.on_liveness, view._replace(revision=2**60))
 
     patch.setattr(PeerMonitor, "publish", publish)
     patch.setattr(PeerMonitor, "on_changed", change_without_view)
@@ -116,8 +116,8 @@
     """Slow controllers are offered others' work like any other."""
     original = ShardPlanner.shards_to_take
 
-    def shards_to_take(self, incarnation, holders, view, now):
-        return original(self, incarnation, holders, view._replace(slow=frozenset()), now)
+    def shards_to_take(self, incarnation, owners, view, now):
+        return original(self, incarnation, owners, view._replace(slow=frozenset()), now)
 
     patch.setattr(ShardPlanner, "shards_to_take", shards_to_take)
 
@@ -144,7 +144,10 @@
     patch.setattr(
         PeerDetector,
         "receive_heartbeat",
-        lambda self, heartbeat, now, wall: original(
-            self, heartbeat._replace(sent_wall=min(heartbeat.sent_wall, wall)), now, wall
+        lambda self, heartbeat, now, wall_time: original(
+            self,
+            heartbeat._replace(sent_wall_time=min(heartbeat.sent_wall_time, wall_time)),
+            now,
+            wall_time,
         ),
     )
