--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -63,7 +63,7 @@
     )
 
 
-def proves_lease_expiry_by_silence(patch):
+def assumes_leases_expired(patch):
     """A machine that the leader has not heard of is taken for one whose lease is over."""
     patch.setattr(LeaseEvidence, "proves_leases_expired", lambda self, *_: True)
 
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -9,7 +9,7 @@
 from emberglade.membership import NO_OWNER
 
 
-def suspicion_is_death(patch):
+def confirms_suspicions_at_once(patch):
     """Whoever is suspected counts as dead."""
 
     def confirm(self, peer, isolated, now):
@@ -19,7 +19,7 @@
     patch.setattr(PeerDetector, "_confirm", confirm)
 
 
-def ignores_what_others_hear(patch):
+def ignores_indirect_heartbeats(patch):
     """That another controller hears a peer counts for nothing."""
     patch.setattr(
         PeerDetector, "_note_indirect_heartbeat", lambda self, peer, version, sent_at, now: False
@@ -76,7 +76,7 @@
     patch.setattr(LocalHealth, "recent_pause_s", lambda self, now, overdue_s: 0.0)
 
 
-def no_return_wait(patch):
+def no_failback_delay(patch):
     """A controller takes its shards back whenever it can."""
     patch.setattr(Peer, "failback_delay_s", lambda self, now: 0.0)
     original = ShardPlanner._is_failback_due
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -15,7 +15,7 @@
     patch.setattr(ClusterCapacity, "zones_of", lambda self, job: JobZones({}, complete=True))
 
 
-def forgets_unheard_bindings(patch):
+def forgets_unschedulable_bindings(patch):
     """What is bound on a machine that is not heard does not count."""
     original = ClusterCapacity.set_machines
 
@@ -34,6 +34,6 @@
     patch.setattr(ClusterCapacity, "set_machines", set_machines)
 
 
-def preempts_what_does_not_fit(patch):
+def preempts_without_fit(patch):
     """Tasks are stopped for a job that no machine has capacity for, with their capacity or not."""
     patch.setattr(placement, "has_fit", lambda job, victims, placement_round: True)
--- a/tests/scenario_kinds/actors.py
+++ b/tests/scenario_kinds/actors.py
@@ -102,7 +102,7 @@
         handlers = [self.counter.on_add, self.part.on_add]
         self.send_from_threads(handlers, int(threads), int(messages))
 
-    def do_part_told(self) -> None:
+    def do_send_to_part(self) -> None:
         """The part is told in each of the ways that make a message run on the actor's thread."""
         send(self.part.on_note_thread)
         send_after(FIRST_TIMER_S, self.part.on_note_thread)
--- a/tests/scenario_kinds/words.py
+++ b/tests/scenario_kinds/arguments.py
@@ -6,7 +6,7 @@
 Value = None | bool | int | float | str
 
 
-def value(text: str) -> Value:
+def parse_value(text: str) -> Value:
     """A word of a scenario as the value that it stands for."""
     if text in LITERALS:
         return LITERALS[text]
@@ -18,13 +18,13 @@
     return text
 
 
-def split(words: Iterable[str]) -> tuple[list[str], dict[str, Value]]:
+def parse_arguments(words: Iterable[str]) -> tuple[list[str], dict[str, Value]]:
     """The plain words of a line, and the values of those like `name=value`."""
     plain, named = [], {}
     for word in words:
         name, separator, text = word.partition("=")
         if separator:
-            named[name] = value(text)
+            named[name] = parse_value(text)
         else:
             plain.append(word)
     return plain, named
--- a/tests/scenario_kinds/calls.py
+++ b/tests/scenario_kinds/calls.py
@@ -21,7 +21,7 @@
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
         self.pool: ClientPool | None = None
-        self.silent: list[socket.socket] = []
+        self.hung: list[socket.socket] = []
         self.answers: queue.SimpleQueue = queue.SimpleQueue()
         self.server = Server(
             (LOOPBACK, 0),
@@ -39,11 +39,11 @@
         """The pool that makes the calls has so many threads."""
         self.pool = ClientPool(int(threads), KEPT_CONNECTIONS, "calls")
 
-    def do_call_silent(self, count: str, timeout: str) -> None:
+    def do_call_hung(self, count: str, timeout: str) -> None:
         """Calls so many workers that take the connection and never answer."""
         for _ in range(int(count)):
-            self.silent.append(socket.create_server((LOOPBACK, 0)))
-            self.call(self.silent[-1].getsockname()[1], float(timeout))
+            self.hung.append(socket.create_server((LOOPBACK, 0)))
+            self.call(self.hung[-1].getsockname()[1], float(timeout))
 
     def do_call(self) -> None:
         """Calls a worker that answers."""
@@ -68,6 +68,6 @@
 
     def end(self) -> None:
         """Closes all sockets."""
-        for sock in self.silent:
+        for sock in self.hung:
             sock.close()
         self.server.shutdown()
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -17,15 +17,15 @@
 
 from emberglade.config import Operators
 
+from .arguments import parse_arguments
 from .cluster_faults import FaultVerbs
 from .cluster_users import UserVerbs
 from .expect_jobs import JobExpectations
 from .expect_machines import MachineExpectations
 from .expect_ownership import OwnershipExpectations
 from .expect_state_service import StateServiceExpectations
-from .played import Played
 from .scenario import ACTION_PREFIX, EXPECT, Scenario
-from .words import split
+from .scenario_run import ScenarioRun
 
 ANNOUNCED = "next_"
 AFTER_COMBINED_FAULTS_S = 130  # how long a scenario goes on once all faults are over
@@ -48,13 +48,13 @@
         self.watches_failovers = False
         self.plan: list[Callable[[], None]] = []  # in the order of the lines
         self.call_counts: dict[str, int] = {}
-        self._played: Played | None = None
+        self._run: ScenarioRun | None = None
 
     @property
-    def played(self) -> Played:
+    def run(self) -> ScenarioRun:
         """The deployment, once it is played."""
-        assert self._played is not None, "nothing is played yet"
-        return self._played
+        assert self._run is not None, "nothing is played yet"
+        return self._run
 
     def step(self, verb: str, words: list[str]) -> None:
         """Plays one line."""
@@ -74,7 +74,7 @@
 
     def do_deployment(self, *words: str) -> None:
         """Fields of a Deployment; those like `next_...` are announced for later."""
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         announced = {
             name[len(ANNOUNCED) :]: fields.pop(name)
             for name in list(fields)
@@ -86,13 +86,13 @@
 
     def do_team(self, name: str, *words: str) -> None:
         """A team with its guarantee and quota; with one, only those named exist."""
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         self.teams[name] = Team(**fields)
         self.deployment = replace(self.deployment, teams=self.teams)
 
     def do_operators(self, *words: str) -> None:
         """Fields of the operators' settings."""
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         self.operators = replace(self.operators, **fields)
 
     def do_previous_version(self, *controllers: str) -> None:
@@ -126,7 +126,7 @@
     def do_at(self, seconds: str, verb: str, *words: str) -> None:
         """Plans a verb of users or faults."""
         self.plan.append(
-            lambda: self.played.cluster.world.at(
+            lambda: self.run.cluster.world.at(
                 float(seconds), self.find(ACTION_PREFIX, verb), *words
             )
         )
@@ -137,7 +137,7 @@
         With `combined_faults=` it draws so many combinations of faults instead, and the scenario
         ends some time after the last of them.
         """
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         if "combined_faults" in fields:
             self.plan.append(lambda: self.draw_combined_faults(**fields))
         else:
@@ -147,7 +147,7 @@
         self, jobs: int, faults: int, mass_faults: int = 0, needs_share: float = 0.0
     ) -> None:
         """Draws jobs, and faults one at a time."""
-        cluster = self.played.cluster
+        cluster = self.run.cluster
         draw_work(cluster, jobs, self.until, needs_share)
         random_faults.draw_faults(cluster, faults, mass_faults, self.until)
 
@@ -156,7 +156,7 @@
     ) -> None:
         """Draws jobs, and combinations of faults."""
         over = random_faults.draw_combined_faults(
-            self.played.cluster, jobs, combined_faults, self.until, needs_share
+            self.run.cluster, jobs, combined_faults, self.until, needs_share
         )
         self.until = over + AFTER_COMBINED_FAULTS_S
 
@@ -168,19 +168,19 @@
 
     def play(self) -> None:
         """Plays all that is planned, once."""
-        if self._played is not None:
+        if self._run is not None:
             return
         cluster = self.make_cluster()
-        self._played = Played(cluster, Ownership(cluster), self.call_counts)
+        self._run = ScenarioRun(cluster, Ownership(cluster), self.call_counts)
         if self.watches_failovers:
-            self.played.ownership.watch()
+            self.run.ownership.watch()
         self.verbs += [
-            UserVerbs(self.played),
-            FaultVerbs(self.played),
-            JobExpectations(self.played),
-            MachineExpectations(self.played),
-            OwnershipExpectations(self.played),
-            StateServiceExpectations(self.played),
+            UserVerbs(self.run),
+            FaultVerbs(self.run),
+            JobExpectations(self.run),
+            MachineExpectations(self.run),
+            OwnershipExpectations(self.run),
+            StateServiceExpectations(self.run),
         ]
         for begin in self.plan:
             begin()
@@ -188,4 +188,4 @@
 
     def broken_rules(self) -> set[str]:
         """The rules that were broken."""
-        return self.played.cluster.observer.broken_rules()
+        return self.run.cluster.observer.broken_rules()
--- a/tests/scenario_kinds/cluster_faults.py
+++ b/tests/scenario_kinds/cluster_faults.py
@@ -3,7 +3,7 @@
 from stand_ins import state_wire
 from stand_ins.world import PartitionMode
 
-from .played import Played
+from .scenario_run import ScenarioRun
 
 ALL = "all"
 WORKERS, CONTROLLERS = "workers", "controllers"
@@ -14,12 +14,12 @@
 class FaultVerbs:
     """The verbs of faults. Modes of partitions are `delay` and `drop`."""
 
-    def __init__(self, played: Played) -> None:
-        self.played = played
-        self.cluster = played.cluster
-        self.world = played.cluster.world
-        self.state = played.cluster.state
-        self.cloud = played.cluster.cloud
+    def __init__(self, run: ScenarioRun) -> None:
+        self.run = run
+        self.cluster = run.cluster
+        self.world = run.cluster.world
+        self.state = run.cluster.state
+        self.cloud = run.cluster.cloud
 
     def hosts(self, word: str) -> list[str]:
         """The hosts that a word stands for: `workers`, `controllers`, or one host."""
@@ -27,7 +27,7 @@
             return list(self.cloud.machines)
         if word == CONTROLLERS:
             return self.cluster.names
-        return [self.played.controller(word)]
+        return [self.run.resolve(word)]
 
     def do_end_faults(self) -> None:
         """All faults are over from now on: what is left waiting then breaks a rule."""
@@ -51,11 +51,11 @@
 
     def do_power_off(self, word: str, seconds: str) -> None:
         """A controller's machine loses power: nothing refuses connections."""
-        self.cluster.crash(self.played.controller(word), float(seconds), power=False)
+        self.cluster.crash(self.run.resolve(word), float(seconds), power=False)
 
     def do_pause(self, word: str, seconds: str) -> None:
         """A controller stands still while its clocks go on."""
-        self.cluster.pause(self.played.controller(word), float(seconds))
+        self.cluster.pause(self.run.resolve(word), float(seconds))
 
     def do_starve_cpu(self, word: str, every: str, seconds: str) -> None:
         """A controller stands still again and again, for a minute."""
@@ -64,15 +64,15 @@
 
     def do_upgrade(self, word: str, seconds: str) -> None:
         """A controller ends and comes back with the new version."""
-        self.cluster.upgrade(self.played.controller(word), float(seconds))
+        self.cluster.upgrade(self.run.resolve(word), float(seconds))
 
     def do_downgrade(self, word: str, seconds: str) -> None:
         """A controller ends and comes back with the version before."""
-        self.cluster.downgrade(self.played.controller(word), float(seconds))
+        self.cluster.downgrade(self.run.resolve(word), float(seconds))
 
     def do_memory(self, word: str, state: str) -> None:
         """A controller's memory is `low`, or `normal` again."""
-        self.cluster.controllers[self.played.controller(word)].notify_memory_pressure(state == LOW)
+        self.cluster.controllers[self.run.resolve(word)].notify_memory_pressure(state == LOW)
 
     # --- the network
 
@@ -92,12 +92,12 @@
 
     def do_isolate(self, word: str, seconds: str, mode: str) -> None:
         """A controller is cut off from everything."""
-        controller = self.played.controller(word)
+        controller = self.run.resolve(word)
         self.cluster.isolate(controller, float(seconds), PartitionMode(mode))
 
     def do_isolate_from_control_plane(self, word: str, seconds: str, mode: str) -> None:
         """A controller is cut off from state service and peers, but not from its workers."""
-        controller = self.played.controller(word)
+        controller = self.run.resolve(word)
         self.cluster.isolate_from_control_plane(controller, float(seconds), PartitionMode(mode))
 
     def do_drop_one_way(self, source: str, target: str, seconds: str) -> None:
@@ -164,7 +164,7 @@
 
     def do_refuse(self, word: str, seconds: str) -> None:
         """The state service refuses one controller alone."""
-        self.state.refuse(self.played.controller(word), float(seconds))
+        self.state.refuse(self.run.resolve(word), float(seconds))
 
     def do_flap_state_service(self, word: str, period: str, count: str) -> None:
         """The state service refuses one controller for half of each period."""
@@ -174,7 +174,7 @@
 
     def do_expire_lease(self, word: str) -> None:
         """A controller's renewals are lost until its lease has ended; all else is served."""
-        self.state.expire_lease_of(state_wire.MEMBER_PREFIX + self.played.controller(word))
+        self.state.expire_lease_of(state_wire.MEMBER_PREFIX + self.run.resolve(word))
 
     def do_late_transactions(self, share: str, seconds: str) -> None:
         """That share of transactions gets no answer and is carried out 2 to 12 s later."""
--- a/tests/scenario_kinds/cluster_users.py
+++ b/tests/scenario_kinds/cluster_users.py
@@ -6,8 +6,8 @@
 from stand_ins import wire
 from stand_ins.submissions import Submission
 
-from .played import Played
-from .words import split
+from .arguments import parse_arguments
+from .scenario_run import ScenarioRun
 
 JOBS_PER_SECOND = 10
 SECONDS_BETWEEN_POLLS = 0.004
@@ -19,7 +19,7 @@
 
 def make_job(job_id: str, words: tuple[str, ...]) -> Submission:
     """A job with fields of a Submission; `run_s` is both the estimate and the truth."""
-    fields: dict[str, Any] = split(words)[1]
+    fields: dict[str, Any] = parse_arguments(words)[1]
     if "run_s" in fields:
         fields["estimated_run_s"] = fields.pop("run_s")
     if "needs" in fields:
@@ -49,11 +49,11 @@
 class UserVerbs:
     """The verbs of users and of machines that are added."""
 
-    def __init__(self, played: Played) -> None:
-        self.played = played
-        self.cluster = played.cluster
-        self.users = played.cluster.users
-        self.world = played.cluster.world
+    def __init__(self, run: ScenarioRun) -> None:
+        self.run = run
+        self.cluster = run.cluster
+        self.users = run.cluster.users
+        self.world = run.cluster.world
 
     def do_alias(self, word: str, who: str) -> None:
         """The word stands for who leads now (`leader`), or for the n-th one after (`leader+n`)."""
@@ -61,7 +61,7 @@
         _, _, steps = who.partition("+")
         leader = self.cluster.leader()
         assert leader is not None
-        self.played.aliases[word] = names[(names.index(leader) + int(steps or 0)) % len(names)]
+        self.run.aliases[word] = names[(names.index(leader) + int(steps or 0)) % len(names)]
 
     def do_add_machines(self, zone: str, count: str) -> None:
         """Machines are there that nobody has rented."""
@@ -70,7 +70,7 @@
 
     def do_send_heartbeats_to(self, word: str) -> None:
         """All agents send their heartbeats to this controller; commands of others reach them."""
-        controller, cluster = self.played.controller(word), self.cluster
+        controller, cluster = self.run.resolve(word), self.cluster
         for machine in cluster.cloud.machines.values():
             machine.controller = cluster.names.index(controller)
         self.world.block_connections(cluster.cloud.machines, cluster.others(controller), FOREVER_S)
@@ -106,7 +106,7 @@
 
     def do_cancel(self, job_id: str, word: str | None = None) -> None:
         """A user cancels a job, at any controller if none is named."""
-        controller = None if word is None else self.played.controller(word)
+        controller = None if word is None else self.run.resolve(word)
         self.users.cancel(job_id, controller=controller)
 
     def do_cancel_on_completion(self, share: str, seconds: str) -> None:
@@ -147,5 +147,5 @@
 
     def send(self, word: str, method: str, path: str, body: str) -> None:
         """Sends a request as it is."""
-        controller = self.played.controller(word)
-        self.cluster.send_raw(controller, method, path, body, self.played.answers)
+        controller = self.run.resolve(word)
+        self.cluster.send_raw(controller, method, path, body, self.run.answers)
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -21,8 +21,8 @@
 )
 from emberglade.failure_detection.wire import add_heartbeat, read_carried_heartbeat
 
+from .arguments import parse_arguments, parse_value
 from .scenario import Scenario
-from .words import split, value
 
 TURN_S = 0.25
 HEARTBEAT_GAP_S = 0.99
@@ -56,7 +56,7 @@
         self.names: list[str] = []
         self.detector: Any = None  # a PeerDetector, once there are peers
         self.view: Any = None
-        self.heard: set[str] = set()  # peers whose heartbeats come each second
+        self.sending: set[str] = set()  # peers whose heartbeats come each second
         self.last_heartbeat: dict[str, float] = {}
         self.sequences: dict[str, int] = {}
         self.processes: dict[str, Incarnation] = {}
@@ -79,11 +79,11 @@
 
     def do_seed(self, seed: str) -> None:
         """Only a scenario with seeds is played with them; nothing is random here."""
-        self.seed = value(seed)
+        self.seed = parse_value(seed)
 
     def do_peers(self, *words: str) -> None:
         """Names, or name=domain."""
-        plain, named = split(words)
+        plain, named = parse_arguments(words)
         domains = {name: name for name in plain} | {
             name: str(domain) for name, domain in named.items()
         }
@@ -101,11 +101,11 @@
 
     def do_heartbeats_from(self, *names: str) -> None:
         """From now on their heartbeats come each second."""
-        self.heard.update(names)
+        self.sending.update(names)
 
-    def do_silent(self, *names: str) -> None:
+    def do_no_heartbeats_from(self, *names: str) -> None:
         """From now on no heartbeats of theirs come."""
-        self.heard.difference_update(names)
+        self.sending.difference_update(names)
 
     def do_state_contact(self, word: str) -> None:
         """Whether this controller is in contact with the state service: `on` or `off`."""
@@ -127,11 +127,11 @@
         self.now += TURN_S
         if self.in_contact:
             self.detector.note_store_contact(self.now)
-        for name in sorted(self.heard):
+        for name in sorted(self.sending):
             gap_s = self.now - self.last_heartbeat.get(name, -1e9)
             if gap_s >= HEARTBEAT_GAP_S and not late_s:
                 self.last_heartbeat[name] = self.now
-                self.hear(self.heartbeat(name))
+                self.receive(self.heartbeat(name))
         result = self.detector.turn(self.now, late_s)
         self.view = result.view
         self.probes += result.probes
@@ -161,7 +161,7 @@
         mark = HeartbeatVersion(process or self.processes.get(name, UNKNOWN_PROCESS), sequence)
         return Heartbeat(name, mark, self.now - age_s, contact_age_s, False, opinions)
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def receive(self, heartbeat: Heartbeat) -> None:
         """A heartbeat arrives."""
         try:
             if not self.detector.receive_heartbeat(heartbeat, self.now, self.now):
@@ -169,13 +169,13 @@
         except MalformedPeerMessageError:
             self.malformed += 1
 
-    def do_hear(self, name: str, *words: str) -> None:
+    def do_receive_heartbeat(self, name: str, *words: str) -> None:
         """One heartbeat; `sequence=`, `age=`, `contact=`, its process by `revision=`, `lease=`."""
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         process = None
         if "revision" in fields:
             process = Incarnation(fields["revision"], fields["lease"])
-        self.hear(
+        self.receive(
             self.heartbeat(
                 name,
                 fields.get("sequence"),
@@ -190,17 +190,17 @@
         self.processes[name] = Incarnation(int(revision), int(lease))
         self.sequences[name] = 0
 
-    def do_heard_by(self, witness: str, name: str, age_s: str) -> None:
+    def do_reported_alive_by(self, witness: str, name: str, age_s: str) -> None:
         """The witness's next heartbeat says that it heard the peer so long ago."""
         sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         mark = HeartbeatVersion(self.processes[name], sequence)
         opinion = Opinion(name, PeerState.ALIVE, mark, float(age_s), 0.0, 0.0)
-        self.hear(self.heartbeat(witness, opinions=(opinion,)))
+        self.receive(self.heartbeat(witness, opinions=(opinion,)))
 
-    def do_told_to_wait(self, witness: str, seconds: str) -> None:
+    def do_asked_to_wait_by(self, witness: str, seconds: str) -> None:
         """The witness says that this controller should wait for its shards."""
         opinion = Opinion(ME, PeerState.ALIVE, None, 0.0, 0.0, float(seconds))
-        self.hear(self.heartbeat(witness, opinions=(opinion,)))
+        self.receive(self.heartbeat(witness, opinions=(opinion,)))
 
     def do_key(self, name: str, lease: str) -> None:
         """The key of a peer hangs on this lease now, or is `gone`."""
@@ -256,11 +256,11 @@
         """Nobody was asked to probe anybody."""
         assert not self.probes, self.probes
 
-    def expect_may_return(self, word: str) -> None:
+    def expect_may_fail_back(self, word: str) -> None:
         """Whether this controller may take its shards back: `yes` or `no`."""
         assert self.view.may_fail_back == (word == "yes"), self.view
 
-    def expect_return_wait(self, name: str, minimum: str, maximum: str) -> None:
+    def expect_failback_delay(self, name: str, minimum: str, maximum: str) -> None:
         """How long a peer should wait before it takes its shards back, in seconds."""
         wait_s = self.detector.peers[name].failback_delay_s(self.now)
         assert float(minimum) <= wait_s <= float(maximum), wait_s
--- a/tests/scenario_kinds/expect_jobs.py
+++ b/tests/scenario_kinds/expect_jobs.py
@@ -1,6 +1,6 @@
 """What a whole-cluster scenario expects of jobs and of what users are told."""
 
-from .played import Played
+from .scenario_run import ScenarioRun
 
 STARVED_SHARE = 0.5  # a group of which less has begun is starved
 MIN_RETRY_S = 1
@@ -9,9 +9,9 @@
 class JobExpectations:
     """The verbs after `expect` on rules, jobs and answers."""
 
-    def __init__(self, played: Played) -> None:
-        self.played = played
-        self.observer = played.observer
+    def __init__(self, run: ScenarioRun) -> None:
+        self.run = run
+        self.observer = run.observer
 
     # --- rules
 
@@ -72,14 +72,14 @@
 
     # --- cancellations
 
-    def expect_cancellations_told(self, minimum: str, before: str) -> None:
+    def expect_cancellations_confirmed(self, minimum: str, before: str) -> None:
         """So many cancellations were told before that moment: the faults met them."""
         moments = sorted(self.observer.cancelled_at.values())
         assert sum(moment < float(before) for moment in moments) >= int(minimum), moments
 
     def expect_cancelled_on_completion(self, minimum: str) -> None:
         """So many arrays were cancelled at the moment of their end."""
-        count = self.played.cluster.users.cancelled_on_completion
+        count = self.run.cluster.users.cancelled_on_completion
         assert count >= int(minimum), count
 
     def expect_stopped_within(self, prefix: str, seconds: str) -> None:
@@ -114,7 +114,7 @@
 
     def expect_answers(self, *statuses: str) -> None:
         """Raw requests were answered like this; refusals say why, and when to come back."""
-        answers = self.played.answers
+        answers = self.run.answers
         assert [str(status) for status, _, _ in answers] == list(statuses), answers
         for status, body, retry in answers:
             if status >= 400:
@@ -126,7 +126,7 @@
 
     def expect_answer_count(self, status: str, minimum: str, maximum: str) -> None:
         """So many raw requests were answered with this status; 503 says when to come back."""
-        answers = self.played.answers
+        answers = self.run.answers
         count = sum(found == int(status) for found, _, _ in answers)
         assert int(minimum) <= count <= int(maximum), count
         assert all(retry is not None for found, _, retry in answers if found == 503)
--- a/tests/scenario_kinds/expect_machines.py
+++ b/tests/scenario_kinds/expect_machines.py
@@ -2,15 +2,15 @@
 
 from stand_ins.submissions import job_of
 
-from .played import Played
+from .scenario_run import ScenarioRun
 
 
 class MachineExpectations:
     """The verbs after `expect` on machines, agents and running tasks."""
 
-    def __init__(self, played: Played) -> None:
-        self.observer = played.observer
-        self.cloud = played.cluster.cloud
+    def __init__(self, run: ScenarioRun) -> None:
+        self.observer = run.observer
+        self.cloud = run.cluster.cloud
 
     def expect_running_tasks(self, job_id: str, count: str, where: str | None = None) -> None:
         """So many tasks of the job are on machines, all in this zone or on this machine."""
--- a/tests/scenario_kinds/expect_state_service.py
+++ b/tests/scenario_kinds/expect_state_service.py
@@ -2,7 +2,7 @@
 
 from stand_ins.state_wire import FORMAT_KEY, LIVE_PREFIX
 
-from .played import Played
+from .scenario_run import ScenarioRun
 
 
 class StateServiceExpectations:
@@ -11,9 +11,9 @@
     A `kind` of keys is what stands after the prefix: `m` for those below `eg/l/m`.
     """
 
-    def __init__(self, played: Played) -> None:
-        self.state = played.state
-        self.previous = played.cluster.previous
+    def __init__(self, run: ScenarioRun) -> None:
+        self.state = run.state
+        self.previous = run.cluster.previous
 
     def expect_format_raised(self, word: str) -> None:
         """Whether the cluster's record format is raised by now: `true` or `false`."""
--- a/tests/scenario_kinds/loopback.py
+++ b/tests/scenario_kinds/loopback.py
@@ -17,22 +17,22 @@
 
     def stop(self) -> None:
         """Ends the processes."""
-        cluster = self.played.cluster
+        cluster = self.run.cluster
         assert isinstance(cluster, LoopbackCluster)
         cluster.stop()
 
     def play(self) -> None:
         """Plays all that is planned, and ends the processes."""
-        if self._played is not None:
+        if self._run is not None:
             return
         try:
             super().play()
         finally:
-            if self._played is not None:
+            if self._run is not None:
                 self.stop()
 
     def expect_failed_over(self, controller: str, since: str, seconds: str) -> None:
         """All that the controller held then was others' that many seconds later."""
-        took_s = self.played.failover_s(controller, float(since))
+        took_s = self.run.failover_s(controller, float(since))
         print(f"{controller}: failed over in {took_s} s")
         assert took_s <= float(seconds), took_s
--- a/tests/scenario_kinds/played.py
+++ b/tests/scenario_kinds/scenario_run.py
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class Played:
+class ScenarioRun:
     """One deployment.
 
     Attributes:
@@ -35,10 +35,10 @@
         """The state service."""
         return self.cluster.state
 
-    def controller(self, word: str) -> str:
+    def resolve(self, word: str) -> str:
         """A controller by its name or by an alias."""
         return self.aliases.get(word, word)
 
     def failover_s(self, word: str, since: float) -> float:
         """How long it took until all that the controller held then was others'."""
-        return self.ownership.failover_s(self.controller(word), since)
+        return self.ownership.failover_s(self.resolve(word), since)
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -14,8 +14,8 @@
 from emberglade.transport.messages import encode_response
 from emberglade.user_api.wire import is_user_path
 
+from .arguments import parse_arguments
 from .scenario import Scenario
-from .words import split
 
 LOOPBACK = "127.0.0.1"
 TIMEOUT_S = 10.0
@@ -39,7 +39,7 @@
 
     def do_limits(self, *words: str) -> None:
         """Fields of ServerLimits; the server begins with them."""
-        fields: dict[str, Any] = split(words)[1]
+        fields: dict[str, Any] = parse_arguments(words)[1]
         limits = ServerLimits(**{"answer_timeout_s": 30.0, "idle_timeout_s": 60.0, **fields})
         self.server = Server((LOOPBACK, 0), self.route, limits, is_user_path)
         self.threads_before = threading.active_count()
