--- a/tests/scenario_kinds/__init__.py
+++ b/tests/scenario_kinds/__init__.py
@@ -1,4 +1,4 @@
-"""The kinds of scenarios, each with its verbs."""
+"""The scenario kinds: classes whose methods are the verbs of scenario lines."""
 
 from .actors import ActorsScenario
 from .calls import CallsScenario
@@ -11,7 +11,7 @@
 from .sizing import SizingScenario
 from .startup import StartupScenario
 
-# By the word after `kind` in a scenario.
+# Maps the argument of a scenario's `kind` line to its class.
 KINDS = {
     "actors": ActorsScenario,
     "calls": CallsScenario,
--- a/tests/scenario_kinds/actors.py
+++ b/tests/scenario_kinds/actors.py
@@ -1,4 +1,4 @@
-"""Actors on real threads."""
+"""Scenarios of actors on real threads."""
 
 import queue
 import threading
@@ -22,35 +22,35 @@
 
 TIMEOUT_S = 10
 FIRST_TIMER_S, LAST_TIMER_S = 0.01, 0.02
-SEND_EVERY = 3  # of so many messages one is sent, the others are sent inline
+QUEUED_EVERY = 3  # every third message is queued by `send`, the others use `send_inline`
 
 
 class Counter(Actor):
-    """An actor that would count wrongly if two messages were handled at once."""
+    """An actor whose count is wrong if two messages are handled concurrently."""
 
     greetings = 0
 
     def on_begin(self) -> None:
-        """Begins to count."""
+        """Sets the count to zero."""
         self.value = 0
 
     def on_greet(self) -> None:
-        """Handles a greeting, which may come before anything else is known of the sender."""
+        """Counts a greeting, which a sender that begins earlier may send before `on_begin`."""
         self.greetings += 1
 
     def on_add(self) -> None:
-        """Counts one message."""
+        """Adds one to the count in two steps, between which other threads may run."""
         value = self.value
-        time.sleep(0)  # gives other threads the chance to come in between
+        time.sleep(0)  # lets other threads run
         self.value = value + 1
 
     def on_ask(self, field: str, reply: Callable[[int], None]) -> None:
-        """Tells the asker a field."""
+        """Replies with the value of a field."""
         reply(getattr(self, field))
 
 
 class CountingPart(ActorPart):
-    """A part whose handlers count what the actor counts, and note the threads they run on."""
+    """A part whose handlers add to the actor's count and record the threads they run on."""
 
     def __init__(self, counter: Counter) -> None:
         super().__init__(counter)
@@ -58,33 +58,33 @@
         self.threads: list[str] = []
 
     def on_add(self) -> None:
-        """Counts one message."""
+        """Adds one to the actor's count."""
         self.counter.on_add()
 
-    def on_note_thread(self) -> None:
-        """Notes the thread that it runs on."""
+    def on_record_thread(self) -> None:
+        """Records the thread that it runs on."""
         self.threads.append(threading.current_thread().name)
 
     def on_ask_threads(self, reply: Callable[[list[str]], None]) -> None:
-        """Tells the asker the threads that were noted."""
+        """Replies with the recorded threads."""
         reply(list(self.threads))
 
 
 class Greeter(Actor):
-    """Speaks to another actor as soon as it begins."""
+    """Sends a message to another actor as soon as it begins."""
 
     def __init__(self, other: Counter) -> None:
         self.other = other
 
     def on_begin(self) -> None:
-        """Greets the other actor."""
+        """Sends the greeting."""
         send(self.other.on_greet)
 
 
 class ActorsScenario(Scenario):
-    """Threads that tell and hand messages to one actor, which still handles one at a time.
+    """Sends messages to one actor from several threads; it has to handle them one at a time.
 
-    A greeter begins before it.
+    A greeter begins before the actor and sends it a message.
     """
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
@@ -94,33 +94,33 @@
         ThreadSystem().spawn([(Greeter(self.counter), "greeter"), (self.counter, "counter")])
 
     def do_senders(self, threads: str, messages: str) -> None:
-        """So many threads send so many messages each to the actor."""
+        """Sends `messages` messages to the actor from each of `threads` threads."""
         self.send_from_threads([self.counter.on_add], int(threads), int(messages))
 
     def do_part_senders(self, threads: str, messages: str) -> None:
-        """So many threads send so many messages each, to the actor and to a part of it in turns."""
+        """Sends messages from several threads alternately to the actor and to a part of it."""
         handlers = [self.counter.on_add, self.part.on_add]
         self.send_from_threads(handlers, int(threads), int(messages))
 
     def do_send_to_part(self) -> None:
-        """The part is told in each of the ways that make a message run on the actor's thread."""
-        send(self.part.on_note_thread)
-        send_after(FIRST_TIMER_S, self.part.on_note_thread)
-        callback(self.part.on_note_thread)()
+        """Sends to the part in each of the ways that run the handler on the actor's thread."""
+        send(self.part.on_record_thread)
+        send_after(FIRST_TIMER_S, self.part.on_record_thread)
+        callback(self.part.on_record_thread)()
 
     @staticmethod
     def send_from_threads(
         handlers: list[Callable[[], None]], thread_count: int, message_count: int
     ) -> None:
-        """Each of the threads sends so many messages, to each of the handlers in its turn.
+        """Sends messages from each of several threads to the handlers in rotation.
 
-        Some go into the actor's mailbox, some are handed over in place.
+        Some are queued in the actor's mailbox, the others are sent inline.
         """
 
         def send_all() -> None:
             for number in range(message_count):
                 handler = handlers[number % len(handlers)]
-                if number % SEND_EVERY == 0:
+                if number % QUEUED_EVERY == 0:
                     send(handler)
                 else:
                     send_inline(handler)
@@ -132,24 +132,24 @@
             sender.join()
 
     def expect_counted(self, count: str) -> None:
-        """So many messages were handled."""
+        """This many messages were counted."""
         assert self.ask("value") == int(count)
 
     def expect_greeted(self, count: str) -> None:
-        """So many greetings were handled."""
+        """This many greetings were handled."""
         assert self.ask("greetings") == int(count)
 
     def expect_part_threads(self, *names: str) -> None:
-        """The part's messages ran on these threads, in this order.
+        """The part's handlers ran on these threads, in this order.
 
-        A timer of the part fires before this one, which is told later and due later.
+        The question is sent after the part's timer and due later, so the timer fires first.
         """
         answer: queue.SimpleQueue = queue.SimpleQueue()
         send_after(LAST_TIMER_S, self.part.on_ask_threads, answer.put)
         assert answer.get(timeout=TIMEOUT_S) == list(names)
 
     def ask(self, field: str) -> int:
-        """A field of the counter, asked by a message."""
+        """Reads a field of the counter by a message."""
         answer: queue.SimpleQueue = queue.SimpleQueue()
         send(self.counter.on_ask, field, answer.put)
         return answer.get(timeout=TIMEOUT_S)
--- a/tests/scenario_kinds/arguments.py
+++ b/tests/scenario_kinds/arguments.py
@@ -1,4 +1,4 @@
-"""The words of a scenario's lines."""
+"""Parses the arguments of scenario lines."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def parse_value(text: str) -> Value:
-    """A word of a scenario as the value that it stands for."""
+    """Converts an argument to None, a boolean, an integer or a float; other text stays a string."""
     if text in LITERALS:
         return LITERALS[text]
     for number in (int, float):
@@ -18,13 +18,13 @@
     return text
 
 
-def parse_arguments(words: Iterable[str]) -> tuple[list[str], dict[str, Value]]:
-    """The plain words of a line, and the values of those like `name=value`."""
-    plain, named = [], {}
-    for word in words:
-        name, separator, text = word.partition("=")
+def parse_arguments(arguments: Iterable[str]) -> tuple[list[str], dict[str, Value]]:
+    """Splits arguments into positional ones and a dictionary of those written `name=value`."""
+    positional, named = [], {}
+    for argument in arguments:
+        name, separator, text = argument.partition("=")
         if separator:
             named[name] = parse_value(text)
         else:
-            plain.append(word)
-    return plain, named
+            positional.append(argument)
+    return positional, named
--- a/tests/scenario_kinds/calls.py
+++ b/tests/scenario_kinds/calls.py
@@ -1,4 +1,4 @@
-"""Calls of a pool of client threads, on loopback, to workers of which some hang."""
+"""Scenarios of the client pool: calls on loopback to workers, some of which hang."""
 
 import queue
 import socket
@@ -16,7 +16,7 @@
 
 
 class CallsScenario(Scenario):
-    """Calls to workers that answer and to workers that are silent."""
+    """Calls workers that answer and workers that never answer."""
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
@@ -36,11 +36,11 @@
         self.server.begin("worker")
 
     def do_pool(self, threads: str) -> None:
-        """The pool that makes the calls has so many threads."""
+        """Creates the client pool with this many threads."""
         self.pool = ClientPool(int(threads), KEPT_CONNECTIONS, "calls")
 
     def do_call_hung(self, count: str, timeout: str) -> None:
-        """Calls so many workers that take the connection and never answer."""
+        """Calls this many workers that accept the connection and never answer."""
         for _ in range(int(count)):
             self.hung.append(socket.create_server((LOOPBACK, 0)))
             self.call(self.hung[-1].getsockname()[1], float(timeout))
@@ -50,7 +50,7 @@
         self.call(self.server.server_port, TIMEOUT_S)
 
     def call(self, port: int, timeout: float) -> None:
-        """Calls whatever is at a port."""
+        """Sends a request to a port and keeps the status of its answer."""
         assert self.pool is not None
         self.pool.call(
             f"{LOOPBACK}:{port}",
@@ -62,12 +62,12 @@
         )
 
     def expect_answers(self, *expected: str) -> None:
-        """These statuses come, in any order; 0: no answer."""
+        """The calls end with these statuses, in any order; 0 means no answer."""
         statuses = [self.answers.get(timeout=TIMEOUT_S) for _ in expected]
         assert sorted(statuses) == sorted(map(int, expected)), statuses
 
     def end(self) -> None:
-        """Closes all sockets."""
+        """Closes the sockets of hung workers and stops the server."""
         for sock in self.hung:
             sock.close()
         self.server.shutdown()
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -1,4 +1,4 @@
-"""Whole deployments on simulated time."""
+"""Scenarios of a whole deployment on simulated time."""
 
 import importlib
 from collections.abc import Callable
@@ -27,14 +27,15 @@
 from .scenario import ACTION_PREFIX, EXPECT, Scenario
 from .scenario_run import ScenarioRun
 
-ANNOUNCED = "next_"
-AFTER_COMBINED_FAULTS_S = 130  # how long a scenario goes on once all faults are over
+ANNOUNCED_LIMIT_PREFIX = "next_"
+COMBINED_FAULTS_RECOVERY_S = 130  # simulated time between the last fault and the end
 
 
 class ClusterScenario(Scenario):
-    """What a deployment is like, what happens when, and what is expected in the end.
+    """Configures a deployment, schedules actions on it and checks the outcome.
 
-    `at T verb ...` happens at that simulated second; the first `expect` plays it all.
+    `at T verb ...` schedules an action for simulated second T; the first `expect` runs the
+    simulation to its end.
     """
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
@@ -46,70 +47,76 @@
         self.operators = Operators(failure_detection=True)
         self.previous: tuple[str, ...] = ()
         self.watches_failovers = False
-        self.plan: list[Callable[[], None]] = []  # in the order of the lines
+        self.plan: list[Callable[[], None]] = []  # in line order: it fixes the order of draws
         self.call_counts: dict[str, int] = {}
         self._run: ScenarioRun | None = None
 
     @property
     def run(self) -> ScenarioRun:
-        """The deployment, once it is played."""
-        assert self._run is not None, "nothing is played yet"
+        """The run, available once `play` has been called."""
+        assert self._run is not None, (
+            "the deployment is created by `play`, before which it can't be used"
+        )
         return self._run
 
-    def step(self, verb: str, words: list[str]) -> None:
-        """Plays one line."""
+    def step(self, verb: str, arguments: list[str]) -> None:
+        """Executes one line; the first expectation runs the simulation."""
         if verb == EXPECT:
             self.play()
-        super().step(verb, words)
+        super().step(verb, arguments)
 
-    # --- what the deployment is like
+    # --- configuration
 
     def do_seed(self, seed: str) -> None:
-        """The seed of all random draws."""
+        """Sets the seed of all random draws."""
         self.seed = int(seed)
 
     def do_until(self, seconds: str) -> None:
-        """When the scenario ends."""
+        """Sets the simulated second at which the scenario ends."""
         self.until = float(seconds)
 
-    def do_deployment(self, *words: str) -> None:
-        """Fields of a Deployment; those like `next_...` are announced for later."""
-        fields: dict[str, Any] = parse_arguments(words)[1]
+    def do_deployment(self, *arguments: str) -> None:
+        """Sets fields of the Deployment.
+
+        `next_<field>` sets a field of the state service limits that are announced from the start
+        and come into force with `lower_state_limits`.
+        """
+        fields: dict[str, Any] = parse_arguments(arguments)[1]
         announced = {
-            name[len(ANNOUNCED) :]: fields.pop(name)
+            name[len(ANNOUNCED_LIMIT_PREFIX) :]: fields.pop(name)
             for name in list(fields)
-            if name.startswith(ANNOUNCED)
+            if name.startswith(ANNOUNCED_LIMIT_PREFIX)
         }
         if announced:
             fields["next_limits"] = StateLimits(**announced)
         self.deployment = replace(self.deployment, **fields)
 
-    def do_team(self, name: str, *words: str) -> None:
-        """A team with its guarantee and quota; with one, only those named exist."""
-        fields: dict[str, Any] = parse_arguments(words)[1]
+    def do_team(self, name: str, *arguments: str) -> None:
+        """Adds a team with its guarantee and quota; the default teams are dropped."""
+        fields: dict[str, Any] = parse_arguments(arguments)[1]
         self.teams[name] = Team(**fields)
         self.deployment = replace(self.deployment, teams=self.teams)
 
-    def do_operators(self, *words: str) -> None:
-        """Fields of the operators' settings."""
-        fields: dict[str, Any] = parse_arguments(words)[1]
+    def do_operators(self, *arguments: str) -> None:
+        """Sets fields of the operators' settings."""
+        fields: dict[str, Any] = parse_arguments(arguments)[1]
         self.operators = replace(self.operators, **fields)
 
     def do_previous_version(self, *controllers: str) -> None:
-        """These controllers begin with the version before; `all` of them."""
+        """Starts these controllers, or `all`, with the previous version."""
         self.previous = controllers
 
     def do_watch(self, what: str) -> None:
-        """Also checks the rules on failovers."""
+        """Enables the checks of the failover rules."""
         assert what == "failovers", what
         self.watches_failovers = True
 
     def do_broken_build(self, name: str) -> None:
-        """Plays with a broken build."""
+        """Applies a broken build."""
         broken_builds.apply(name, self.patch)
 
     def do_count_calls(self, path: str) -> None:
-        """Counts the calls of a function named like `placement.preempt.may_stop`."""
+        """Counts calls of a function, e.g. `placement.preemption_rules.may_preempt`."""
         module_name, _, name = path.rpartition(".")
         module = importlib.import_module("emberglade." + module_name)
         original = getattr(module, name)
@@ -121,23 +128,23 @@
 
         self.patch.setattr(module, name, counted)
 
-    # --- what happens
+    # --- actions
 
-    def do_at(self, seconds: str, verb: str, *words: str) -> None:
-        """Plans a verb of users or faults."""
+    def do_at(self, seconds: str, verb: str, *arguments: str) -> None:
+        """Schedules a user action or a fault."""
         self.plan.append(
             lambda: self.run.cluster.world.at(
-                float(seconds), self.find(ACTION_PREFIX, verb), *words
+                float(seconds), self.find(ACTION_PREFIX, verb), *arguments
             )
         )
 
-    def do_random(self, *words: str) -> None:
+    def do_random(self, *arguments: str) -> None:
         """Draws jobs and faults: `jobs=`, `faults=`, `mass_faults=`, `needs_share=`.
 
-        With `combined_faults=` it draws so many combinations of faults instead, and the scenario
-        ends some time after the last of them.
+        With `combined_faults=` it draws that many combinations of faults instead, and the
+        scenario ends COMBINED_FAULTS_RECOVERY_S after the last of them.
         """
-        fields: dict[str, Any] = parse_arguments(words)[1]
+        fields: dict[str, Any] = parse_arguments(arguments)[1]
         if "combined_faults" in fields:
             self.plan.append(lambda: self.draw_combined_faults(**fields))
         else:
@@ -146,7 +153,7 @@
     def draw_faults(
         self, jobs: int, faults: int, mass_faults: int = 0, needs_share: float = 0.0
     ) -> None:
-        """Draws jobs, and faults one at a time."""
+        """Draws jobs, and faults that are injected independently."""
         cluster = self.run.cluster
         draw_work(cluster, jobs, self.until, needs_share)
         random_faults.draw_faults(cluster, faults, mass_faults, self.until)
@@ -154,20 +161,20 @@
     def draw_combined_faults(
         self, jobs: int, combined_faults: int, needs_share: float = 0.0
     ) -> None:
-        """Draws jobs, and combinations of faults."""
-        over = random_faults.draw_combined_faults(
+        """Draws jobs and combinations of faults, and sets the end of the scenario."""
+        faults_end = random_faults.draw_combined_faults(
             self.run.cluster, jobs, combined_faults, self.until, needs_share
         )
-        self.until = over + AFTER_COMBINED_FAULTS_S
+        self.until = faults_end + COMBINED_FAULTS_RECOVERY_S
 
-    # --- playing
+    # --- execution
 
     def make_cluster(self) -> Cluster:
-        """The deployment, whose controllers start at once."""
+        """Creates the deployment; its controllers start immediately."""
         return Cluster(self.seed, self.deployment, self.previous, self.operators)
 
     def play(self) -> None:
-        """Plays all that is planned, once."""
+        """Runs the simulation with all planned actions; further calls do nothing."""
         if self._run is not None:
             return
         cluster = self.make_cluster()
@@ -182,10 +189,10 @@
             OwnershipExpectations(self.run),
             StateServiceExpectations(self.run),
         ]
-        for begin in self.plan:
-            begin()
+        for schedule in self.plan:
+            schedule()
         cluster.world.run(self.until)
 
     def broken_rules(self) -> set[str]:
-        """The rules that were broken."""
+        """Returns the names of the rules that were broken."""
         return self.run.cluster.observer.broken_rules()
--- a/tests/scenario_kinds/cluster_users.py
+++ b/tests/scenario_kinds/cluster_users.py
@@ -1,4 +1,4 @@
-"""What users do in a whole-cluster scenario, and the machines that are added."""
+"""User actions and added machines in whole-cluster scenarios."""
 
 from typing import Any
 
@@ -10,16 +10,16 @@
 from .scenario_run import ScenarioRun
 
 JOBS_PER_SECOND = 10
-SECONDS_BETWEEN_POLLS = 0.004
-# What a raw request's body may begin with instead of standing for itself.
-BYTES_MARK = "bytes:"
-JOB_MARK = "job:"
-FOREVER_S = 1e9
+POLL_INTERVAL_S = 0.004
+# Prefixes of raw request bodies that are expanded by `raw_body`.
+BYTES_PREFIX = "bytes:"
+JOB_PREFIX = "job:"
+INDEFINITELY_S = 1e9
 
 
-def make_job(job_id: str, words: tuple[str, ...]) -> Submission:
-    """A job with fields of a Submission; `run_s` is both the estimate and the truth."""
-    fields: dict[str, Any] = parse_arguments(words)[1]
+def make_job(job_id: str, arguments: tuple[str, ...]) -> Submission:
+    """Builds a job from fields of Submission; `run_s` also sets the estimated run time."""
+    fields: dict[str, Any] = parse_arguments(arguments)[1]
     if "run_s" in fields:
         fields["estimated_run_s"] = fields.pop("run_s")
     if "needs" in fields:
@@ -28,16 +28,16 @@
 
 
 def raw_body(text: str) -> str:
-    """The body of a raw request.
+    """Expands the body of a raw request.
 
-    `bytes:N` stands for so many bytes, `job:{...}` for a whole submission but for these fields of
-    PROTOCOL; null takes away a field that can't be null.
+    `bytes:N` becomes N bytes. `job:{...}` becomes a complete submission with these fields of
+    PROTOCOL replaced; null removes a field that is not nullable. Other text is used as it is.
     """
-    if text.startswith(BYTES_MARK):
-        return "x" * int(text[len(BYTES_MARK) :])
-    if not text.startswith(JOB_MARK):
+    if text.startswith(BYTES_PREFIX):
+        return "x" * int(text[len(BYTES_PREFIX) :])
+    if not text.startswith(JOB_PREFIX):
         return text
-    fields = {**wire.write_submission(Submission()), **orjson.loads(text[len(JOB_MARK) :])}
+    fields = {**wire.write_submission(Submission()), **orjson.loads(text[len(JOB_PREFIX) :])}
     kept = {
         name: value
         for name, value in fields.items()
@@ -47,7 +47,10 @@
 
 
 class UserVerbs:
-    """The verbs of users and of machines that are added."""
+    """Verbs for user requests and for adding machines.
+
+    Controllers are given by name or alias.
+    """
 
     def __init__(self, run: ScenarioRun) -> None:
         self.run = run
@@ -55,97 +58,107 @@
         self.users = run.cluster.users
         self.world = run.cluster.world
 
-    def do_alias(self, word: str, who: str) -> None:
-        """The word stands for who leads now (`leader`), or for the n-th one after (`leader+n`)."""
+    def do_alias(self, alias: str, role: str) -> None:
+        """Defines an alias for the current leader (`leader`) or the n-th controller after it.
+
+        The latter is written `leader+n`.
+        """
         names = self.cluster.names
-        _, _, steps = who.partition("+")
+        _, _, steps = role.partition("+")
         leader = self.cluster.leader()
         assert leader is not None
-        self.run.aliases[word] = names[(names.index(leader) + int(steps or 0)) % len(names)]
+        self.run.aliases[alias] = names[(names.index(leader) + int(steps or 0)) % len(names)]
 
     def do_add_machines(self, zone: str, count: str) -> None:
-        """Machines are there that nobody has rented."""
+        """Adds machines that no controller has rented."""
         for _ in range(int(count)):
             self.cluster.cloud.add(zone, False, 0.0)
 
-    def do_send_heartbeats_to(self, word: str) -> None:
-        """All agents send their heartbeats to this controller; commands of others reach them."""
-        controller, cluster = self.run.resolve(word), self.cluster
+    def do_send_heartbeats_to(self, name: str) -> None:
+        """Makes all agents send heartbeats to this controller only.
+
+        Commands of the other controllers still reach them.
+        """
+        controller, cluster = self.run.resolve(name), self.cluster
         for machine in cluster.cloud.machines.values():
             machine.controller = cluster.names.index(controller)
-        self.world.block_connections(cluster.cloud.machines, cluster.others(controller), FOREVER_S)
+        self.world.block_connections(
+            cluster.cloud.machines, cluster.others(controller), INDEFINITELY_S
+        )
 
     # --- jobs
 
-    def do_submit(self, job_id: str, *words: str) -> None:
-        """A user submits a job."""
-        self.users.submit(make_job(job_id, words))
+    def do_submit(self, job_id: str, *arguments: str) -> None:
+        """Submits a job."""
+        self.users.submit(make_job(job_id, arguments))
 
-    def do_submit_many(self, prefix: str, count: str, *words: str) -> None:
-        """So many jobs of a kind, a tenth of a second apart."""
+    def do_submit_many(self, prefix: str, count: str, *arguments: str) -> None:
+        """Submits `count` jobs with the same fields, JOBS_PER_SECOND each second."""
         for number in range(int(count)):
-            self.world.at(number / JOBS_PER_SECOND, self.do_submit, f"job-{prefix}{number}", *words)
+            self.world.at(
+                number / JOBS_PER_SECOND, self.do_submit, f"job-{prefix}{number}", *arguments
+            )
 
-    def do_submit_chain(self, prefix: str, count: str, *words: str) -> None:
-        """So many jobs, each of which needs the one before."""
+    def do_submit_chain(self, prefix: str, count: str, *arguments: str) -> None:
+        """Submits `count` jobs, each of which depends on the previous one."""
         for number in range(int(count)):
-            job = make_job(f"job-{prefix}{number}", words)
+            job = make_job(f"job-{prefix}{number}", arguments)
             if number:
                 job.needs = [f"job-{prefix}{number - 1}"]
             self.users.submit(job)
 
-    def do_submit_fan_in(self, prefix: str, count: str, *words: str) -> None:
-        """So many jobs, and one that needs them all."""
-        self.do_submit_many(prefix, count, *words)
+    def do_submit_fan_in(self, prefix: str, count: str, *arguments: str) -> None:
+        """Submits `count` jobs and one that depends on all of them."""
+        self.do_submit_many(prefix, count, *arguments)
         needs = [f"job-{prefix}{number}" for number in range(int(count))]
         self.users.submit(Submission(id=f"job-{prefix}end", needs=needs))
 
     def do_submit_again(self, job_id: str) -> None:
-        """A user repeats a submission."""
+        """Repeats a submission."""
         self.users.submit_again(job_id)
 
-    def do_cancel(self, job_id: str, word: str | None = None) -> None:
-        """A user cancels a job, at any controller if none is named."""
-        controller = None if word is None else self.run.resolve(word)
+    def do_cancel(self, job_id: str, name: str | None = None) -> None:
+        """Cancels a job, at a random controller if none is named."""
+        controller = None if name is None else self.run.resolve(name)
         self.users.cancel(job_id, controller=controller)
 
     def do_cancel_on_completion(self, share: str, seconds: str) -> None:
-        """For a while users cancel this share of the arrays at the moment of their end."""
+        """For this time, cancels this share of the job arrays at the moment they finish."""
         self.users.cancel_on_completion(float(share), float(seconds))
 
     def do_poll(self, job_id: str) -> None:
-        """A user asks for a job again and again."""
+        """Polls a job's state repeatedly."""
         self.users.poll(job_id)
 
     def do_poll_often(self, job_id: str, count: str) -> None:
-        """A user asks any controllers, again and again within milliseconds."""
+        """Polls a job's state `count` times, every POLL_INTERVAL_S, at random controllers."""
         for number in range(int(count)):
-            self.world.at(number * SECONDS_BETWEEN_POLLS, self.users.poll_once, job_id)
+            self.world.at(number * POLL_INTERVAL_S, self.users.poll_once, job_id)
 
     def do_invalid_requests(self, seconds: str) -> None:
-        """For a while users send requests that must be refused."""
+        """For this time, sends requests that must be refused."""
         self.cluster.invalid_requests.begin(float(seconds))
 
     # --- raw requests
 
-    def do_request(self, word: str, method: str, path: str, *body: str) -> None:
-        """One request to a controller; its answer is kept."""
-        self.send(word, method, path, raw_body(" ".join(body)))
+    def do_request(self, name: str, method: str, path: str, *body: str) -> None:
+        """Sends one request to a controller and keeps its answer."""
+        self.send(name, method, path, raw_body(" ".join(body)))
 
-    def do_flood(self, word: str, count: str, job_id: str) -> None:
-        """So many questions about a job at once; the answers are kept."""
+    def do_flood(self, name: str, count: str, job_id: str) -> None:
+        """Requests a job's state `count` times at once and keeps the answers."""
         for _ in range(int(count)):
-            self.send(word, "GET", wire.submission_path(job_id), "")
+            self.send(name, "GET", wire.submission_path(job_id), "")
 
-    def do_ping(self, word: str, *body: str) -> None:
-        """A ping with that body reaches the controller, as if from a peer."""
-        self.send(word, "POST", "/peer/ping", " ".join(body))
+    def do_ping(self, name: str, *body: str) -> None:
+        """Sends a controller a ping with this body, as a peer would."""
+        self.send(name, "POST", "/peer/ping", " ".join(body))
 
-    def do_probe(self, word: str, *body: str) -> None:
-        """A probe with that body reaches the controller, as if from a peer."""
-        self.send(word, "POST", "/peer/probe", " ".join(body))
+    def do_probe(self, name: str, *body: str) -> None:
+        """Sends a controller a probe with this body, as a peer would."""
+        self.send(name, "POST", "/peer/probe", " ".join(body))
 
-    def send(self, word: str, method: str, path: str, body: str) -> None:
-        """Sends a request as it is."""
-        controller = self.run.resolve(word)
+    def send(self, name: str, method: str, path: str, body: str) -> None:
+        """Sends a request with an unvalidated body and keeps its answer."""
+        controller = self.run.resolve(name)
         self.cluster.send_raw(controller, method, path, body, self.run.answers)
--- a/tests/scenario_kinds/expect_machines.py
+++ b/tests/scenario_kinds/expect_machines.py
@@ -1,4 +1,4 @@
-"""What a whole-cluster scenario expects of machines and of what is on them."""
+"""Expectations of whole-cluster scenarios on machines and the tasks on them."""
 
 from stand_ins.submissions import job_of
 
@@ -6,19 +6,19 @@
 
 
 class MachineExpectations:
-    """The verbs after `expect` on machines, agents and running tasks."""
+    """Verbs after `expect` on machines, agents and running tasks."""
 
     def __init__(self, run: ScenarioRun) -> None:
         self.observer = run.observer
         self.cloud = run.cluster.cloud
 
     def expect_running_tasks(self, job_id: str, count: str, where: str | None = None) -> None:
-        """So many tasks of the job are on machines, all in this zone or on this machine."""
+        """This many tasks of the job are running, all of them in this zone or on this machine."""
         machines = [
             machine
-            for name, places in self.observer.on.items()
+            for name, machines_of_task in self.observer.on.items()
             if job_of(name) == job_id
-            for machine in places
+            for machine in machines_of_task
         ]
         assert len(machines) == int(count), machines
         if where is not None:
@@ -27,25 +27,25 @@
             ), machines
 
     def running_of_all(self, prefix: str) -> int:
-        """How many tasks of the jobs of that name are on machines."""
+        """Number of running tasks of all jobs with this prefix."""
         return sum(
-            len(places)
-            for name, places in self.observer.on.items()
+            len(machines_of_task)
+            for name, machines_of_task in self.observer.on.items()
             if name.startswith("job-" + prefix)
         )
 
     def expect_running_tasks_of_all(self, prefix: str, count: str) -> None:
-        """So many tasks of the jobs of that name are on machines."""
+        """This many tasks of all jobs with this prefix are running."""
         running = self.running_of_all(prefix)
         assert running == int(count), running
 
     def expect_running_tasks_at_least(self, prefix: str, count: str) -> None:
-        """At least so many tasks of the jobs of that name are on machines."""
+        """At least this many tasks of all jobs with this prefix are running."""
         running = self.running_of_all(prefix)
         assert running >= int(count), running
 
     def expect_agent_epochs_at_most(self, maximum: str) -> None:
-        """No agent's lease expired more often than this allows; 1: none did."""
+        """No agent's epoch is higher; epoch 1 means that no agent lease has expired."""
         epochs = {
             machine.name: machine.agent_epoch
             for machine in self.cloud.machines.values()
@@ -54,14 +54,14 @@
         assert max(epochs.values(), default=1) <= int(maximum), epochs
 
     def expect_listed(self, machine: str) -> None:
-        """The machine has not been given back."""
+        """The machine is still rented."""
         assert self.cloud.machines[machine].listed
 
     def expect_scaled_in(self, machine: str) -> None:
-        """The machine has been given back."""
+        """The machine has been returned to the cloud."""
         assert not self.cloud.machines[machine].listed
 
     def expect_listed_machines(self, minimum: str, maximum: str) -> None:
-        """So many machines are rented."""
+        """The number of rented machines is in this range."""
         count = sum(machine.listed for machine in self.cloud.machines.values())
         assert int(minimum) <= count <= int(maximum), count
--- a/tests/scenario_kinds/memory.py
+++ b/tests/scenario_kinds/memory.py
@@ -1,4 +1,4 @@
-"""The guard of a process's memory, with figures of the scenario's own."""
+"""Scenarios of the memory guard with simulated memory usage."""
 
 from pathlib import Path
 
@@ -13,16 +13,16 @@
 
 
 class MemoryScenario(Scenario):
-    """A memory guard that looks whenever the process holds something else."""
+    """Runs a check of the memory guard after each change of the resident size."""
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
         self.resident_mb = 0.0
-        self.notified: list[bool] = []  # whether memory was called short
+        self.notified: list[bool] = []  # True for low memory, False for normal
         self.guard: MemoryGuard | None = None
 
     def do_limit(self, megabytes: str) -> None:
-        """The process may hold so much."""
+        """Creates the memory guard with this limit."""
         self.guard = MemoryGuard(
             float(megabytes),
             self.notified.append,
@@ -31,11 +31,11 @@
         )
 
     def do_resident(self, megabytes: str) -> None:
-        """The process holds so much now."""
+        """Sets the resident size and runs one check."""
         assert self.guard is not None
         self.resident_mb = float(megabytes)
         self.guard.check()
 
     def expect_notified(self, *states: str) -> None:
-        """So far memory was called `low`, then `normal`, and so on."""
+        """The guard has reported these states so far, each `low` or `normal`."""
         assert self.notified == [state == LOW for state in states], self.notified
--- a/tests/scenario_kinds/scenario.py
+++ b/tests/scenario_kinds/scenario.py
@@ -1,4 +1,4 @@
-"""What all kinds of scenarios have in common: verbs, and how lines find them."""
+"""Base class of all scenario kinds: looks up the method for the verb of each line."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,13 +12,13 @@
 
 
 class Scenario:
-    """A scenario that is played line by line.
+    """A scenario that is executed line by line.
 
     Subclasses define the verb `x` as a method `do_x`, and `expect y` as a method `expect_y`; the
-    words after it are their arguments. Verbs may also be methods of the objects in `verbs`.
+    rest of the line is passed as string arguments.
 
     Attributes:
-        verbs: Where verbs are looked up, in this order.
+        verbs: Objects whose methods implement verbs, in lookup order.
     """
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
@@ -26,31 +26,35 @@
         self.directory = directory
         self.verbs: list[Any] = [self]
 
-    def step(self, verb: str, words: list[str]) -> None:
-        """Plays one line.
+    def step(self, verb: str, arguments: list[str]) -> None:
+        """Executes one line.
 
         Raises:
-            AssertionError: An expectation does not hold, or there is no such verb.
+            AssertionError: An expectation does not hold, or the verb is unknown.
         """
         if verb == EXPECT:
-            self.find(EXPECTATION_PREFIX, words[0])(*words[1:])
+            self.find(EXPECTATION_PREFIX, arguments[0])(*arguments[1:])
         else:
-            self.find(ACTION_PREFIX, verb)(*words)
+            self.find(ACTION_PREFIX, verb)(*arguments)
 
     def find(self, prefix: str, verb: str) -> Callable[..., None]:
-        """The method of a verb."""
-        for holder in self.verbs:
-            method = getattr(holder, prefix + verb, None)
+        """Returns the method that implements a verb.
+
+        Raises:
+            AssertionError: The verb is unknown.
+        """
+        for provider in self.verbs:
+            method = getattr(provider, prefix + verb, None)
             if method is not None:
                 return method
-        raise AssertionError(f"no verb {prefix}{verb}")
+        raise AssertionError(f"unknown verb: {type(self).__name__} has no method {prefix}{verb}")
 
     def play(self) -> None:
-        """Plays what the lines have planned; most kinds play each line at once."""
+        """Executes the planned actions; most kinds execute each line immediately instead."""
 
     def end(self) -> None:
-        """Ends what was started, and checks what was watched."""
+        """Releases resources and checks conditions that were watched throughout the scenario."""
 
     def broken_rules(self) -> set[str]:
-        """The rules that were broken, for scenarios with guards."""
+        """Returns the names of the rules that were broken, for scenarios with guards."""
         return set()
--- a/tests/scenario_kinds/scenario_run.py
+++ b/tests/scenario_kinds/scenario_run.py
@@ -1,4 +1,4 @@
-"""A deployment that is played, with what its scenario's lines share."""
+"""State that the verbs of one whole-cluster scenario share while it runs."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -11,12 +11,12 @@
 
 @dataclass
 class ScenarioRun:
-    """One deployment.
+    """One run of a simulated or loopback deployment.
 
     Attributes:
-        call_counts: How often the functions were called whose calls are counted.
-        answers: The answers to raw requests, as (status, body, seconds to wait).
-        aliases: Words that stand for controllers.
+        call_counts: Calls of each function that is counted with `count_calls`, by function name.
+        answers: Answers to raw requests, as (status, body, Retry-After in seconds).
+        aliases: Controller names by the alias that the scenario defined with `alias`.
     """
 
     cluster: Cluster
@@ -27,18 +27,18 @@
 
     @property
     def observer(self) -> Observer:
-        """What has been seen."""
+        """The observer, which records rule violations."""
         return self.cluster.observer
 
     @property
     def state(self) -> StateService:
-        """The state service."""
+        """The state service stand-in."""
         return self.cluster.state
 
-    def resolve(self, word: str) -> str:
-        """A controller by its name or by an alias."""
-        return self.aliases.get(word, word)
+    def resolve(self, name: str) -> str:
+        """Returns the controller name for an alias; other names are returned unchanged."""
+        return self.aliases.get(name, name)
 
-    def failover_s(self, word: str, since: float) -> float:
-        """How long it took until all that the controller held then was others'."""
-        return self.ownership.failover_s(self.resolve(word), since)
+    def failover_s(self, name: str, since: float) -> float:
+        """Seconds after `since` until other controllers own all roles that this one owned then."""
+        return self.ownership.failover_s(self.resolve(name), since)
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -1,4 +1,4 @@
-"""A real server on loopback, with clients that behave and clients that don't."""
+"""Scenarios of the HTTP server on loopback, with well-behaved and misbehaving clients."""
 
 import select
 import socket
@@ -19,34 +19,34 @@
 
 LOOPBACK = "127.0.0.1"
 TIMEOUT_S = 10.0
-POLL_S = 0.01
-LARGE_BYTES = 8 * 1024 * 1024  # more than sockets hold
+POLL_INTERVAL_S = 0.01
+LARGE_BYTES = 8 * 1024 * 1024  # more than socket buffers hold
 READ_BYTES = 65536
 READ_LARGE_BYTES = 1 << 20
 
 
 class ServerScenario(Scenario):
-    """A real server on loopback; every `request` opens a connection of its own and keeps it."""
+    """Runs a server; each `request` opens a connection of its own and leaves it open."""
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
-        self.server: Server  # begun by `limits`
+        self.server: Server  # started by `limits`
         self.threads_before = 0
-        self.open: list[Connection] = []  # kept connections on which nothing is asked
-        self.raw: dict[str, socket.socket] = {}  # of clients that behave oddly, by their names
-        self.pending: list[Callable[..., None]] = []  # replies that are not given yet
+        self.idle: list[Connection] = []  # open connections without a pending request
+        self.raw: dict[str, socket.socket] = {}  # connections of misbehaving clients, by name
+        self.pending: list[Callable[..., None]] = []  # reply callbacks of `/hold` requests
         self.pending_changed = threading.Condition()
 
-    def do_limits(self, *words: str) -> None:
-        """Fields of ServerLimits; the server begins with them."""
-        fields: dict[str, Any] = parse_arguments(words)[1]
+    def do_limits(self, *arguments: str) -> None:
+        """Starts the server with these fields of ServerLimits."""
+        fields: dict[str, Any] = parse_arguments(arguments)[1]
         limits = ServerLimits(**{"answer_timeout_s": 30.0, "idle_timeout_s": 60.0, **fields})
         self.server = Server((LOOPBACK, 0), self.route, limits, is_user_path)
         self.threads_before = threading.active_count()
         self.server.begin("test")
 
     def route(self, method: str, path: str, body: bytes, reply: Callable[..., None]) -> None:
-        """What the server is to do stands in the path."""
+        """Handles a request as the end of its path says: `/hold`, `/large`, `/fail` or echo."""
         if path.endswith("/hold"):
             with self.pending_changed:
                 self.pending.append(reply)
@@ -54,17 +54,17 @@
         elif path.endswith("/large"):
             reply(200, {"text": "x" * LARGE_BYTES})
         elif path.endswith("/fail"):
-            raise RuntimeError("this request is to fail")
+            raise RuntimeError("failure requested by the path /fail")
         else:
             reply(200, {"bytes": len(body)})
 
     def address(self) -> tuple[str, int]:
-        """Where the server is."""
+        """The server's host and port."""
         return LOOPBACK, self.server.server_port
 
     def end(self) -> None:
-        """Ends the server; none of its threads is left."""
-        for connection in self.open:
+        """Stops the server and checks that all its threads end."""
+        for connection in self.idle:
             connection.close()
         for sock in self.raw.values():
             sock.close()
@@ -72,27 +72,27 @@
         self.wait_until(lambda: threading.active_count() <= self.threads_before)
         self.server.server_close()
 
-    # --- clients that behave
+    # --- well-behaved clients
 
     def connect(self) -> Connection:
-        """A new connection."""
+        """Creates a client connection to the server."""
         return Connection(self.address())
 
     def do_request(self, path: str, status: str) -> None:
-        """One request on a connection of its own, which stays open if the server lets it."""
+        """Sends one request on a new connection, which stays open unless the server closes it."""
         connection = self.connect()
         found, _ = connection.request("POST", path, {}, TIMEOUT_S)
         assert found == int(status), found
         if connection.sock is not None:
-            self.open.append(connection)
+            self.idle.append(connection)
 
     def do_request_again(self, number: str, path: str, status: str) -> None:
-        """One more request on a kept connection."""
-        found, _ = self.open[int(number)].request("POST", path, {}, TIMEOUT_S)
+        """Sends another request on an idle connection."""
+        found, _ = self.idle[int(number)].request("POST", path, {}, TIMEOUT_S)
         assert found == int(status), found
 
     def do_burst(self, count: str, path: str) -> None:
-        """So many clients connect at once, each with one request; all are answered."""
+        """Sends one request from each of `count` concurrent clients; all have to be answered."""
         found: list[int] = []
 
         def ask() -> None:
@@ -105,51 +105,55 @@
             thread.join()
         assert found == [200] * int(count), found
 
-    # --- clients that don't
+    # --- misbehaving clients
 
     def do_hold(self, name: str, path: str = "/agent/hold") -> None:
-        """A request that waits for its answer."""
+        """Sends a request that stays unanswered until `answer`."""
         before = len(self.pending)
         self.do_send(name, f"POST {path} HTTP/1.1\\r\\nContent-Length: 0\\r\\n\\r\\n")
         with self.pending_changed:
             assert self.pending_changed.wait_for(lambda: len(self.pending) > before, TIMEOUT_S)
 
     def do_answer(self, number: str) -> None:
-        """Gives the answer that the n-th held request waits for, once more if it had it."""
+        """Answers the n-th held request; repeated calls answer it more than once."""
         self.pending[int(number)](200, {})
 
     def do_send(self, name: str, text: str) -> None:
-        """Raw bytes on the connection of this name."""
+        """Sends raw bytes on the connection of this name, which is opened if it does not exist."""
         if name not in self.raw:
             self.raw[name] = socket.create_connection(self.address(), TIMEOUT_S)
         self.raw[name].sendall(text.encode().decode("unicode_escape").encode())
 
     def do_disconnect(self, name: str) -> None:
-        """The client closes the connection of this name, and the server sees it."""
+        """Closes the connection of this name and waits until the server has noticed."""
         self.raw.pop(name).close()
-        self.wait_until(lambda: self.server.connection_count == len(self.raw) + len(self.open))
+        self.wait_until(lambda: self.server.connection_count == len(self.raw) + len(self.idle))
 
     @staticmethod
-    def wait_until(reached: Callable[[], bool]) -> None:
-        """Waits for something to come about."""
+    def wait_until(condition: Callable[[], bool]) -> None:
+        """Waits until a condition holds.
+
+        Raises:
+            AssertionError: It does not hold within TIMEOUT_S.
+        """
         end = time.monotonic() + TIMEOUT_S
-        while not reached():
-            assert time.monotonic() < end, "this did not come about"
-            time.sleep(POLL_S)
+        while not condition():
+            assert time.monotonic() < end, f"condition not met within {TIMEOUT_S} s"
+            time.sleep(POLL_INTERVAL_S)
 
     # --- expectations
 
     def expect_refused(self) -> None:
-        """A new connection is closed without an answer."""
+        """The server closes a new connection without an answer."""
         with pytest.raises(OSError):
             self.connect().request("POST", "/agent/beat", {}, TIMEOUT_S)
 
     def expect_evicted(self, number: str) -> None:
-        """The server has closed this kept connection, and none of those after it."""
-        place = int(number)
-        self.wait_until(lambda: self.is_closed(self.open[place]))
-        del self.open[place]
-        assert not any(self.is_closed(connection) for connection in self.open)
+        """The server closes this idle connection and no other one."""
+        index = int(number)
+        self.wait_until(lambda: self.is_closed(self.idle[index]))
+        del self.idle[index]
+        assert not any(self.is_closed(connection) for connection in self.idle)
 
     @staticmethod
     def is_closed(connection: Connection) -> bool:
@@ -160,7 +164,7 @@
         return bool(readable) and sock.recv(1, socket.MSG_PEEK) == b""
 
     def expect_received(self, name: str, text: str) -> None:
-        """What comes next on the connection of this name holds this text."""
+        """The next data on the connection of this name contains this text."""
         found = self.raw[name].recv(READ_BYTES).decode()
         assert text in found, found
 
@@ -169,7 +173,7 @@
         assert self.raw.pop(name).recv(READ_BYTES) == b""
 
     def expect_bytes(self, name: str, minimum: str) -> None:
-        """So many bytes of an answer come when they are read at last."""
+        """At least this many bytes of an answer can be read."""
         count = 0
         while count < int(minimum):
             data = self.raw[name].recv(READ_LARGE_BYTES)
@@ -177,14 +181,14 @@
             count += len(data)
 
     def expect_connections(self, count: str) -> None:
-        """So many connections are open."""
+        """The server reaches this number of open connections."""
         self.wait_until(lambda: self.server.connection_count == int(count))
 
     def expect_threads(self, count: str) -> None:
-        """So many threads serve, however many connections there are."""
+        """The server runs this many threads, independent of the number of connections."""
         assert threading.active_count() - self.threads_before == int(count)
 
-    def expect_response(self, status: str, *words: str) -> None:
-        """The encoded answer of this status holds these words."""
+    def expect_response(self, status: str, *texts: str) -> None:
+        """The encoded response with this status contains these texts."""
         encoded = encode_response(int(status), {}, 1, True).decode()
-        assert all(word in encoded for word in words), encoded
+        assert all(text in encoded for text in texts), encoded
--- a/tests/scenario_kinds/settings.py
+++ b/tests/scenario_kinds/settings.py
@@ -1,4 +1,4 @@
-"""Settings files, right and wrong."""
+"""Scenarios of valid and invalid settings files."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 PLATFORM_FILE = "settings.toml"
 OPERATORS_FILE = "operators.txtpb"
-GOOD = """node_name = "hearth-0"
+VALID_PLATFORM = """node_name = "hearth-0"
 location = "a"
 front = "10.0.0.1:8080"
 internal_addr = "10.0.0.1:8081"
@@ -54,71 +54,77 @@
 
 
 class SettingsScenario(Scenario):
-    """Replacements in a good file, and what is said of it then; after that it is good again."""
+    """Checks a platform file after replacements in a valid one.
+
+    Each expectation writes the file and then restores the valid text.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
-        self.text = GOOD
+        self.text = VALID_PLATFORM
 
     def do_replace(self, old: str, new: str) -> None:
-        r"""Replaces one text in the platform's file; `\n` stands for the end of a line."""
+        r"""Replaces text in the platform file; `\n` stands for a line break."""
         assert old in self.text
         self.text = self.text.replace(old, new.replace("\\n", "\n"))
 
-    # --- the platform's settings
+    # --- platform settings
 
     def expect_ok(self) -> None:
-        """The file is read."""
+        """The platform file is loaded."""
         assert load_platform(self.write_platform()).node == "hearth-0"
 
     def expect_error(self, text: str) -> None:
-        """The file is refused in one line that names it and holds this text."""
+        """The platform file is rejected with one line that names it and matches this text."""
         with pytest.raises(SettingsError, match=text) as caught:
             load_platform(self.write_platform())
         assert "\n" not in str(caught.value)
         assert PLATFORM_FILE in str(caught.value)
 
     def expect_warning(self, text: str) -> None:
-        """The file is read, with one warning that holds this text."""
+        """The platform file is loaded with one warning, which contains this text."""
         warnings = small_quota_warnings(load_platform(self.write_platform()))
         assert len(warnings) == 1, warnings
         assert text in warnings[0], warnings
 
     def expect_no_warning(self) -> None:
-        """The file is read without a warning."""
+        """The platform file is loaded without a warning."""
         assert not small_quota_warnings(load_platform(self.write_platform()))
 
     def write_platform(self) -> Path:
-        """The platform's file as it is now; the next one begins with a good one."""
+        """Writes the platform file and restores the valid text for the next one."""
         file = self.directory / PLATFORM_FILE
         file.write_text(self.text)
-        self.text = GOOD
+        self.text = VALID_PLATFORM
         return file
 
-    # --- the operators' settings, besides a good file of the platform
+    # --- operators' settings, with a valid platform file
 
     def expect_operators_ok(self, text: str) -> None:
-        """Operators' settings of this text are read and fit the platform's."""
+        """An operators' file with this text is loaded and consistent with the platform file."""
         self.check_detection(self.write_operators(text))
 
     def expect_operators_error(self, text: str, message: str) -> None:
-        """Operators' settings of this text are refused with this message."""
+        """An operators' file with this text is rejected with this message."""
         with pytest.raises(SettingsError, match=message):
             load_operators(self.write_operators(text))
 
     def expect_detection_error(self, text: str, message: str) -> None:
-        """Operators' settings of this text don't fit; one line names the file and says so."""
+        """An operators' file with this text is inconsistent with the platform file.
+
+        The error is one line that names the operators' file and matches `message`.
+        """
         with pytest.raises(SettingsError, match=message) as caught:
             self.check_detection(self.write_operators(text))
         assert "\n" not in str(caught.value)
         assert OPERATORS_FILE in str(caught.value)
 
     def write_operators(self, text: str) -> Path:
-        """The operators' file."""
+        """Writes the operators' file."""
         file = self.directory / OPERATORS_FILE
         file.write_text(text)
         return file
 
     def check_detection(self, file: Path) -> None:
-        """Checks the settings of failure detection."""
+        """Checks the failure detection settings of an operators' file."""
         check_detection(load_platform(self.write_platform()), load_operators(file), str(file))
--- a/tests/scenario_kinds/sizing.py
+++ b/tests/scenario_kinds/sizing.py
@@ -1,4 +1,4 @@
-"""The arithmetic of sizing; figures are worked out by hand in the scenario's comments."""
+"""Scenarios of the sizer's arithmetic; their comments derive the expected figures."""
 
 import random
 from functools import cached_property
@@ -14,7 +14,7 @@
 
 
 class SizingScenario(Scenario):
-    """Experts, recorded demand, and rounds that draw one of their targets."""
+    """Configures experts, records demand and runs rounds that draw one of their targets."""
 
     def __init__(self, patch: pytest.MonkeyPatch, directory: Path) -> None:
         super().__init__(patch, directory)
@@ -30,7 +30,7 @@
 
     @cached_property
     def sizer(self) -> Sizer:
-        """The sizer with the experts and options given so far."""
+        """The sizer, created on first use with the experts and options given so far."""
         return Sizer(
             tuple(self.experts),
             self.options["epsilon"],
@@ -42,35 +42,35 @@
         )
 
     def do_expert(self, window_s: str, percentile: str, factor: str) -> None:
-        """An expert: a percentile of the demand of a window, times a factor."""
+        """Adds an expert: a percentile of the demand in a window, times a factor."""
         self.experts.append(Expert(int(window_s), int(percentile), float(factor)))
 
     def do_set(self, option: str, value: str) -> None:
-        """Sets an option."""
+        """Sets an option of the sizer."""
         self.options[option] = float(value)
 
     def do_record(self, price: str, *demands: str) -> None:
-        """Records the demand of each second, at a price."""
+        """Records the demand of one second after the other, all at one price."""
         for demand in demands:
             self.sizer.record(float(demand), float(price))
 
     def do_round(self) -> None:
-        """Plays a round."""
+        """Runs a cost round."""
         self.draw = self.sizer.run_cost_round(self.options["boot"])
 
     def expect_targets(self, *targets: str) -> None:
-        """The experts' newest targets."""
+        """The latest targets of the experts are these."""
         assert self.sizer.target_history[-1] == [int(target) for target in targets]
 
     def expect_costs(self, *costs: str) -> None:
-        """What each expert's targets would have cost."""
+        """The costs that each expert's targets would have caused are these."""
         expected = [float(cost) for cost in costs]
         assert self.sizer.costs(self.options["boot"]) == pytest.approx(expected)
 
     def expect_weights(self, *weights: str) -> None:
-        """The experts' weights."""
+        """The weights of the experts are these."""
         assert self.sizer.weights == pytest.approx([float(weight) for weight in weights])
 
     def expect_drawn(self, *targets: str) -> None:
-        """The round drew one of these targets."""
+        """The last round drew one of these targets."""
         assert self.draw.target in [int(target) for target in targets]
