--- a/tests/benchmarks/server_cost.py
+++ b/tests/benchmarks/server_cost.py
@@ -1,9 +1,9 @@
-"""What the server costs: processor time a request, and time, memory and threads a connection.
+"""Measures the HTTP server's processor time per request and its cost per connection.
 
     python tests/benchmarks/server_cost.py [CONNECTIONS [ROUNDS]]
 
-The server runs in a process of its own on loopback with a route that answers at once, so what is
-measured is the transport alone. Times move with the machine: compare interleaved runs only.
+The server runs in a process of its own on loopback with a handler that answers immediately, so only
+the transport is measured. Times vary with the machine's load: compare interleaved runs only.
 """
 
 import os
@@ -27,12 +27,12 @@
 REQUEST = b"POST /agent/beat HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 ANSWER_BYTES = 4096
 CONNECT_TIMEOUT_S = 10.0
-SERVE = "serve"  # the argument of the server's process
+SERVE = "serve"  # command line argument of the server process
 DEFAULT_CONNECTIONS, DEFAULT_ROUNDS = 400, 15
 
 
 class Usage(NamedTuple):
-    """What the server's process has used and holds."""
+    """Resources that the server process has consumed and holds."""
 
     processor_s: float
     memory_bytes: int
@@ -40,7 +40,7 @@
 
 
 def serve() -> None:
-    """The server's process: prints its port, then a Usage for each line of input."""
+    """Runs the server process: prints its port, then a Usage for each line of input."""
     server = Server(
         ("127.0.0.1", 0),
         lambda method, path, body, reply: reply(200, {}),
@@ -57,8 +57,8 @@
         print(time.process_time(), resident_bytes(), threading.active_count(), flush=True)
 
 
-def ask_usage(process: subprocess.Popen[str]) -> Usage:
-    """The Usage of the server's process now."""
+def read_usage(process: subprocess.Popen[str]) -> Usage:
+    """Requests the current Usage of the server process."""
     assert process.stdin is not None
     assert process.stdout is not None
     process.stdin.write("\n")
@@ -68,13 +68,13 @@
 
 
 def request(connection: socket.socket) -> None:
-    """One request and its answer."""
+    """Sends one request and receives its answer."""
     connection.sendall(REQUEST)
     connection.recv(ANSWER_BYTES)
 
 
 def measure(count: int, rounds: int) -> None:
-    """Prints what so many connections and requests cost."""
+    """Opens `count` connections, sends `rounds` requests on each, and prints the costs."""
     with subprocess.Popen(
         [sys.executable, os.path.abspath(__file__), SERVE],
         stdin=subprocess.PIPE,
@@ -84,17 +84,17 @@
         assert process.stdin is not None
         assert process.stdout is not None
         port = int(process.stdout.readline())
-        before = ask_usage(process)
+        before = read_usage(process)
         connections = []
         for _ in range(count):
             connection = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
             connections.append(connection)
             request(connection)
-        opened = ask_usage(process)
+        opened = read_usage(process)
         for _ in range(rounds):
             for connection in connections:
                 request(connection)
-        after = ask_usage(process)
+        after = read_usage(process)
         for connection in connections:
             connection.close()
         process.stdin.close()
--- a/tests/benchmarks/start_cost.py
+++ b/tests/benchmarks/start_cost.py
@@ -1,9 +1,8 @@
-"""Processor time of a controller's start, with and without precompiled byte code.
+"""Measures the processor time of a controller's start with and without precompiled bytecode.
 
-Not a test and not run in CI. The tree has to be a scratch copy that is built (`build` in
-deploy/service.toml): its byte code is moved away and back. A start counts up to the log line that
-says it serves, user and system time; before each start that counts, one alike warms the disk's
-cache.
+Not run in CI. The tree has to be a scratch copy that was built (`build` in deploy/service.toml),
+since its bytecode is moved away and back. The time of a start is user and system time until the
+log line that reports that it serves; an identical start before it warms the disk cache.
 
     python tests/benchmarks/start_cost.py /path/to/built/copy --runs 15
 """
@@ -17,13 +16,13 @@
 from pathlib import Path
 
 ARGUMENTS = ["-S", "run.py", "--enable", "failure-detection", "--config", "examples/settings.toml"]
-SERVES = b"serves users"
-NO_WRITING = {"PYTHONDONTWRITEBYTECODE": "1"}
+SERVING_LOG_TEXT = b"serves users"
+NO_BYTECODE_WRITES = {"PYTHONDONTWRITEBYTECODE": "1"}
 
 
 def start(tree, environment):
-    """The processor time of one start, in milliseconds."""
-    inherited = {key: value for key, value in os.environ.items() if key not in NO_WRITING}
+    """Starts a controller and returns its processor time in milliseconds."""
+    inherited = {key: value for key, value in os.environ.items() if key not in NO_BYTECODE_WRITES}
     process = subprocess.Popen(
         [sys.executable, *ARGUMENTS],
         cwd=tree,
@@ -32,21 +31,21 @@
     )
     assert process.stderr is not None
     with process.stderr as log:
-        if not any(SERVES in line for line in log):
-            raise SystemExit(f"the controller in {tree} does not serve")
+        if not any(SERVING_LOG_TEXT in line for line in log):
+            raise SystemExit(f"the controller in {tree} ended without logging {SERVING_LOG_TEXT!r}")
         process.kill()
         _, _, used = os.wait4(process.pid, 0)
     return 1000 * (used.ru_utime + used.ru_stime)
 
 
 def second_start(tree, environment):
-    """The processor time of the second of two starts, in milliseconds."""
+    """Starts a controller twice and returns the second processor time in milliseconds."""
     start(tree, environment)
     return start(tree, environment)
 
 
-def forget_byte_code(tree):
-    """Removes the byte code that Python wrote beside the source."""
+def remove_bytecode(tree):
+    """Removes the bytecode that Python wrote next to the source."""
     for folder in list((tree / "emberglade").rglob("__pycache__")):
         shutil.rmtree(folder)
 
@@ -59,24 +58,24 @@
     options = parser.parse_args()
     tree = options.tree.resolve()
     precompiled = tree / "target" / "bytecode"
-    away = tree / "target" / "bytecode.away"
-    with_it, nothing_writable, second = [], [], []
+    moved = tree / "target" / "bytecode.away"
+    with_bytecode_ms, not_writable_ms, second_start_ms = [], [], []
     for _ in range(options.runs):
-        forget_byte_code(tree)
-        with_it.append(second_start(tree, NO_WRITING))
-        precompiled.rename(away)
-        nothing_writable.append(second_start(tree, NO_WRITING))
-        second.append(second_start(tree, {}))
-        away.rename(precompiled)
-    forget_byte_code(tree)
-    for name, times in (
-        ("with target/bytecode", with_it),
-        ("without, nothing can be written", nothing_writable),
-        ("without, a second start", second),
+        remove_bytecode(tree)
+        with_bytecode_ms.append(second_start(tree, NO_BYTECODE_WRITES))
+        precompiled.rename(moved)
+        not_writable_ms.append(second_start(tree, NO_BYTECODE_WRITES))
+        second_start_ms.append(second_start(tree, {}))
+        moved.rename(precompiled)
+    remove_bytecode(tree)
+    for name, times_ms in (
+        ("with target/bytecode", with_bytecode_ms),
+        ("without, nothing can be written", not_writable_ms),
+        ("without, a second start", second_start_ms),
     ):
         print(
-            f"{name}: median {statistics.median(times):.0f} ms, "
-            f"{min(times):.0f} to {max(times):.0f}, {len(times)} starts"
+            f"{name}: median {statistics.median(times_ms):.0f} ms, "
+            f"{min(times_ms):.0f} to {max(times_ms):.0f}, {len(times_ms)} starts"
         )
 
 
--- a/tests/benchmarks/wire_trace.py
+++ b/tests/benchmarks/wire_trace.py
@@ -1,15 +1,15 @@
-"""Compares two versions of the source by all that they send in the simulated scenarios.
+"""Digests all messages of the simulated scenarios, to compare two versions of the source.
 
-Not a test and not run in CI: a tool for changes that must not change behaviour. It plays every
-whole-cluster scenario of a source tree, on each of its seeds, and prints a digest of every request
-and answer that crossed the simulated network: time, sender, receiver, method, path and body. A
-change of names or shape leaves all digests as they were (names of scenarios may differ):
+Not run in CI: a tool for refactoring that must not change behaviour. It runs every whole-cluster
+scenario of a source tree with each of its seeds and prints one digest per run. The digest covers
+time, sender, receiver, method, path and body of every request, and the answers, on the simulated
+network. Refactoring leaves all digests unchanged (names of scenarios may differ):
 
     python tests/benchmarks/wire_trace.py /path/to/tree/before > before.txt
     python tests/benchmarks/wire_trace.py . > after.txt
     diff before.txt after.txt
 
-`--dump SCENARIO-SEED` prints the messages themselves instead, to find the first that differs.
+`--dump SCENARIO-SEED` prints the messages themselves instead, to find the first one that differs.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 CASE_TIMEOUT_S = 600
 DIGEST_DIGITS = 20
-SHOWN_ERROR_CHARACTERS = 300
+MAX_ERROR_CHARACTERS = 300
 ONE_CASE = "--one-case"
 
 
@@ -43,7 +43,7 @@
 
 
 def traced(send: Callable[..., None], record: Callable[[bytes], None]) -> Callable[..., None]:
-    """`World.request`, which is `send`, with every request and answer recorded in order."""
+    """Wraps `World.request`, given as `send`, to record every request and answer in order."""
     import orjson
 
     def request(
@@ -56,8 +56,8 @@
         timeout: float,
         reply: Callable[..., None],
     ) -> None:
-        def record_message(kind: str, *words: Any) -> None:
-            record(repr((kind, round(world.now, 9), source, target, *words)).encode())
+        def record_message(kind: str, *fields: Any) -> None:
+            record(repr((kind, round(world.now, 9), source, target, *fields)).encode())
 
         def record_and_reply(status: int, data: Any) -> None:
             record_message("answer", method, path, status, orjson.dumps(data))
@@ -70,10 +70,10 @@
 
 
 def play_case(tree: Path, file: Path, seed: str | None, record: Callable[[bytes], None]) -> None:
-    """Plays one scenario of a tree; `record` gets every request and answer in order.
+    """Runs one scenario of a tree; `record` receives every request and answer in order.
 
-    It reads the file itself, and uses only what the trees of all versions have: the kinds of
-    scenarios with their `step` and `play`, and `World.request`.
+    It parses the file itself and uses only what the trees of all versions provide: `KINDS` with
+    the methods `step` and `play`, and `World.request`.
     """
     sys.path[:0] = [str(tree / "tests"), str(tree)]
     import pytest
@@ -82,26 +82,26 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(World, "request", traced(World.request, record))
-        scenario = KINDS["cluster"](patch, Path.cwd())  # which writes no files
+        scenario = KINDS["cluster"](patch, Path.cwd())  # this kind writes no files
         for line in file.read_text().splitlines():
-            words = shlex.split(line, comments=True)
-            if not words or words[0] in ("kind", "guard", "expect"):
+            step = shlex.split(line, comments=True)
+            if not step or step[0] in ("kind", "guard", "expect"):
                 continue
-            if words[0] == "seeds":
+            if step[0] == "seeds":
                 assert seed is not None
                 scenario.step("seed", [seed])
             else:
-                scenario.step(words[0], words[1:])
+                scenario.step(step[0], step[1:])
         scenario.play()
 
 
 def run_case(tree: Path, name: str, seed: str | None, arguments: Sequence[str] = ()) -> str:
-    """Plays one case in a process of its own, with set order fixed; returns what it prints."""
+    """Runs one case in a process of its own with a fixed hash seed; returns its output."""
     command = [sys.executable, __file__, str(tree), ONE_CASE, name, *arguments]
     if seed is not None:
         command += ["--seed", seed]
     environment = {**os.environ, "PYTHONHASHSEED": "0"}
-    done = subprocess.run(
+    completed = subprocess.run(
         command,
         env=environment,
         capture_output=True,
@@ -109,13 +109,13 @@
         timeout=CASE_TIMEOUT_S,
         check=False,
     )
-    if done.returncode != 0:
-        return f"failed: {done.stderr[-SHOWN_ERROR_CHARACTERS:]!r}"
-    return done.stdout.strip()
+    if completed.returncode != 0:
+        return f"failed: {completed.stderr[-MAX_ERROR_CHARACTERS:]!r}"
+    return completed.stdout.strip()
 
 
 def print_case(tree: Path, scenarios: Path, options: argparse.Namespace) -> None:
-    """Prints the digest of one case, or its messages."""
+    """Prints the digest of one case, and with `--dump` its messages."""
     digest = hashlib.sha256()
     count = 0
 
@@ -134,10 +134,12 @@
     """Runs the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("tree", type=Path, help="the root of a checkout")
-    parser.add_argument("--scenarios", type=Path, help="scenarios to play; else the tree's own")
+    parser.add_argument(
+        "--scenarios", type=Path, help="scenario folder (default: that of the tree)"
+    )
     parser.add_argument("--processes", type=int, default=4)
-    parser.add_argument("--only", default="", help="only scenarios whose name holds this")
-    parser.add_argument(ONE_CASE, help="one scenario by its name, in this process")
+    parser.add_argument("--only", default="", help="only scenarios whose path contains this text")
+    parser.add_argument(ONE_CASE, help="run the scenario of this name in this process")
     parser.add_argument("--seed")
     parser.add_argument("--dump", action="store_true", help="with --one-case: print all messages")
     options = parser.parse_args()
--- a/tests/broken_builds/__init__.py
+++ b/tests/broken_builds/__init__.py
@@ -1,7 +1,7 @@
-"""Deliberately broken builds: each has to be caught by the check that a scenario's guard names.
+"""Deliberately broken builds, which verify that the scenarios detect the loss of a guard.
 
-Every function patches the service through pytest's monkeypatch, by the name that a scenario's line
-`guard NAME RULE` or `broken_build NAME` gives.
+Each function removes one guard from the service with pytest's monkeypatch. Scenario lines
+`guard NAME RULE` and `broken_build NAME` refer to it by name.
 """
 
 import pytest
@@ -12,14 +12,14 @@
 
 
 def apply(name: str, patch: pytest.MonkeyPatch) -> None:
-    """Breaks the build in the way that `name` says, until `patch` is undone.
+    """Applies the broken build `name` until `patch` is undone.
 
     Raises:
-        AssertionError: There is no such build.
+        AssertionError: No broken build has this name.
     """
     for module in MODULES:
         build = getattr(module, name, None)
         if build is not None:
             build(patch)
             return
-    raise AssertionError(f"no broken build is called {name}")
+    raise AssertionError(f"unknown broken build: {name}")
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -1,4 +1,4 @@
-"""Broken builds of what agents are told and what their silence proves."""
+"""Broken builds of answers to agents and of evidence that leases have expired."""
 
 from emberglade.agents.bindings import CommittedBindings
 from emberglade.agents.direct_halts import DirectHalts
@@ -11,12 +11,12 @@
 
 
 def ignores_cancellations(patch):
-    """No agent manager sees a cancellation."""
+    """Agent managers ignore cancellations."""
     patch.setattr(CommittedBindings, "note_cancelled", lambda self, job_id, job, revision: None)
 
 
 def accepts_duplicate_heartbeats(patch):
-    """A machine whose copies still come is never proven lost."""
+    """Delayed duplicates of a machine's heartbeats count as evidence that it is alive."""
     original = HeartbeatHandler.handle
 
     def handle(self, data, reply):
@@ -29,17 +29,17 @@
 
 
 def trusts_unreachable_machines(patch):
-    """A machine that does not hear us counts as a good one."""
+    """A machine that receives no messages from controllers is not marked as unreachable."""
     patch.setattr(Reachability, "track", lambda self, record, heartbeat, last_seen, now: None)
 
 
 def stops_wait_for_heartbeats(patch):
-    """A cancelled task is halted only by the answer to its machine's heartbeat."""
+    """Cancelled tasks are halted only in answers to heartbeats, not by direct commands."""
     patch.setattr(DirectHalts, "halt_job", lambda self, job_id: None)
 
 
 def trusts_empty_replicas(patch):
-    """A peer that has no replica, just restarted, counts as one that told nobody anything."""
+    """A peer that was just restarted and has no replica counts as no newer than this controller."""
 
     def compare_replicas(self, revision):
         for peer, view in self.direct_views.items():
@@ -51,12 +51,12 @@
 
 
 def always_answers_agents(patch):
-    """A controller answers agents however long it has heard of nothing new."""
+    """A controller answers agents however old its replica may be."""
     patch.setattr(Routing, "may_answer", lambda self, now: self.committed.revision >= 0)
 
 
 def starts_without_sync(patch):
-    """Answers start whatever the replica shows, however old it is."""
+    """Answers to agents start the tasks in the replica without a read barrier."""
     original = Reconciler.reconcile
     patch.setattr(
         Reconciler, "reconcile", lambda self, record, synced: original(self, record, True)
@@ -64,10 +64,10 @@
 
 
 def assumes_leases_expired(patch):
-    """A machine that the leader has not heard of is taken for one whose lease is over."""
+    """The leases of all machines count as expired, without evidence."""
     patch.setattr(LeaseEvidence, "proves_leases_expired", lambda self, *_: True)
 
 
 def forgets_cancellations_of_dead_peers(patch):
-    """Nobody repeats the halts of a controller that has ended before their time."""
+    """Pending halts of a dead controller are not taken over by the others."""
     patch.setattr(AgentManager, "on_peer_dead", lambda self, name: None)
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -1,4 +1,4 @@
-"""Broken builds of which controllers are alive and who fails over."""
+"""Broken builds of failure detection between controllers and of failover."""
 
 from emberglade.actors import send
 from emberglade.failure_detection import FailureDomains, PeerMonitor, ShardPlanner
@@ -10,7 +10,7 @@
 
 
 def confirms_suspicions_at_once(patch):
-    """Whoever is suspected counts as dead."""
+    """A suspected peer is declared dead immediately."""
 
     def confirm(self, peer, isolated, now):
         self._set_state(peer, PeerState.DEAD, "suspected")
@@ -20,14 +20,14 @@
 
 
 def ignores_indirect_heartbeats(patch):
-    """That another controller hears a peer counts for nothing."""
+    """Heartbeats that a peer sent to other controllers are no evidence that it is alive."""
     patch.setattr(
         PeerDetector, "_note_indirect_heartbeat", lambda self, peer, version, sent_at, now: False
     )
 
 
 def accepts_duplicate_peer_heartbeats(patch):
-    """Any heartbeat is a sign of life, whatever came before it and however old it is."""
+    """Duplicate and old heartbeats count as evidence that their sender is alive."""
     original = PeerDetector.receive_heartbeat
 
     def receive_heartbeat(self, heartbeat, now, wall_time):
@@ -39,28 +39,28 @@
 
 
 def ignores_own_pauses(patch):
-    """A controller never takes itself for the one that is slow."""
+    """A controller does not notice its own pauses."""
     patch.setattr(LocalHealth, "note_turn", lambda self, now, late_s: False)
 
 
 def never_isolated(patch):
-    """A controller never takes itself for the one that is cut off."""
+    """A controller never considers itself isolated."""
     patch.setattr(PeerDetector, "_is_isolated", lambda self: False)
 
 
 def counts_domains_twice(patch):
-    """Each controller is a witness of its own."""
+    """Each controller counts as a failure domain of its own."""
     patch.setattr(FailureDomains, "of", lambda self, controller: controller)
 
 
 def no_startup_grace(patch):
-    """Who has not been heard yet serves only by its key, from the first moment on."""
+    """Startup counts as complete at once, so peers without key and heartbeat don't serve."""
     original = Peer.serves
     patch.setattr(Peer, "serves", lambda self, now, startup_complete: original(self, now, True))
 
 
 def serves_by_key_alone(patch):
-    """A controller whose key is missing does not serve, however well it is heard."""
+    """A peer whose key is missing counts as not serving, even if its heartbeats arrive."""
     original = Peer.serves
     patch.setattr(
         Peer,
@@ -72,12 +72,12 @@
 
 
 def no_pause_allowance(patch):
-    """A controller that stood still states how old its contact is, pause included."""
+    """Local pauses are not subtracted from the age of the contact with the state service."""
     patch.setattr(LocalHealth, "recent_pause_s", lambda self, now, overdue_s: 0.0)
 
 
 def no_failback_delay(patch):
-    """A controller takes its shards back whenever it can."""
+    """A controller claims its home shards again without a delay."""
     patch.setattr(Peer, "failback_delay_s", lambda self, now: 0.0)
     original = ShardPlanner._is_failback_due
 
@@ -88,19 +88,19 @@
 
 
 def never_fails_over(patch):
-    """A shard that loses its owner waits for its home."""
+    """Only shards without an owner are claimed, not those of a failed controller."""
     patch.setattr(
         ShardPlanner, "_is_due", lambda self, shard, owner, successors, view, now: owner == NO_OWNER
     )
 
 
 def fails_over_on_stale_view(patch):
-    """Claims follow the view of the last turn, also one that is older than the replica."""
+    """Claims are based on the view of the last turn, even if it is older than the replica."""
     on_changed = PeerMonitor.on_changed
 
     def change_without_view(self, events, revision, is_snapshot):
-        with patch.context() as quiet:
-            quiet.setattr(PeerMonitor, "publish", lambda self, view: None)
+        with patch.context() as without_publish:
+            without_publish.setattr(PeerMonitor, "publish", lambda self, view: None)
             on_changed(self, events, revision, is_snapshot)
 
     def publish(self, view):
@@ -113,7 +113,7 @@
 
 
 def ignores_slow_peers(patch):
-    """Slow controllers are offered others' work like any other."""
+    """Slow controllers are chosen as successors like any other."""
     original = ShardPlanner.shards_to_take
 
     def shards_to_take(self, incarnation, owners, view, now):
@@ -123,7 +123,7 @@
 
 
 def one_survivor_takes_all(patch):
-    """The first survivor takes all that is free."""
+    """Successors are chosen regardless of how many shards each of them owns already."""
     original = ShardPlanner._successors
     patch.setattr(
         ShardPlanner,
@@ -133,13 +133,13 @@
 
 
 def orders_incarnations_by_lease(patch):
-    """The process with the larger number of a lease counts as the newer one."""
+    """Incarnations are ordered by lease number alone, not by revision."""
     patch.setattr(Incarnation, "__lt__", lambda self, other: self.lease < other.lease)
     patch.setattr(Incarnation, "__gt__", lambda self, other: self.lease > other.lease)
 
 
 def accepts_future_heartbeats(patch):
-    """A heartbeat may come from the future."""
+    """Heartbeats with a send time in the future are accepted."""
     original = PeerDetector.receive_heartbeat
     patch.setattr(
         PeerDetector,
--- a/tests/broken_builds/fleet.py
+++ b/tests/broken_builds/fleet.py
@@ -1,8 +1,8 @@
-"""Broken builds of the leader and its taints."""
+"""Broken builds of the leader's taints."""
 
 from emberglade.fleet.taint_change import TaintChange
 
 
 def taint_keys_never_shrink(patch):
-    """A key that holds too many taints passes none on."""
+    """Taints are not moved out of values that exceed the size limit."""
     patch.setattr(TaintChange, "shrink", lambda self: None)
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -1,4 +1,4 @@
-"""Broken builds of job records, decisions and dependencies."""
+"""Broken builds of job records, placement decisions and dependencies."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 
 
 def reassigns_without_proof(patch):
-    """A lost machine's tasks move at once, without waiting for any lease."""
+    """Tasks of an unschedulable machine are placed again before its lease has expired."""
     original = JobManager.on_tick
 
     def on_tick(self):
@@ -28,7 +28,7 @@
 
 
 def done_too_early(patch):
-    """A job counts as done when half of it is."""
+    """A job counts as done when half of its tasks are."""
     patch.setattr(
         Job,
         "is_done",
@@ -41,17 +41,17 @@
 
 
 def places_nothing(patch):
-    """Nothing is ever placed."""
+    """No task is ever placed."""
     patch.setattr(Scheduler, "on_place", lambda self: None)
 
 
 def no_aging(patch):
-    """What has waited for long gets no turn of its own."""
+    """Jobs that have waited for a long time are not placed first."""
     patch.setattr(Scheduler, "is_starving", lambda self, job, wall_time: False)
 
 
 def accepts_any_attempt(patch):
-    """An exit counts for whichever attempt is bound now."""
+    """An exit of an earlier attempt counts for the attempt that is bound now."""
     original = TaskLifecycle.task_exited
 
     def task_exited(self, job, binding, update):
@@ -63,7 +63,7 @@
 
 
 def unfenced_commits(patch):
-    """A commit without an answer is taken for one that was not carried out."""
+    """The result of an unanswered commit is read while it may still be applied later."""
     patch.setattr(
         CommitSettlement,
         "on_fence",
@@ -72,13 +72,13 @@
 
 
 def never_places_one_job(patch):
-    """One job's tasks are never placed."""
+    """The tasks of job-1 are never placed."""
     original = Job.pending_count
     patch.setattr(Job, "pending_count", lambda self: 0 if self.id == "job-1" else original(self))
 
 
 def ignores_dependencies(patch):
-    """Jobs are released whatever became of those that they need."""
+    """Jobs are released regardless of the state of their dependencies."""
     original = DependencyGraph.apply
 
     def apply(self, events, is_snapshot):
@@ -89,10 +89,10 @@
 
 
 def keeps_dependents_of_cancelled(patch):
-    """A cancellation does not reach the jobs after it."""
+    """The dependents of a cancelled job are not cancelled."""
     patch.setattr(DependencyGraph, "_cancel", lambda self, stack: None)
 
 
 def trusts_own_replica(patch):
-    """A need that the replica does not show counts as one that still goes on."""
+    """A dependency that is missing in the replica is not looked up in the store."""
     patch.setattr(DependencyGraph, "unresolved_dependencies_of", lambda self, job_id: set())
--- a/tests/broken_builds/placement.py
+++ b/tests/broken_builds/placement.py
@@ -1,4 +1,4 @@
-"""Broken builds of quotas, zones and what is counted as taken."""
+"""Broken builds of quotas, zones and capacity accounting."""
 
 from emberglade import placement
 from emberglade.placement.capacity import ClusterCapacity
@@ -6,17 +6,17 @@
 
 
 def no_quota(patch):
-    """Teams have no limits."""
+    """Team quotas are not enforced."""
     patch.setattr(ClusterCapacity, "tasks_within_quota", lambda self, spec: spec.tasks)
 
 
 def ignores_used_zones(patch):
-    """The zones of a job's other tasks don't matter."""
+    """The zones of a job's other tasks are ignored."""
     patch.setattr(ClusterCapacity, "zones_of", lambda self, job: JobZones({}, complete=True))
 
 
 def forgets_unschedulable_bindings(patch):
-    """What is bound on a machine that is not heard does not count."""
+    """Tasks bound to unschedulable machines don't count towards the quota of their team."""
     original = ClusterCapacity.set_machines
 
     def set_machines(self, machines):
@@ -35,5 +35,5 @@
 
 
 def preempts_without_fit(patch):
-    """Tasks are stopped for a job that no machine has capacity for, with their capacity or not."""
+    """Tasks are preempted for a job that does not fit even once they have ended."""
     patch.setattr(placement, "has_fit", lambda job, victims, placement_round: True)
--- a/tests/broken_builds/state.py
+++ b/tests/broken_builds/state.py
@@ -1,4 +1,4 @@
-"""Broken builds of commits and syncs."""
+"""Broken builds of commits and read barriers."""
 
 from emberglade.state.store import LIVE_PREFIX, Store
 
@@ -6,7 +6,7 @@
 
 
 def commits_unconditionally(patch):
-    """Commits of jobs hang on nothing: not on the shard's epoch, nor on what the record was."""
+    """Commits of jobs are not conditional on the shard's epoch or the record's mod revision."""
     original = Store.on_commit
 
     def on_commit(self, priority, conditions, writes, reply):
@@ -21,7 +21,7 @@
 
 
 def answers_without_sync(patch):
-    """Users are told what the replica shows, however old it is."""
+    """Read barriers return the replica's revision immediately, however old it is."""
     patch.setattr(
         Store, "on_sync", lambda self, reply: reply(self.revision if self.revision >= 0 else None)
     )
--- a/tests/broken_builds/user_api.py
+++ b/tests/broken_builds/user_api.py
@@ -1,4 +1,4 @@
-"""Broken builds of what users are told."""
+"""Broken builds of answers to users."""
 
 import orjson
 
@@ -12,7 +12,7 @@
 
 
 def forgets_final_states(patch):
-    """A final key is never found."""
+    """Final states are never found in the store."""
     patch.setattr(
         JobLookup,
         "on_final_state_read",
@@ -21,7 +21,7 @@
 
 
 def answers_for_any_id(patch):
-    """Any id is taken for a job's."""
+    """Polls of unknown job ids are answered as if the job were pending."""
     invented = Answer(200, {"id": "x", "glow": "pending"})
     patch.setattr(
         JobLookup,
@@ -31,19 +31,19 @@
 
 
 def swaps_final_states(patch):
-    """Final states are mixed up."""
-    mixed_up = {"done": JobStatus.CANCELLED, "withdrawn": JobStatus.DONE}
+    """The final states done and cancelled are interchanged."""
+    swapped = {"done": JobStatus.CANCELLED, "withdrawn": JobStatus.DONE}
     patch.setattr(
         JobLookup,
         "on_final_state_read",
         lambda self, job_id, then, status, data, mod_revision: then(
-            JobState(job_id, mixed_up[data["glow"]])
+            JobState(job_id, swapped[data["glow"]])
         ),
     )
 
 
 def ignores_polls(patch):
-    """Questions about one job are never answered."""
+    """Polls of job-1 are never answered."""
     original = JobLookup.look_up
 
     def look_up(self, job_id, then):
@@ -54,7 +54,7 @@
 
 
 def confirms_before_commit(patch):
-    """A cancellation is told before it is durable."""
+    """A cancellation is confirmed to the user before it is committed."""
     original = CancellationRequests.on_cancel_synced
 
     def on_cancel_synced(self, job_id, reply, retries, revision):
@@ -74,12 +74,12 @@
 
 
 def accepts_invalid_jobs(patch):
-    """What a submission lacks gets a default, and what fits no machine is accepted."""
+    """Missing fields of a submission are filled with defaults instead of being refused."""
     original = Submissions.on_submit
 
     def on_submit(self, body, reply):
         data = orjson.loads(body)
-        whole = {
+        defaults = {
             "breed": "b",
             "crew": "core",
             "shape": "sweep",
@@ -97,6 +97,6 @@
             "bank_s": 0.0,
             "banking_s": 0.0,
         }
-        original(self, orjson.dumps({**whole, **data}), reply)
+        original(self, orjson.dumps({**defaults, **data}), reply)
 
     patch.setattr(Submissions, "on_submit", on_submit)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Assertions of the scenarios' verbs say what they compared."""
+"""Enables pytest's assertion rewriting in the scenario kinds, for detailed failures."""
 
 import pytest
 
--- a/tests/scenario_files.py
+++ b/tests/scenario_files.py
@@ -1,12 +1,12 @@
-"""Scenario files: small text files, one step a line.
+"""Parser of scenario files: text files with one step per line.
 
-A line is a verb and its words, quoted as in a shell; `#` begins a comment. Some verbs are for
-whoever plays the scenario rather than for its kind:
+A line consists of a verb and its arguments, quoted as in a shell; `#` starts a comment. These
+verbs are interpreted by the test runner instead of the scenario's kind, or in part by it:
 
-    kind KIND               the class of `scenario_kinds` whose verbs the other lines are
-    seeds N ...             the scenario is played once with each of these seeds
-    guard BUILD RULE        it is played once more with a broken build, and has to break the rule
-    expect WHAT ...         what has to hold in the end
+    kind KIND               the class in `scenario_kinds` that implements the other verbs
+    seeds N ...             run the scenario once with each of these seeds
+    guard BUILD RULE        run it also with a broken build, which has to violate the rule
+    expect WHAT ...         a condition that has to hold at this point
 """
 
 import shlex
@@ -21,27 +21,27 @@
 
 
 class Guard(NamedTuple):
-    """A broken build, and the rule that a scenario has to break when it is played with it."""
+    """A broken build, and the rule that the scenario has to violate with it."""
 
     build: str
     rule: str
 
 
 class Line(NamedTuple):
-    """One line that is not empty."""
+    """One line that is neither empty nor only a comment."""
 
     number: int
     text: str
     verb: str
-    words: list[str]
+    arguments: list[str]
 
 
 @dataclass(frozen=True)
 class ScenarioFile:
-    """One scenario as it is written.
+    """One parsed scenario file.
 
     Attributes:
-        seeds: The seeds that it names; (None,) if it names none.
+        seeds: The seeds of its `seeds` line; (None,) without one.
     """
 
     path: Path
@@ -51,25 +51,25 @@
 
     @property
     def name(self) -> str:
-        """Folder and name, as in `fleet/boot_failures`."""
+        """Path below the scenario folder without its suffix, e.g. `fleet/boot_failures`."""
         return str(self.path.relative_to(FOLDER).with_suffix(""))
 
     @property
     def kind(self) -> str:
-        """The kind of scenario."""
-        return next(line.words[0] for line in self.lines if line.verb == KIND)
+        """The argument of the `kind` line."""
+        return next(line.arguments[0] for line in self.lines if line.verb == KIND)
 
 
 def read_scenario(path: Path) -> ScenarioFile:
-    """Reads one file."""
+    """Parses one file."""
     lines = tuple(read_lines(path))
-    seeds = next((tuple(line.words) for line in lines if line.verb == SEEDS), (None,))
-    guards = tuple(Guard(*line.words) for line in lines if line.verb == GUARD)
+    seeds = next((tuple(line.arguments) for line in lines if line.verb == SEEDS), (None,))
+    guards = tuple(Guard(*line.arguments) for line in lines if line.verb == GUARD)
     return ScenarioFile(path, lines, seeds, guards)
 
 
 def read_lines(path: Path) -> Iterator[Line]:
-    """The lines of a file, without comments and empty ones."""
+    """Yields the lines of a file, without comments and empty lines."""
     for number, text in enumerate(path.read_text().splitlines(), 1):
         words = shlex.split(text, comments=True)
         if words:
@@ -77,5 +77,5 @@
 
 
 def read_scenarios() -> list[ScenarioFile]:
-    """All scenarios, in the order of their names."""
+    """Parses all scenario files, in the order of their paths."""
     return [read_scenario(path) for path in sorted(FOLDER.rglob("*" + SUFFIX))]
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -54,9 +54,7 @@
     @property
     def run(self) -> ScenarioRun:
         """The run, available once `play` has been called."""
-        assert self._run is not None, (
-            "the deployment is created by `play`, before which it can't be used"
-        )
+        assert self._run is not None, "the deployment does not exist before `play`"
         return self._run
 
     def step(self, verb: str, arguments: list[str]) -> None:
--- a/tests/scenario_kinds/expect_ownership.py
+++ b/tests/scenario_kinds/expect_ownership.py
@@ -31,7 +31,7 @@
         assert took_s <= float(seconds), took_s
 
     def expect_not_failed_over(self, name: str, since: str) -> None:
-        """From `since` on, no other controller claimed a role that this one owned."""
+        """From `since` on, the controller lost no role, except shards to their home controllers."""
         losses = self.ownership.losses(self.run.resolve(name), float(since))
         assert not losses, losses
 
--- a/tests/scenario_kinds/startup.py
+++ b/tests/scenario_kinds/startup.py
@@ -8,7 +8,7 @@
 import pytest
 
 from .scenario import Scenario
-from .settings import VALID_PLATFORM, OPERATORS_FILE, PLATFORM_FILE
+from .settings import OPERATORS_FILE, PLATFORM_FILE, VALID_PLATFORM
 
 ROOT = Path(__file__).resolve().parents[2]
 OWN_PACKAGE = "emberglade"
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,7 +1,7 @@
-"""A new user's first steps, as the README says: the shipped settings, the stand-ins, a first job.
+"""Runs the README's first steps: the shipped settings, the stand-ins, a first job.
 
-Real processes on loopback, with no time in the verdict but generous bounds. The shipped file is
-copied with other ports, so that two runs of the tests at the same time don't meet.
+Uses real processes on loopback, so the only time limits are generous timeouts. The shipped settings
+are copied with other ports, so that concurrent test runs don't conflict.
 """
 
 import json
@@ -28,27 +28,27 @@
 SERVE = f"python3 run.py --config {SETTINGS}"
 CHECK = f"python3 run.py check --config {SETTINGS}"
 STAND_INS = f"python3 tests/stand_ins/serve_loopback.py {SETTINGS}"
-WITHIN_S = 90.0
-LOOK_S = 0.25
+TIMEOUT_S = 90.0
+POLL_INTERVAL_S = 0.25
 
 
 def readme_commands():
-    """The lines of the README's code blocks, without comments."""
+    """Returns the lines of the README's code blocks, without comments."""
     blocks = re.findall(r"(?:^    .+\n)+", README, re.MULTILINE)
     lines = [line.partition("  # ")[0].strip() for block in blocks for line in block.splitlines()]
     return [line for line in lines if line]
 
 
-def command_words(command, settings_file):
-    """The words of a command, run by this interpreter with another copy of the settings."""
-    words = command.replace(SETTINGS, str(settings_file)).split()
-    assert words[0] == "python3"
-    return [sys.executable, *words[1:]]
+def command_arguments(command, settings_file):
+    """Splits a command for Popen, with this interpreter and another settings file."""
+    arguments = command.replace(SETTINGS, str(settings_file)).split()
+    assert arguments[0] == "python3"
+    return [sys.executable, *arguments[1:]]
 
 
 @pytest.fixture
 def settings_file(tmp_path):
-    """The shipped settings on four free ports."""
+    """A copy of the shipped settings with free ports."""
     copy = tmp_path / "settings.toml"
     copy.write_text(
         re.sub(
@@ -60,10 +60,10 @@
 
 @contextmanager
 def running(command, settings_file, log_file):
-    """Runs one of the README's commands; ends it with Ctrl-C's signal, or for good after that."""
+    """Runs one of the README's commands; stops it with SIGINT, and kills it if that fails."""
     with open(log_file, "w") as log:
         process = subprocess.Popen(
-            command_words(command, settings_file), cwd=ROOT, stdout=log, stderr=log
+            command_arguments(command, settings_file), cwd=ROOT, stdout=log, stderr=log
         )
     try:
         yield process
@@ -76,8 +76,8 @@
             process.wait()
 
 
-def ask(settings, method, path, body=None):
-    """(status, JSON body) of a request to the controller's front; (None, None): no answer."""
+def send_request(settings, method, path, body=None):
+    """Returns (status, JSON body) of a request to the controller, (None, None) without answer."""
     request = urllib.request.Request(
         "http://{}:{}{}".format(*settings.front, path), data=body, method=method
     )
@@ -90,19 +90,19 @@
         return None, None
 
 
-def ask_until(expected, *request):
-    """Repeats a request until `expected(status, body)` holds, as a user would; the body."""
-    until = time.monotonic() + WITHIN_S
+def request_until(expected, *request):
+    """Repeats a request until `expected(status, body)` holds, and returns the body."""
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
-        status, body = ask(*request)
+        status, body = send_request(*request)
         if expected(status, body):
             return body
-        assert time.monotonic() < until, (request, status, body)
-        time.sleep(LOOK_S)
+        assert time.monotonic() < deadline, (request, status, body)
+        time.sleep(POLL_INTERVAL_S)
 
 
-def test_commands_name_what_is_there():
-    """The README's commands are the ones played here, and all files in them are shipped."""
+def test_commands_refer_to_shipped_files():
+    """The README contains the commands that are run here, and the files that it names exist."""
     commands = readme_commands()
     for command in (SERVE, CHECK, STAND_INS):
         assert command in commands, commands
@@ -117,17 +117,19 @@
     assert poll and all(f"http://{front}/" in command for command in poll)
 
 
-def test_check_says_ok():
-    """`check` finds nothing wrong with the shipped file."""
-    done = subprocess.run(
-        command_words(CHECK, SETTINGS), cwd=ROOT, capture_output=True, text=True, check=False
+def test_check_reports_ok():
+    """`check` reports neither errors nor warnings for the shipped settings."""
+    completed = subprocess.run(
+        command_arguments(CHECK, SETTINGS), cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.endswith(": ok\n") and "warning" not in completed.stdout, (
+        completed.stdout
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.endswith(": ok\n") and "warning" not in done.stdout, done.stdout
 
 
 def test_first_job(settings_file, tmp_path):
-    """Beside the stand-ins the controller takes the shipped job, and it gets done."""
+    """With the stand-ins running, the controller accepts the shipped job, and it is done."""
     settings, job = load_platform(settings_file), (ROOT / JOB).read_bytes()
     job_id = json.loads(job)["id"]
     stand_ins_log = tmp_path / "stand_ins.log"
@@ -135,8 +137,8 @@
         running(STAND_INS, settings_file, stand_ins_log) as stand_ins,
         running(SERVE, settings_file, tmp_path / "controller.log"),
     ):
-        ask_until(lambda status, _: status in (200, 201), settings, "POST", "/submissions", job)
-        state = ask_until(
+        request_until(lambda status, _: status in (200, 201), settings, "POST", "/submissions", job)
+        state = request_until(
             lambda status, body: status == 200 and body["glow"] == "done",
             settings,
             "GET",
@@ -148,11 +150,11 @@
 
 
 def test_starts_without_stand_ins(settings_file, tmp_path):
-    """Without a state service the controller serves, says that it waits, and puts users off."""
+    """Without a state service the controller runs, logs that it waits, and answers users 503."""
     settings, log_file = load_platform(settings_file), tmp_path / "controller.log"
     with running(SERVE, settings_file, log_file) as controller:
-        ask_until(lambda status, _: status == 503, settings, "GET", "/ready")
-        status, body = ask(settings, "POST", "/submissions", (ROOT / JOB).read_bytes())
+        request_until(lambda status, _: status == 503, settings, "GET", "/ready")
+        status, body = send_request(settings, "POST", "/submissions", (ROOT / JOB).read_bytes())
         assert status == 503 and body["error"], (status, body)
         assert controller.poll() is None
     state_service = "{}:{}".format(*settings.state)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,7 +1,7 @@
-"""The one runner of all scenarios: small text files under tests/scenarios, one step a line.
+"""Runs all scenarios: text files under tests/scenarios with one step per line.
 
-Verbs are the methods `do_*` and `expect_*` of the class that the scenario's `kind` names; see
-`scenario_files` for the verbs that all kinds have.
+Verbs are the methods `do_*` and `expect_*` of the class that the scenario's `kind` line names. See
+`scenario_files` for the verbs that all kinds share.
 """
 
 from collections.abc import Iterator
@@ -14,11 +14,11 @@
 from scenario_kinds import KINDS
 from scenario_kinds.scenario import Scenario
 
-EXPECTATION = "expectation"  # in the place of a rule: one of the scenario's own lines has to fail
+EXPECTATION = "expectation"  # in place of a rule: one of the scenario's expectations has to fail
 
 
 def scenario_cases() -> Iterator[Any]:
-    """Each scenario, once for each of its seeds if it names any."""
+    """Yields the parameters of each scenario and seed."""
     for scenario_file in read_scenarios():
         for seed in scenario_file.seeds:
             suffix = f"-{seed}" if seed else ""
@@ -26,7 +26,7 @@
 
 
 def guard_cases() -> Iterator[Any]:
-    """Each line `guard BUILD RULE` of each scenario."""
+    """Yields the parameters of each `guard BUILD RULE` line."""
     for scenario_file in read_scenarios():
         for guard in scenario_file.guards:
             yield pytest.param(scenario_file, guard, id=f"{scenario_file.name}-{guard.build}")
@@ -39,7 +39,7 @@
     monkeypatch: pytest.MonkeyPatch,
     tmp_path: Path,
 ) -> None:
-    """Plays one scenario, whose expectations have to hold."""
+    """Runs one scenario; all its expectations have to hold."""
     play(scenario_file, seed, monkeypatch, tmp_path)
 
 
@@ -47,30 +47,30 @@
 def test_guard(
     scenario_file: ScenarioFile, guard: Guard, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """Plays a scenario with a build that lacks a guard, which has to break the rule it names.
+    """Runs a scenario with a broken build, which has to violate the guard's rule on some seed.
 
-    On one of its seeds at least, since what a guard prevents often takes a narrow window.
+    One seed suffices, since the fault that a guard prevents often needs a narrow time window.
     """
     for seed in scenario_file.seeds:
         with monkeypatch.context() as patch:
-            if is_caught(scenario_file, seed, guard, patch, tmp_path):
+            if violates_rule(scenario_file, seed, guard, patch, tmp_path):
                 return
     raise AssertionError(
-        f"{scenario_file.name}: without the guard that {guard.build} removes, "
-        f"{guard.rule} is not broken on any seed"
+        f"{scenario_file.name}: broken build {guard.build} was not detected: "
+        f"it does not violate {guard.rule} on any seed"
     )
 
 
-def is_caught(
+def violates_rule(
     scenario_file: ScenarioFile,
     seed: str | None,
     guard: Guard,
     patch: pytest.MonkeyPatch,
     directory: Path,
 ) -> bool:
-    """Whether a scenario breaks a guard's rule when it is played with the broken build."""
+    """Whether a scenario violates the guard's rule when it runs with the broken build."""
     if guard.rule != EXPECTATION:
-        scenario = begin(scenario_file, patch, directory, guard.build)
+        scenario = create_scenario(scenario_file, patch, directory, guard.build)
         step_through(scenario, scenario_file, seed, skipped=(GUARD, EXPECT))
         scenario.play()
         return guard.rule in scenario.broken_rules()
@@ -88,17 +88,17 @@
     directory: Path,
     build: str | None = None,
 ) -> None:
-    """Plays a scenario with its expectations."""
-    assert any(line.verb == EXPECT for line in scenario_file.lines), "it has to expect something"
-    scenario = begin(scenario_file, patch, directory, build)
+    """Runs a scenario with its expectations."""
+    assert any(line.verb == EXPECT for line in scenario_file.lines), "no `expect` line"
+    scenario = create_scenario(scenario_file, patch, directory, build)
     step_through(scenario, scenario_file, seed, skipped=(GUARD,))
     scenario.end()
 
 
-def begin(
+def create_scenario(
     scenario_file: ScenarioFile, patch: pytest.MonkeyPatch, directory: Path, build: str | None
 ) -> Scenario:
-    """A new scenario of the file's kind, with a broken build if one is named."""
+    """Creates a scenario of the file's kind and applies the broken build, if any."""
     scenario = KINDS[scenario_file.kind](patch, directory)
     if build is not None:
         broken_builds.apply(build, patch)
@@ -111,16 +111,16 @@
     seed: str | None,
     skipped: tuple[str, ...],
 ) -> None:
-    """Plays a file's lines but for those with skipped verbs."""
+    """Executes a file's lines, except those with skipped verbs."""
     for line in scenario_file.lines:
         if line.verb in (KIND, *skipped):
             continue
-        verb, words = line.verb, line.words
+        verb, arguments = line.verb, line.arguments
         if verb == SEEDS:
             assert seed is not None
-            verb, words = SEED, [seed]
+            verb, arguments = SEED, [seed]
         try:
-            scenario.step(verb, words)
+            scenario.step(verb, arguments)
         except AssertionError as error:
-            place = f"{scenario_file.path.name}:{line.number}: {line.text}"
-            raise AssertionError(f"{place}\n{error}") from error
+            location = f"{scenario_file.path.name}:{line.number}: {line.text}"
+            raise AssertionError(f"{location}\n{error}") from error
