--- a/tests/scenario_kinds/expect_machines.py
+++ b/tests/scenario_kinds/expect_machines.py
@@ -16,7 +16,7 @@
         """So many tasks of the job are on machines, all in this zone or on this machine."""
         machines = [
             machine
-            for name, places in self.observer.on.items()
+            for name, places in self.observer.placements.items()
             if job_of(name) == job_id
             for machine in places
         ]
@@ -30,7 +30,7 @@
         """How many tasks of the jobs of that name are on machines."""
         return sum(
             len(places)
-            for name, places in self.observer.on.items()
+            for name, places in self.observer.placements.items()
             if name.startswith("job-" + prefix)
         )
 
--- a/tests/stand_ins/cloud.py
+++ b/tests/stand_ins/cloud.py
@@ -183,7 +183,7 @@
         for machine in spots[: max(1, int(len(spots) * share))]:
             if notice_s:
                 machine.reclaim_at = self.world.now + notice_s
-                machine.changed()
+                machine.schedule_change_heartbeat()
             self.world.at(notice_s, self.remove, machine.name)
 
     def begin_outage(self, seconds: float) -> None:
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -160,14 +160,14 @@
         """All controllers but one."""
         return [other for other in self.names if other != name]
 
-    def everyone(self) -> list[str]:
+    def all_hosts(self) -> list[str]:
         """All hosts."""
         hosts = [state_service.HOST, cloud.HOST, users.HOST]
         return [*self.names, *hosts, *self.cloud.machines]
 
     def isolate(self, name: str, seconds: float, mode: PartitionMode) -> None:
         """Cuts a controller off from everything."""
-        rest = [host for host in self.everyone() if host != name]
+        rest = [host for host in self.all_hosts() if host != name]
         self.world.partition([name], rest, seconds, mode)
 
     def isolate_from_control_plane(self, name: str, seconds: float, mode: PartitionMode) -> None:
@@ -184,7 +184,7 @@
         """Cuts everything in a zone, controllers included, off from everything else."""
         inside = [name for name in self.names if self.deployment.zone_of(name) == zone]
         inside += [name for name, row in self.cloud.machines.items() if row.zone == zone]
-        outside = set(self.everyone()) - set(inside)
+        outside = set(self.all_hosts()) - set(inside)
         self.world.partition(inside, outside, seconds, mode)
 
     def duplicate_heartbeats(self, chance: float, min_delay_s: float, max_delay_s: float) -> None:
@@ -195,7 +195,7 @@
 
     def end_faults(self) -> None:
         """Tells the observer that all faults are over, and ends those of single messages."""
-        self.observer.liveness.quiet_since = self.world.now
+        self.observer.liveness.faults_ended_at = self.world.now
         self.world.late_duplicates = None
         self.world.loss = 0.0
         self.world.repeat_chance = 0.0
--- a/tests/stand_ins/combined_faults.py
+++ b/tests/stand_ins/combined_faults.py
@@ -21,13 +21,13 @@
 
     Attributes:
         machines: All machines that are up.
-        some: One to four of them.
+        some_machines: One to four of them.
     """
 
     cluster: Cluster
     controller: str
     machines: list[str]
-    some: list[str]
+    some_machines: list[str]
     seconds: float
     mode: PartitionMode
 
@@ -39,9 +39,9 @@
     hits_leader = leader is not None and rng.random() < LEADER_CHANCE
     controller = leader if hits_leader and leader is not None else rng.choice(cluster.names)
     machines = sorted(machine.name for machine in cluster.cloud.running())
-    some = rng.sample(machines, min(len(machines), rng.randint(1, 4)))
+    some_machines = rng.sample(machines, min(len(machines), rng.randint(1, 4)))
     mode = rng.choice([PartitionMode.DELAY, PartitionMode.DROP])
-    KINDS[kind](CombinedFault(cluster, controller, machines, some, seconds, mode))
+    KINDS[kind](CombinedFault(cluster, controller, machines, some_machines, seconds, mode))
 
 
 def refuse(fault: CombinedFault) -> None:
@@ -104,20 +104,22 @@
 
 def partition_machines(fault: CombinedFault) -> None:
     """Some machines are cut off from all controllers."""
-    if fault.some:
-        fault.cluster.world.partition(fault.some, fault.cluster.names, fault.seconds, fault.mode)
+    if fault.some_machines:
+        fault.cluster.world.partition(
+            fault.some_machines, fault.cluster.names, fault.seconds, fault.mode
+        )
 
 
 def make_unreachable(fault: CombinedFault) -> None:
     """Heartbeats of some machines arrive; answers and commands don't."""
-    if fault.some:
-        fault.cluster.world.drop_messages(fault.cluster.names, fault.some, fault.seconds)
+    if fault.some_machines:
+        fault.cluster.world.drop_messages(fault.cluster.names, fault.some_machines, fault.seconds)
 
 
 def block_heartbeats(fault: CombinedFault) -> None:
     """Some machines, or all, reach no controller; direct commands still pass."""
-    if fault.some:
-        machines = fault.cluster.world.random.choice([fault.some, fault.machines])
+    if fault.some_machines:
+        machines = fault.cluster.world.random.choice([fault.some_machines, fault.machines])
         fault.cluster.world.block_connections(machines, fault.cluster.names, fault.seconds)
 
 
@@ -162,9 +164,9 @@
 
 def delay_messages(fault: CombinedFault) -> None:
     """Commands, heartbeats and their answers are held up for seconds and then go on."""
-    if fault.some:
+    if fault.some_machines:
         fault.cluster.world.partition(
-            fault.some,
+            fault.some_machines,
             [fault.controller],
             min(fault.seconds, MAX_DELAY_S),
             PartitionMode.DELAY,
--- a/tests/stand_ins/forwarder.py
+++ b/tests/stand_ins/forwarder.py
@@ -8,7 +8,7 @@
 from .real_time_world import LOOPBACK, RealTimeWorld
 
 CHUNK_BYTES = 64 * 1024
-RECHECK_S = 0.05  # how often a forwarder looks whether its link is whole again
+POLL_INTERVAL_S = 0.05  # how often a forwarder looks whether its link is whole again
 
 
 class Forwarder:
@@ -67,7 +67,7 @@
     def wait_for_link(self, source: str, target: str) -> None:
         """Returns once what the source sends can reach the target."""
         while self.world.is_blocked(source, target):
-            time.sleep(RECHECK_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def pump(self, near: socket.socket, far: socket.socket, source: str, target: str) -> None:
         """Forwards in one direction until one of the ends closes."""
--- a/tests/stand_ins/invalid_requests.py
+++ b/tests/stand_ins/invalid_requests.py
@@ -31,7 +31,7 @@
         live = sorted(set(observer.accepted_at) - set(observer.final))
         done = sorted(job for job, row in observer.final.items() if row.state is JobState.DONE)
         if kind == 0 and live:
-            self.users.submit_again(rng.choice(live), rng.choice(wire.ODD_REPEATS))
+            self.users.submit_again(rng.choice(live), rng.choice(wire.REPEAT_CHANGES))
         elif kind == 1 and done:
             self.users.cancel_once(rng.choice(done))
         elif kind >= 2:
@@ -44,7 +44,7 @@
         if kind == 2:
             del body[rng.choice(wire.NOT_NULL)]
         else:
-            body.update(rng.choice(wire.NEVER_RUNNABLE))
+            body.update(rng.choice(wire.UNSATISFIABLE_FIELDS))
         self.users.post(
             wire.SUBMISSIONS_PATH,
             body,
--- a/tests/stand_ins/job_ledger.py
+++ b/tests/stand_ins/job_ledger.py
@@ -10,7 +10,7 @@
     """A final state, and when a user was told of it first."""
 
     state: JobState
-    told_at: float
+    reported_at: float
 
 
 class JobLedger:
@@ -20,7 +20,7 @@
         jobs: What was submitted, once a user has tried to.
         submitted_at: When a user tried to submit it first.
         accepted_at: When a user was told that it is accepted.
-        cancel_asked: The jobs whose cancellation a user has asked for.
+        cancel_requested: The jobs whose cancellation a user has asked for.
         cancelled_at: When a user was told that it is cancelled.
         last_left_at: When the last of its tasks left a machine after that.
         final: Its final state.
@@ -34,7 +34,7 @@
         self.jobs: dict[str, Submission] = {}
         self.submitted_at: dict[str, float] = {}
         self.accepted_at: dict[str, float] = {}
-        self.cancel_asked: set[str] = set()
+        self.cancel_requested: set[str] = set()
         self.cancelled_at: dict[str, float] = {}
         self.last_left_at: dict[str, float] = {}
         self.final: dict[str, FinalState] = {}
@@ -47,7 +47,7 @@
         """Whether all tasks of a job have completed."""
         return len(self.done.get(job_id, ())) >= self.jobs[job_id].tasks
 
-    def all_needs(self, job_id: str) -> list[str]:
+    def all_dependencies(self, job_id: str) -> list[str]:
         """The jobs that a job needs, directly or through others."""
         found: list[str] = []
         stack = [job_id]
@@ -58,16 +58,18 @@
                     stack.append(need)
         return found
 
-    def is_called_off(self, job_id: str) -> bool:
+    def is_to_be_cancelled(self, job_id: str) -> bool:
         """Whether a user asked to cancel the job or one that it needs."""
-        return job_id in self.cancel_asked or any(
-            need in self.cancel_asked for need in self.all_needs(job_id)
+        return job_id in self.cancel_requested or any(
+            need in self.cancel_requested for need in self.all_dependencies(job_id)
         )
 
-    def need_cancelled_at(self, job_id: str) -> float | None:
+    def dependency_cancelled_at(self, job_id: str) -> float | None:
         """When a user was first told that a job before this one is cancelled."""
         cancelled_at = [
-            self.cancelled_at[need] for need in self.all_needs(job_id) if need in self.cancelled_at
+            self.cancelled_at[need]
+            for need in self.all_dependencies(job_id)
+            if need in self.cancelled_at
         ]
         return min(cancelled_at, default=None)
 
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -7,20 +7,20 @@
 if TYPE_CHECKING:
     from .observer import Observer
 
-INTERVAL_S = 1.0
-FAILING_S = 90  # PROTOCOL: polls for a job may fail for so long while most others get answers
-FAILING_AFTER_FAULTS_S = 75  # the same once all faults are over, however others fare
-PENDING_S = 90  # a task for which there is a machine may wait for so long
+CHECK_INTERVAL_S = 1.0
+MAX_FAILING_S = 90  # PROTOCOL: polls for a job may fail for so long while most others get answers
+MAX_FAILING_AFTER_FAULTS_S = 75  # the same once all faults are over, however others fare
+MAX_PENDING_S = 90  # a task for which there is a machine may wait for so long
 ANSWERS_KEPT_S = 90
-LARGEST_SHARE = 10  # the largest tenth of each class
-LARGEST_BEGIN_S = 240  # the time that these have to begin
+LARGEST_JOBS_DIVISOR = 10  # the largest tenth of each class
+MAX_LARGEST_START_S = 240  # the time that these have to begin
 
 
 class LivenessChecks:
     """Looks once a second for what has lasted too long, and records it as a violation.
 
     Attributes:
-        quiet_since: When the last fault was over, once that is known.
+        faults_ended_at: When the last fault was over, once that is known.
         pending_since: Since when a task of a job waits that could run.
         answers: Of the last answers to users, (when, whether it was a proper one).
     """
@@ -28,10 +28,10 @@
     def __init__(self, observer: "Observer") -> None:
         self.observer = observer
         self.world = observer.world
-        self.quiet_since: float | None = None
+        self.faults_ended_at: float | None = None
         self.pending_since: dict[str, float] = {}
         self.answers: list[tuple[float, bool]] = []
-        self.world.at(INTERVAL_S, self.check)
+        self.world.at(CHECK_INTERVAL_S, self.check)
 
     def note_answer(self, proper: bool) -> None:
         """A user got an answer, or none."""
@@ -42,9 +42,9 @@
         """Looks for what has lasted too long."""
         self.check_cancelled()
         self.check_failing()
-        if self.quiet_since is not None:
-            self.check_pending(self.quiet_since)
-        self.world.at(INTERVAL_S, self.check)
+        if self.faults_ended_at is not None:
+            self.check_pending(self.faults_ended_at)
+        self.world.at(CHECK_INTERVAL_S, self.check)
 
     def check_cancelled(self) -> None:
         """Tasks of a cancelled job must be gone in time."""
@@ -52,21 +52,21 @@
         for job_id, cancelled_at in observer.cancelled_at.items():
             if self.world.now <= cancelled_at + observer.cancel_s:
                 continue
-            for name, places in observer.on.items():
-                if places and job_of(name) == job_id:
-                    observer.record("ran_cancelled", f"{name} is on {sorted(places)}")
+            for name, machine_zones in observer.placements.items():
+                if machine_zones and job_of(name) == job_id:
+                    observer.record("ran_cancelled", f"{name} is on {sorted(machine_zones)}")
 
     def check_failing(self) -> None:
         """Questions about a job must not fail for long while others are answered."""
         observer, now = self.observer, self.world.now
         most_answered = sum(proper for _, proper in self.answers) > len(self.answers) / 2
         for job_id, since in observer.failing_since.items():
-            if now - since > FAILING_S and most_answered:
+            if now - since > MAX_FAILING_S and most_answered:
                 observer.record("forgotten", f"polls for {job_id} fail since {since:.0f}")
             # Once all faults are over, a job stays known however others fare.
             if (
-                self.quiet_since is not None
-                and now - max(since, self.quiet_since) > FAILING_AFTER_FAULTS_S
+                self.faults_ended_at is not None
+                and now - max(since, self.faults_ended_at) > MAX_FAILING_AFTER_FAULTS_S
             ):
                 observer.record(
                     "forgotten", f"no question about {job_id} is answered since {since:.0f}"
@@ -74,7 +74,7 @@
 
     # --- waiting for a machine
 
-    def check_pending(self, quiet_since: float) -> None:
+    def check_pending(self, faults_ended_at: float) -> None:
         """Once all faults are over, no task waits long that a machine is free for.
 
         Within its team's quota, that is.
@@ -88,7 +88,7 @@
                 self.pending_since.pop(job_id, None)
                 continue
             since = self.pending_since.setdefault(job_id, now)
-            if now - max(since, quiet_since) > PENDING_S:
+            if now - max(since, faults_ended_at) > MAX_PENDING_S:
                 observer.record(
                     "left_pending", f"{job_id} waits since {since:.0f}, and there is capacity"
                 )
@@ -108,7 +108,7 @@
     def could_run(self, job_id: str, job: Submission, begun: int, team_cpus: float) -> bool:
         """Whether one more task of a job could run now."""
         observer = self.observer
-        if job_id in observer.final or observer.is_called_off(job_id):
+        if job_id in observer.final or observer.is_to_be_cancelled(job_id):
             return False
         if not all(map(observer.is_done, job.needs or ())) or begun >= job.tasks:
             return False
@@ -127,10 +127,12 @@
     def begun_shares(self) -> dict[tuple[str, str], float]:
         """Of each class, team and of each class's largest jobs, the share that has begun.
 
-        The largest ones: within LARGEST_BEGIN_S.
+        The largest ones: within MAX_LARGEST_START_S.
         """
         observer = self.observer
-        live = [job_id for job_id in observer.accepted_at if not observer.is_called_off(job_id)]
+        live = [
+            job_id for job_id in observer.accepted_at if not observer.is_to_be_cancelled(job_id)
+        ]
         groups: dict[tuple[str, str], list[bool]] = {}
         for job_id in live:
             job = observer.jobs[job_id]
@@ -150,10 +152,10 @@
         observer = self.observer
         ordered = sorted(job_ids, key=lambda job_id: -observer.jobs[job_id].tasks)
         rows = []
-        for job_id in ordered[: max(1, len(ordered) // LARGEST_SHARE)]:
+        for job_id in ordered[: max(1, len(ordered) // LARGEST_JOBS_DIVISOR)]:
             begun_at = observer.begun_at.get(job_id, self.world.now)
             waited = begun_at - observer.accepted_at[job_id]
-            if waited <= LARGEST_BEGIN_S and job_id not in observer.begun_at:
+            if waited <= MAX_LARGEST_START_S and job_id not in observer.begun_at:
                 continue  # its time is not up yet
-            rows.append(waited <= LARGEST_BEGIN_S)
+            rows.append(waited <= MAX_LARGEST_START_S)
         return rows
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -100,7 +100,7 @@
         """Starts a controller's process."""
         if not self.ports:
             self.ports = {host: Ports(free_port(), free_port()) for host in self.names}
-            self.world.fronts = {
+            self.world.front_addresses = {
                 host: f"{LOOPBACK}:{ports.front}" for host, ports in self.ports.items()
             }
         for forwarder in self.forwarders_to(name):
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -19,9 +19,9 @@
 
 CPU_SLACK = 1e-9
 FINAL_STATES = (JobState.DONE, JobState.CANCELLED)
-ACCEPTED = (200, 201)
-FORGOTTEN = (404, 400, 422)
-REFUSED_FOR_GOOD = (400, 422)
+ACCEPTED_STATUSES = (200, 201)
+FORGOTTEN_STATUSES = (404, 400, 422)
+REJECTED_STATUSES = (400, 422)
 
 
 class Team(NamedTuple):
@@ -43,7 +43,7 @@
     """Follows tasks and answers, and records each violation.
 
     Attributes:
-        on: The machines that a task is on, with the zone of each.
+        placements: The machines that a task is on, with the zone of each.
         machines: The cloud's machines.
         start_count: How often a task started on a machine.
         starts_after_cancel: How many of them began after their user was told of a cancellation.
@@ -57,7 +57,7 @@
         self.cancel_s = cancel_s
         self.teams = teams
         self.violations: list[Violation] = []
-        self.on: dict[str, dict[str, str]] = {}
+        self.placements: dict[str, dict[str, str]] = {}
         self.machines: dict[str, Worker] = {}
         self.start_count = 0
         self.starts_after_cancel = 0
@@ -87,14 +87,16 @@
             if not self.is_done(need):
                 self.record("started_before_dependency", f"{name} starts before {need} is done")
         self.begun_at.setdefault(job_id, self.world.now)
-        places = self.on.setdefault(name, {})
-        if places:
-            self.record("ran_twice", f"{name} starts on {machine.name} while on {sorted(places)}")
+        machine_zones = self.placements.setdefault(name, {})
+        if machine_zones:
+            self.record(
+                "ran_twice", f"{name} starts on {machine.name} while on {sorted(machine_zones)}"
+            )
         if not self.may_be_placed(job_id, job, machine):
             self.record("wrong_place", f"{name} on {machine.name} in {machine.zone}")
         if not 0 <= number_of(name) < job.tasks:
             self.record("invented", f"{name} is no task of its job")
-        places[machine.name] = machine.zone
+        machine_zones[machine.name] = machine.zone
         self.check_quota(job.team)
         self.check_cancelled(name, job_id)
 
@@ -102,9 +104,9 @@
         """Whether a job allows a machine, given where its other tasks are now."""
         used_zones = [
             zone
-            for name, places in self.on.items()
+            for name, machine_zones in self.placements.items()
             if job_of(name) == job_id
-            for zone in places.values()
+            for zone in machine_zones.values()
         ]
         if job.allowed_types is not None and machine.type.label not in job.allowed_types:
             return False
@@ -120,8 +122,11 @@
     def check_quota(self, team: str) -> None:
         """Records it if a team's tasks use more than its quota."""
         quota = self.teams[team].cpu_quota
-        jobs = ((self.jobs[job_of(name)], places) for name, places in self.on.items())
-        used = sum(job.cpus * len(places) for job, places in jobs if job.team == team)
+        jobs = (
+            (self.jobs[job_of(name)], machine_zones)
+            for name, machine_zones in self.placements.items()
+        )
+        used = sum(job.cpus * len(machine_zones) for job, machine_zones in jobs if job.team == team)
         if quota and used > quota + CPU_SLACK:
             self.record("quota", f"{team} uses {used} of {quota}")
 
@@ -137,7 +142,7 @@
 
     def task_left(self, name: str, machine: str) -> None:
         """A task that ran on a machine is not on it any more."""
-        self.on.get(name, {}).pop(machine, None)
+        self.placements.get(name, {}).pop(machine, None)
         job_id = job_of(name)
         if job_id in self.cancelled_at:
             self.last_left_at[job_id] = self.world.now
@@ -163,8 +168,8 @@
             status: The status of the answer; 0 and below if there was none.
             body: The body of the answer.
         """
-        self.liveness.note_answer(status in ACCEPTED)
-        if status in ACCEPTED:
+        self.liveness.note_answer(status in ACCEPTED_STATUSES)
+        if status in ACCEPTED_STATUSES:
             self.failing_since.pop(job_id, None)
             if job_id not in self.jobs:
                 self.record("invented", f"{job_id} gets {status}")
@@ -172,7 +177,7 @@
             self.check_state(job_id, asked_at, wire.read_job_state(body))
             self.accepted_at.setdefault(job_id, self.world.now)
         elif job_id in self.accepted_at:
-            if status in FORGOTTEN:
+            if status in FORGOTTEN_STATUSES:
                 self.record("forgotten", f"{job_id} gets {status}")
             self.failing_since.setdefault(job_id, self.world.now)
 
@@ -180,7 +185,7 @@
         """Compares a state that a user was told with what is known of the job."""
         if state is JobState.DONE and not self.is_done(job_id):
             self.record("not_done", f"{job_id} is called done")
-        orphaned_at = self.need_cancelled_at(job_id)
+        orphaned_at = self.dependency_cancelled_at(job_id)
         if (
             state not in FINAL_STATES
             and orphaned_at is not None
@@ -190,16 +195,16 @@
                 "dependent_not_cancelled",
                 f"{job_id} is called {state}; a job before it was cancelled at {orphaned_at:.1f}",
             )
-        if state is JobState.CANCELLED and not self.is_called_off(job_id):
+        if state is JobState.CANCELLED and not self.is_to_be_cancelled(job_id):
             self.record("went_back", f"{job_id} is called cancelled; nobody asked")
         before = self.final.get(job_id)
-        if before is not None and state is not before.state and asked_at > before.told_at:
+        if before is not None and state is not before.state and asked_at > before.reported_at:
             self.record("went_back", f"{job_id} was {before.state}, is {state}")
         if state in FINAL_STATES:
             self.note_final(job_id, state, self.world.now)
 
     def answered_invalid(self, job_id: str, status: int) -> None:
         """A user got an answer to a submission that lacks a field or can never run."""
-        self.invalid_refused += status in REFUSED_FOR_GOOD
-        if status in ACCEPTED:
+        self.invalid_refused += status in REJECTED_STATUSES
+        if status in ACCEPTED_STATUSES:
             self.record("accepted_invalid", f"{job_id} is accepted")
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -11,11 +11,13 @@
 from .state_wire import LEADER, LIVE_PREFIX, SHARD, SHARD_PREFIX, Transaction
 
 # Times as shares of an agent's lease.
-ABLE_SHARE = 2 / 9  # a controller served by the state service within it can do its shards' work
-UNOWNED_SHARE = 1.0  # what a controller that has ended held must be others' after that
-FLAPPING_WINDOW_S, MAX_IN_WINDOW = 60.0, 4
+MAX_SERVED_AGE_SHARE = (
+    2 / 9
+)  # a controller served by the state service within it can do its shards' work
+MAX_UNOWNED_SHARE = 1.0  # what a controller that has ended held must be others' after that
+HANDOVER_WINDOW_S, MAX_HANDOVERS_IN_WINDOW = 60.0, 4
 CHECK_INTERVAL_S = 0.5
-WATCH_FROM_S = 1.0
+FIRST_CHECK_S = 1.0
 STARTUP_S = 10  # until then roles may be nobody's
 
 
@@ -54,7 +56,7 @@
     def watch(self) -> None:
         """Also records failovers from controllers that could work, what is left, and flapping."""
         self.watching = True
-        self.world.at(WATCH_FROM_S, self.check_unowned)
+        self.world.at(FIRST_CHECK_S, self.check_unowned)
 
     # --- the state service's history
 
@@ -154,14 +156,14 @@
             self.observer.record(
                 "false_failover", f"{owner} takes {role} from {before}, which could work"
             )
-        lately = [
+        recent_handovers = [
             change
             for change in self.handovers(0.0)
-            if change.role == role and change.at > self.world.now - FLAPPING_WINDOW_S
+            if change.role == role and change.at > self.world.now - HANDOVER_WINDOW_S
         ]
-        if len(lately) > MAX_IN_WINDOW:
+        if len(recent_handovers) > MAX_HANDOVERS_IN_WINDOW:
             self.observer.record(
-                "shard_flapping", f"{role} changed hands {len(lately)} times in a minute"
+                "shard_flapping", f"{role} changed hands {len(recent_handovers)} times in a minute"
             )
 
     # --- what roles and controllers are like
@@ -176,7 +178,7 @@
         It runs, does not stand still, and the state service serves it.
         """
         process, now = self.cluster.processes[controller], self.world.now
-        fresh_s = self.cluster.deployment.lease_s * ABLE_SHARE
+        fresh_s = self.cluster.deployment.lease_s * MAX_SERVED_AGE_SHARE
         return (
             process.alive
             and process.paused_until <= now
@@ -193,14 +195,14 @@
         """What is held by a process that is no more must find another owner in time."""
         self.world.at(CHECK_INTERVAL_S, self.check_unowned)
         now = self.world.now
-        somebody_able = any(map(self.is_able, self.cluster.names))
+        any_able = any(map(self.is_able, self.cluster.names))
         for role in [LEADER, *self.shards()]:
             owner = self.owner(role)
-            if self.is_alive(owner) or not somebody_able or now < STARTUP_S:
+            if self.is_alive(owner) or not any_able or now < STARTUP_S:
                 self.unowned_since.pop(role, None)
                 continue
             since = self.unowned_since.setdefault(role, now)
-            if now - since > UNOWNED_SHARE * self.cluster.deployment.lease_s:
+            if now - since > MAX_UNOWNED_SHARE * self.cluster.deployment.lease_s:
                 self.observer.record(
                     "left_unowned", f"{role} is {owner}'s, which is no more, since {since}"
                 )
--- a/tests/stand_ins/random_work.py
+++ b/tests/stand_ins/random_work.py
@@ -9,8 +9,8 @@
 SERVICE_SHARE = 0.25
 PRIORITIES = ["critical", "urgent", "normal", "idle"]
 CANCEL_SHARE = 0.35
-CANCEL_SHARE_WITH_NEEDS = 0.1
-MAX_NEEDS = 3
+CANCEL_SHARE_WITH_DEPENDENCIES = 0.1
+MAX_DEPENDENCIES = 3
 SUBMITTED_UNTIL_SHARE = 0.7  # of the time that a scenario lasts
 
 
@@ -25,13 +25,13 @@
     """
     world, rng = cluster.world, cluster.world.random
     earlier: list[str] = []
-    cancel_share = CANCEL_SHARE_WITH_NEEDS if needs_share else CANCEL_SHARE
+    cancel_share = CANCEL_SHARE_WITH_DEPENDENCIES if needs_share else CANCEL_SHARE
     for number in range(jobs):
         fields = draw_job(cluster, rng)
         job_id = f"job-{rng.randint(0, 999999):06d}"
         submitted_at = rng.uniform(0, until * SUBMITTED_UNTIL_SHARE) if number else 0.0
         if needs_share and earlier and rng.random() < needs_share:
-            count = min(len(earlier), rng.randint(1, MAX_NEEDS))
+            count = min(len(earlier), rng.randint(1, MAX_DEPENDENCIES))
             fields["needs"] = rng.sample(earlier, count)
         if needs_share and fields["shape"] == JobShape.ARRAY:
             earlier.append(job_id)
--- a/tests/stand_ins/real_time_world.py
+++ b/tests/stand_ins/real_time_world.py
@@ -21,22 +21,22 @@
     """The world's events at their real time, one after the other in the thread that runs it.
 
     Attributes:
-        fronts: The address where each controller serves users and workers.
+        front_addresses: The address where each controller serves users and workers.
         servers: The server of a stand-in for one of its clients, by both their names.
     """
 
     def __init__(self, seed: int) -> None:
-        self.begun_at = time.monotonic()
+        self.started_at = time.monotonic()
         self.planned = threading.Condition()
         super().__init__(seed)
         self.pool = ClientPool(CLIENT_THREADS, CLIENT_CONNECTIONS, "world")
-        self.fronts: dict[str, str] = {}
+        self.front_addresses: dict[str, str] = {}
         self.servers: dict[tuple[str, str], Server] = {}
 
     @property
     def now(self) -> float:
         """Seconds since the world began."""
-        return time.monotonic() - self.begun_at
+        return time.monotonic() - self.started_at
 
     @now.setter
     def now(self, value: float) -> None:
@@ -71,7 +71,7 @@
     ) -> None:
         """One call of a stand-in to a controller, over HTTP."""
         self.pool.call(
-            self.fronts[target],
+            self.front_addresses[target],
             method,
             path,
             body,
--- a/tests/stand_ins/serve_loopback.py
+++ b/tests/stand_ins/serve_loopback.py
@@ -30,7 +30,7 @@
 LIVE_JOBS = LIVE_PREFIX + jobs_wire.JOB_PREFIX
 MACHINES_PER_POOL = 10  # of each zone, spot or not
 BOOT_S = 3.0
-LOOK_S = 1.0  # between two looks for broken rules
+CHECK_INTERVAL_S = 1.0  # between two looks for broken rules
 
 
 class RecordedStateService(StateService):
@@ -87,7 +87,7 @@
 def make_world(settings: Settings) -> RealTimeWorld:
     """The stand-ins for one controller, listening; they act once the world runs."""
     world = RealTimeWorld(SEED)
-    world.fronts = {settings.node: "{}:{}".format(*settings.front)}
+    world.front_addresses = {settings.node: "{}:{}".format(*settings.front)}
     teams = {
         name: Team(team.guaranteed_cpus, team.cpu_quota) for name, team in settings.teams.items()
     }
@@ -111,7 +111,7 @@
     """Prints what was broken since the last look, and looks again in a moment."""
     for at_s, rule, text in observer.violations[printed:]:
         print(f"broken after {at_s} s: {rule}: {text}", flush=True)
-    world.at(LOOK_S, print_broken_rules, world, observer, len(observer.violations))
+    world.at(CHECK_INTERVAL_S, print_broken_rules, world, observer, len(observer.violations))
 
 
 def main() -> int:
--- a/tests/stand_ins/state_service.py
+++ b/tests/stand_ins/state_service.py
@@ -210,10 +210,10 @@
 
     def commit(self, transaction: Transaction, source: str) -> Answer:
         """Makes a transaction's changes if the limits, its leases and its conditions allow."""
-        excess = self.excess(transaction)
-        assert excess is None or self.limits_lowered, excess
-        if excess is not None:
-            self.refused_sizes.append((source, excess))
+        limit_violation = self.limit_violation(transaction)
+        assert limit_violation is None or self.limits_lowered, limit_violation
+        if limit_violation is not None:
+            self.refused_sizes.append((source, limit_violation))
             return 400, {"error": "too large"}
         if transaction.size_bytes() > TRANSACTION_BYTES:
             self.refused_transactions += 1
@@ -239,7 +239,7 @@
         found = self.keys.get(key)
         return 0 if found is None else found.mod_revision
 
-    def excess(self, transaction: Transaction) -> str | None:
+    def limit_violation(self, transaction: Transaction) -> str | None:
         """What of a transaction is above the limits, or None."""
         if (
             len(transaction.writes) > self.transaction_writes
@@ -295,6 +295,6 @@
             self.world.at(lease.expires_at - self.world.now, self.expire, number)
             return
         del self.leases[number]
-        gone = [Write(key, None) for key, row in self.keys.items() if row.lease == number]
-        if gone:
-            self.apply(gone)
+        removals = [Write(key, None) for key, row in self.keys.items() if row.lease == number]
+        if removals:
+            self.apply(removals)
--- a/tests/stand_ins/state_watches.py
+++ b/tests/stand_ins/state_watches.py
@@ -10,7 +10,7 @@
     from .state_service import StateService
 
 KEPT_CHANGES = 10_000
-PAUSE_S = 0.01  # how long after an outage watches are answered
+AFTER_OUTAGE_DELAY_S = 0.01  # how long after an outage watches are answered
 
 
 @dataclass(eq=False)
@@ -56,7 +56,7 @@
         """Answers the watches for which there is something to tell, or whose time is up."""
         outage_s = self.service.outage_until - self.world.now
         if outage_s > 0:
-            self.world.at(outage_s + PAUSE_S, self.serve)
+            self.world.at(outage_s + AFTER_OUTAGE_DELAY_S, self.serve)
             return
         for watch in list(self.open_watches):
             if self.service.is_refused(watch.source):
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -62,7 +62,7 @@
         if present is not None:
             if present.attempt != command.attempt:
                 # Refused as busy; that the refusal is not listed is enough for these tests.
-                self.machine.changed()
+                self.machine.schedule_change_heartbeat()
             return
         self.start_count += 1
         task = self.by_name[name] = RunningTask(command.attempt, self.start_count)
@@ -76,7 +76,7 @@
             if job.image not in self.images:
                 fetch_s = job.image_gb / self.machine.type.fetch_gb_per_s
             self.world.at(fetch_s, self.run, name, task.serial, job)
-            self.machine.changed()
+            self.machine.schedule_change_heartbeat()
 
     def stop(self, command: Command, task: RunningTask) -> None:
         """Stops a task, which saves first if it can and has the time."""
@@ -85,7 +85,7 @@
         if task.state is TaskState.RUNNING and saves:
             task.state = TaskState.SAVING
             self.world.at(job.checkpoint_save_s, self.saved, command.task, task.serial)
-            self.machine.changed()
+            self.machine.schedule_change_heartbeat()
         elif task.state is not TaskState.SAVING or command.grace_s == 0:
             self.exit(command.task, ExitReason.STOPPED)
 
@@ -113,7 +113,7 @@
 
     def run(self, name: str, serial: int, job: Submission) -> None:
         """The image is there, so the task runs."""
-        if self.postponed(self.run, name, serial, job):
+        if self.postpone_if_hung(self.run, name, serial, job):
             return
         task = self.find(name, serial, TaskState.FETCHING)
         if task is None:
@@ -121,7 +121,7 @@
         self.images.add(job.image)
         task.state = TaskState.RUNNING
         self.observer.task_started(name, self.machine)
-        self.machine.changed()
+        self.machine.schedule_change_heartbeat()
         if self.machine.faulty or job.fails:
             self.world.at(TIME_TO_FAIL_S, self.complete, name, serial, ExitReason.ERROR)
         elif job.runs_to_completion:
@@ -130,7 +130,7 @@
 
     def complete(self, name: str, serial: int, reason: ExitReason) -> None:
         """The task ends by itself."""
-        if self.postponed(self.complete, name, serial, reason):
+        if self.postpone_if_hung(self.complete, name, serial, reason):
             return
         if self.find(name, serial, TaskState.RUNNING) is not None:
             if reason is ExitReason.DONE:
@@ -139,7 +139,7 @@
 
     def saved(self, name: str, serial: int) -> None:
         """A task that was stopped has saved its progress."""
-        if self.postponed(self.saved, name, serial):
+        if self.postpone_if_hung(self.saved, name, serial):
             return
         task = self.find(name, serial, TaskState.SAVING)
         if task is not None:
@@ -152,7 +152,7 @@
         self.note_left(name, task)
         task.state = TaskState.EXITED
         task.exit_reason = reason
-        self.machine.changed()
+        self.machine.schedule_change_heartbeat()
 
     def kill_all(self) -> None:
         """Ends and forgets all tasks."""
@@ -172,7 +172,7 @@
             return None
         return None if self.machine.dead else task
 
-    def postponed(self, action: Callable[..., None], *args: object) -> bool:
+    def postpone_if_hung(self, action: Callable[..., None], *args: object) -> bool:
         """Whether the machine hangs; the action is then tried again."""
         if self.machine.hung:
             self.world.at(HUNG_RETRY_S, action, *args)
--- a/tests/stand_ins/users.py
+++ b/tests/stand_ins/users.py
@@ -14,12 +14,12 @@
 POLL_INTERVAL_S = 5.0
 FINAL_POLL_INTERVAL_S = 40.0  # users may ask again at any later time, more rarely
 RETRY_S = 1.0  # plus up to a second
-GIVE_UP_S = 60
-NEED_ACCEPTED_RETRY_S = 0.3
+RETRY_LIMIT_S = 60
+DEPENDENCY_ACCEPTED_RETRY_S = 0.3
 JOB_ACCEPTED_RETRY_S = 1.0
-SPREAD_OF_CANCELLATIONS_S = 0.2
+CANCELLATION_SPREAD_S = 0.2
 MAX_HUNG_MACHINES = 8
-AFTER_COMPLETION_S = 2.0  # within it a user reacts to the end of a job
+MAX_REACTION_S = 2.0  # within it a user reacts to the end of a job
 
 
 class Users:
@@ -46,7 +46,7 @@
         """Submits a job, once the jobs that it needs are accepted."""
         if not all(need in self.observer.accepted_at for need in job.needs or ()):
             # Users name what they know to be accepted.
-            self.world.at(NEED_ACCEPTED_RETRY_S, self.submit, job)
+            self.world.at(DEPENDENCY_ACCEPTED_RETRY_S, self.submit, job)
             return
         assert job.id is not None
         if job.actual_run_s is None:
@@ -64,7 +64,7 @@
             self.observer.answered(job_id, asked_at, status, body)
             if status in (200, 201):
                 self.world.at(POLL_INTERVAL_S, self.poll, job_id)
-            elif status not in (400, 422) and self.world.now - since < GIVE_UP_S:
+            elif status not in (400, 422) and self.world.now - since < RETRY_LIMIT_S:
                 self.world.at(self.draw_retry_s(), self.try_to_submit, job, since)
 
         self.post(wire.SUBMISSIONS_PATH, wire.write_submission(job), answered)
@@ -76,25 +76,25 @@
     def submit_again(self, job_id: str, changes: dict[str, Any] | None = None) -> None:
         """Repeats a submission, with some fields of its body changed."""
         body = {**wire.write_submission(self.observer.jobs[job_id]), **(changes or {})}
-        self.post(wire.SUBMISSIONS_PATH, body, self.note_answer(job_id))
+        self.post(wire.SUBMISSIONS_PATH, body, self.answer_recorder(job_id))
 
     # --- polls
 
     def poll(self, job_id: str) -> None:
         """Asks for a job's state again and again."""
-        note = self.note_answer(job_id)
+        note = self.answer_recorder(job_id)
 
         def answered(status: int, body: Any) -> None:
             note(status, body)
-            over = status == 200 and job_id in self.observer.final
-            delay = FINAL_POLL_INTERVAL_S if over else POLL_INTERVAL_S
+            finished = status == 200 and job_id in self.observer.final
+            delay = FINAL_POLL_INTERVAL_S if finished else POLL_INTERVAL_S
             self.world.at(delay, self.poll, job_id)
 
         self.get(wire.submission_path(job_id), answered)
 
     def poll_once(self, job_id: str) -> None:
         """Asks for a job's state."""
-        self.get(wire.submission_path(job_id), self.note_answer(job_id))
+        self.get(wire.submission_path(job_id), self.answer_recorder(job_id))
 
     # --- cancellations
 
@@ -112,20 +112,20 @@
             # Users cancel what they know to be accepted.
             self.world.at(JOB_ACCEPTED_RETRY_S, self.cancel, job_id, None, controller)
             return
-        begun_at = self.world.now if since is None else since
-        self.observer.cancel_asked.add(job_id)
-        note = self.note_answer(job_id)
+        first_asked_at = self.world.now if since is None else since
+        self.observer.cancel_requested.add(job_id)
+        note = self.answer_recorder(job_id)
 
         def answered(status: int, body: Any) -> None:
             note(status, body)
-            if status != 200 and self.world.now - begun_at < GIVE_UP_S:
-                self.world.at(self.draw_retry_s(), self.cancel, job_id, begun_at, controller)
+            if status != 200 and self.world.now - first_asked_at < RETRY_LIMIT_S:
+                self.world.at(self.draw_retry_s(), self.cancel, job_id, first_asked_at, controller)
 
         self.post(wire.cancel_path(job_id), {}, answered, controller)
 
     def cancel_once(self, job_id: str) -> None:
         """Asks to cancel a job, whatever the answer."""
-        self.post(wire.cancel_path(job_id), {}, self.note_answer(job_id))
+        self.post(wire.cancel_path(job_id), {}, self.answer_recorder(job_id))
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Cancels some running jobs almost at once.
@@ -135,11 +135,15 @@
             hang_s: How long some of their machines hang; 0: none does.
         """
         rng = self.world.random
-        running = {job_of(name) for name, places in self.observer.on.items() if places}
-        candidates = sorted(running - self.observer.cancel_asked)
+        running = {
+            job_of(name)
+            for name, machine_zones in self.observer.placements.items()
+            if machine_zones
+        }
+        candidates = sorted(running - self.observer.cancel_requested)
         chosen = rng.sample(candidates, min(count, len(candidates)))
         for job_id in chosen:
-            self.world.at(rng.uniform(0, SPREAD_OF_CANCELLATIONS_S), self.cancel, job_id)
+            self.world.at(rng.uniform(0, CANCELLATION_SPREAD_S), self.cancel, job_id)
         if hang_s:
             self.hang_machines_of(chosen, hang_s)
 
@@ -147,9 +151,9 @@
         """Hangs some of the machines that jobs are on."""
         names = {
             machine
-            for name, places in self.observer.on.items()
+            for name, machine_zones in self.observer.placements.items()
             if job_of(name) in job_ids
-            for machine in places
+            for machine in machine_zones
         }
         for name in self.world.random.sample(sorted(names), min(MAX_HUNG_MACHINES, len(names))):
             machine = self.observer.machines[name]
@@ -169,13 +173,13 @@
         rng = self.world.random
         if self.world.now < self.cancel_until and rng.random() < self.cancel_share:
             self.cancelled_on_completion += 1
-            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.cancel, job_id)
-            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.poll_once, job_id)
-            self.world.at(rng.uniform(0, AFTER_COMPLETION_S), self.submit_again, job_id)
+            self.world.at(rng.uniform(0, MAX_REACTION_S), self.cancel, job_id)
+            self.world.at(rng.uniform(0, MAX_REACTION_S), self.poll_once, job_id)
+            self.world.at(rng.uniform(0, MAX_REACTION_S), self.submit_again, job_id)
 
     # --- requests
 
-    def note_answer(self, job_id: str) -> Callable[[int, Any], None]:
+    def answer_recorder(self, job_id: str) -> Callable[[int, Any], None]:
         """What tells the observer of the answer to a request that is sent now."""
         asked_at = self.world.now
         return lambda status, body: self.observer.answered(job_id, asked_at, status, body)
--- a/tests/stand_ins/wire.py
+++ b/tests/stand_ins/wire.py
@@ -39,14 +39,14 @@
 # The fields of a submission that PROTOCOL does not let be null.
 NOT_NULL = [name for name in SUBMISSION_FIELDS.values() if name not in NULLABLE] + ["id"]
 # What a repeated submission may differ in, and what keeps a job from ever running.
-ODD_REPEATS: list[dict[str, Any]] = [
+REPEAT_CHANGES: list[dict[str, Any]] = [
     {},
     {"cpus": 1000.0},
     {"cpus": None},
     {"crew": "nobody"},
     {"embers": -1},
 ]
-NEVER_RUNNABLE: list[dict[str, Any]] = [
+UNSATISFIABLE_FIELDS: list[dict[str, Any]] = [
     {"cpus": 500.0},
     {"ram_gb": 1e6},
     {"hearth_kinds": ["none"]},
--- a/tests/stand_ins/worker.py
+++ b/tests/stand_ins/worker.py
@@ -84,7 +84,7 @@
         self.in_flight = False
         self.heartbeat_count = 0
         self.last_sent = -10.0
-        self.held_requests: list[tuple] = []  # what came while the machine hung
+        self.queued_requests: list[tuple] = []  # what came while the machine hung
 
     # --- the machine
 
@@ -125,8 +125,8 @@
         self.hung = False
         if self.dead:
             return
-        held, self.held_requests = self.held_requests, []
-        for request in held:
+        queued, self.queued_requests = self.queued_requests, []
+        for request in queued:
             self.handle(*request)
 
     def is_usable(self) -> bool:
@@ -168,14 +168,14 @@
         self.tasks.kill_all()
         self.agent_epoch += 1
         self.lease_renewed_at = self.world.now
-        self.changed()
+        self.schedule_change_heartbeat()
 
     # --- commands
 
     def handle(self, method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
         """Answers a request of a controller, once the machine does not hang."""
         if self.hung:
-            self.held_requests.append((method, path, body, source, reply))
+            self.queued_requests.append((method, path, body, source, reply))
         elif path == wire.COMMANDS_PATH:
             reply(*self.receive_commands(wire.read_commands(orjson.loads(body))))
         else:
@@ -199,7 +199,7 @@
 
     # --- heartbeats
 
-    def changed(self) -> None:
+    def schedule_change_heartbeat(self) -> None:
         """Plans a heartbeat that tells of a change, soon."""
         if self.up and not self.in_flight:
             delay = max(0.0, self.last_sent + MIN_HEARTBEAT_GAP_S - self.world.now)
@@ -268,7 +268,7 @@
         if status == 200:
             self.renew_lease(sent_at, agent_epoch, wire.read_commands(body))
         else:
-            self.turn_to_other_controller(wire.read_redirect(status, body))
+            self.switch_controller(wire.read_redirect(status, body))
 
     def renew_lease(self, sent_at: float, agent_epoch: int, received: wire.Commands) -> None:
         """Executes the commands of an answer unless it is out of date."""
@@ -280,7 +280,7 @@
         delay = self.settings.heartbeat_s * share
         self.world.at(delay, self.send_heartbeat, self.heartbeat_count)
 
-    def turn_to_other_controller(self, target: str | None) -> None:
+    def switch_controller(self, target: str | None) -> None:
         """Sends the next heartbeat to the controller that an answer names, or to the next one."""
         controllers = self.settings.controllers
         if target in controllers and target != controllers[self.controller]:
--- a/tests/stand_ins/world.py
+++ b/tests/stand_ins/world.py
@@ -79,7 +79,7 @@
         hosts: The handler of each host by its name; None while its process is down.
         powered_off: Hosts whose machine is off: silent while they are down.
         drops: Messages that are lost in one direction.
-        unconnectable: Connections that can't be opened in one direction.
+        blocked_connections: Connections that can't be opened in one direction.
         repeat_chance: The chance that a request arrives a second time, late.
         late_duplicates: Late duplicates of requests to one path, if any.
         max_extra_delay_s: The most that a message takes longer than usual.
@@ -95,7 +95,7 @@
         self.powered_off: set[str] = set()
         self.partitions: list[Partition] = []
         self.drops: list[OneWayBlock] = []
-        self.unconnectable: list[OneWayBlock] = []
+        self.blocked_connections: list[OneWayBlock] = []
         self.repeat_chance = 0.0
         self.late_duplicates: LateDuplicates | None = None
         self.max_extra_delay_s = 0.0
@@ -133,7 +133,7 @@
         self, sources: Iterable[str], targets: Iterable[str], seconds: float
     ) -> None:
         """Keeps hosts from opening connections; requests in the other direction work."""
-        self.unconnectable.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
+        self.blocked_connections.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
 
     def partition_between(self, source: str, target: str) -> Partition | None:
         """The first partition that separates two hosts now."""
@@ -189,7 +189,7 @@
                 # Its process has ended; the machine refuses the connection.
                 self.deliver(target, source, lambda: finish(REFUSED, None))
 
-        if not any(block.applies(source, target, self.now) for block in self.unconnectable):
+        if not any(block.applies(source, target, self.now) for block in self.blocked_connections):
             self.deliver(source, target, lambda: arrive(answer))
         if self.random.random() < self.repeat_chance:
             delay = self.random.uniform(MIN_REPEAT_DELAY_S, MAX_REPEAT_DELAY_S)
