--- a/tests/stand_ins/__init__.py
+++ b/tests/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for state service, cloud, workers and users, on simulated time."""
+"""Stand-ins for the state service, the cloud, workers and users, in simulated or real time."""
--- a/tests/stand_ins/cloud.py
+++ b/tests/stand_ins/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud: rents machines, lists them late, and takes some back."""
+"""A stand-in for the cloud: rents out machines, lists them with a lag, and reclaims some."""
 
 import urllib.parse
 from collections.abc import Iterator
@@ -15,14 +15,14 @@
 HOST = "cloud"
 LISTING_INTERVAL_S = 1.0
 KEPT_LISTINGS = 60
-# A machine's boot time, and the lag of the list, as shares of the nominal ones.
+# The ranges of a machine's boot time and of the list's lag, as shares of the nominal values.
 MIN_BOOT_SHARE, MAX_BOOT_SHARE = 0.6, 1.5
 MIN_LAG_SHARE, MAX_LAG_SHARE = 1, 2
 
 
 @dataclass(frozen=True)
 class MachineType:
-    """One machine type of the catalog, field by field."""
+    """A machine type of the catalog."""
 
     label: str = "box"
     cpus: float = 8.0
@@ -35,21 +35,21 @@
     zones: list[str] = field(default_factory=list)
 
     def row(self) -> dict[str, Any]:
-        """The type as the catalog shows it."""
+        """The row of this type in the catalog."""
         row = asdict(self)
         row["glades"] = row.pop("zones")
         return row
 
 
-Pool = tuple[str, bool]  # zone, whether its machines are spot machines
+Pool = tuple[str, bool]  # (zone, spot)
 
 
 class Cloud:
-    """Rents machines of one type.
+    """Rents out machines of one type.
 
     Attributes:
-        capacity: How many more machines each pool has.
-        outage_until: Until when it answers nobody.
+        capacity: The number of machines that each pool has left.
+        outage_until: The end of the current outage, in which every request gets a 503.
         boot_failure_share: The share of machines that never boot.
     """
 
@@ -78,7 +78,7 @@
         world.at(0, self.take_listing)
 
     def take_listing(self) -> None:
-        """Records the machine list as it is now, once a second; it is shown later."""
+        """Records the current machine list, periodically; requests see it after the lag."""
         rows = [machine.listed_row() for machine in self.machines.values() if machine.listed]
         self.listings.append((self.world.now, rows))
         self.listings = self.listings[-KEPT_LISTINGS:]
@@ -87,7 +87,7 @@
     # --- requests
 
     def handle(self, method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
-        """Answers one request of a controller."""
+        """Answers a controller's request."""
         if self.world.now < self.outage_until:
             reply(503, {"error": "trouble"})
             return
@@ -107,7 +107,7 @@
             reply(404, {})
 
     def list_machines(self, after: str) -> dict[str, Any]:
-        """One page of a machine list that is some seconds old."""
+        """Returns one page of a machine list that is a random lag old."""
         lag_s = self.list_lag_s * self.world.random.uniform(MIN_LAG_SHARE, MAX_LAG_SHARE)
         shown = self.world.now - lag_s
         rows: list[dict[str, Any]] = next(
@@ -116,7 +116,7 @@
         return wire.write_machine_list(rows, after)
 
     def scale_out(self, request: wire.ScaleOutRequest) -> tuple[int, dict[str, Any]]:
-        """Rents machines; a request that is repeated gets the same answer."""
+        """Rents out machines; a repeated request gets the same answer."""
         if request.name in self.answered_requests:
             return 200, wire.write_scaled_out(self.answered_requests[request.name])
         pool = (request.zone, request.spot)
@@ -129,14 +129,14 @@
         return 200, wire.write_scaled_out(names)
 
     def draw_boot_s(self) -> float:
-        """How long a machine takes to boot."""
+        """Draws a machine's boot time."""
         share = self.world.random.uniform(MIN_BOOT_SHARE, MAX_BOOT_SHARE)
         return self.machine_type.boot_s * share
 
     # --- machines
 
     def add(self, zone: str, spot: bool, boot_s: float) -> str:
-        """Adds one machine, which boots unless it is one of those that never do."""
+        """Adds a machine, which boots after `boot_s` unless it is drawn as a boot failure."""
         name = f"vm-{self.machine_count:06d}"
         self.machine_count += 1
         machine = Worker(
@@ -148,7 +148,7 @@
         return name
 
     def remove(self, name: str) -> None:
-        """Ends a machine and takes it from the list."""
+        """Stops a machine and removes it from the list."""
         machine = self.machines.get(name)
         if machine is not None and machine.listed:
             pool = (machine.zone, machine.spot)
@@ -157,28 +157,28 @@
             machine.listed = False
 
     def running(self) -> Iterator[Worker]:
-        """The machines that are up."""
+        """The listed machines that are up."""
         return (machine for machine in self.machines.values() if machine.up and machine.listed)
 
     # --- faults
 
     def kill_machines(self, count: int) -> None:
-        """Stops some machines with all that is on them; the list shows them for a while."""
+        """Kills random machines with their tasks; they remain in the machine list."""
         for machine in self.sample_running(count):
             machine.end()
 
     def hang_machines(self, count: int, seconds: float) -> None:
-        """Hangs some machines."""
+        """Hangs random machines."""
         for machine in self.sample_running(count):
             machine.hang(seconds)
 
     def sample_running(self, count: int) -> list[Worker]:
-        """So many machines that are up, or all of them."""
+        """Draws machines that are up: `count` of them, or all if there are fewer."""
         running = list(self.running())
         return self.world.random.sample(running, min(count, len(running)))
 
     def reclaim_spot(self, share: float, notice_s: float) -> None:
-        """Takes a share of the spot machines back, with notice or without."""
+        """Reclaims a share of the spot machines, after `notice_s` or at once."""
         spots = [machine for machine in self.running() if machine.spot]
         for machine in spots[: max(1, int(len(spots) * share))]:
             if notice_s:
@@ -187,5 +187,5 @@
             self.world.at(notice_s, self.remove, machine.name)
 
     def begin_outage(self, seconds: float) -> None:
-        """Answers nobody for a while."""
+        """Refuses all requests for a while."""
         self.outage_until = self.world.now + seconds
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment on simulated time: controllers of this service among stand-ins."""
+"""A deployment on simulated time: controllers of this service, and stand-ins for the rest."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -28,9 +28,9 @@
 
     Attributes:
         names: The controllers' names.
-        previous: The controllers that run the version before.
-        processes: The newest process of each controller.
-        controllers: The actors of that process.
+        previous: The controllers that run the previous version.
+        processes: The current process of each controller; after a crash, the one that ended.
+        controllers: The controller object in that process.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
             self.begin(name)
 
     def make_state_service(self) -> StateService:
-        """The state service with the deployment's limits."""
+        """Creates the state service with the deployment's limits."""
         limits = self.deployment
         return StateService(
             self.world, limits.rps, limits.write_rps, limits.value_bytes, limits.txn_ops
         )
 
     def make_cloud(self) -> Cloud:
-        """The cloud with the deployment's capacity."""
+        """Creates the cloud with the deployment's capacity."""
         deployment = self.deployment
         return Cloud(
             self.world,
@@ -112,12 +112,12 @@
         self.controllers[name] = controller
 
     def crash(self, name: str, seconds: float, power: bool = True) -> None:
-        """Ends a controller's process, and starts it again after some seconds.
+        """Ends a controller's process and starts a new one after a time.
 
         Args:
             name: The controller.
             seconds: How long it is down.
-            power: Whether its machine is up; else nothing refuses connections.
+            power: Whether its machine stays up and refuses connections meanwhile.
         """
         if not self.processes[name].alive:
             return
@@ -130,26 +130,26 @@
         self.world.at(seconds, self.begin, name)
 
     def upgrade(self, name: str, seconds: float) -> None:
-        """Ends a controller, which comes back with the new version."""
+        """Restarts a controller with the new version."""
         self.previous.discard(name)
         self.crash(name, seconds)
 
     def downgrade(self, name: str, seconds: float) -> None:
-        """Ends a controller, which comes back with the version before."""
+        """Restarts a controller with the previous version."""
         self.previous.add(name)
         self.crash(name, seconds)
 
     def pause(self, name: str, seconds: float) -> None:
-        """Lets a process stand still while its clocks go on; then it handles all that came."""
+        """Pauses a process while its clocks go on; then it handles all messages that arrived."""
         self.processes[name].pause(self.world.now + seconds)
 
     def leader(self) -> str | None:
-        """Who leads, as the state service has it."""
+        """The current leader according to the state service."""
         row = self.state.keys.get(state_wire.LEADER_KEY)
         return None if row is None else state_wire.read_owner(row.data)
 
     def crash_leader(self, seconds: float) -> None:
-        """Ends the controller that leads, if one does."""
+        """Crashes the current leader, if there is one."""
         leader = self.leader()
         if leader is not None:
             self.crash(leader, seconds)
@@ -166,42 +166,42 @@
         return [*self.names, *hosts, *self.cloud.machines]
 
     def isolate(self, name: str, seconds: float, mode: PartitionMode) -> None:
-        """Cuts a controller off from everything."""
+        """Partitions a controller from all other hosts."""
         rest = [host for host in self.all_hosts() if host != name]
         self.world.partition([name], rest, seconds, mode)
 
     def isolate_from_control_plane(self, name: str, seconds: float, mode: PartitionMode) -> None:
-        """Cuts a controller off from state service and other controllers, not from workers."""
+        """Partitions a controller from the state service and its peers, not from workers."""
         rest = [state_service.HOST, *self.others(name)]
         self.world.partition([name], rest, seconds, mode)
 
     def partition_controllers(self, seconds: float) -> None:
-        """Cuts the controllers off from each other."""
+        """Partitions the controllers from each other."""
         for name in self.names:
             self.world.partition([name], self.others(name), seconds, PartitionMode.DROP)
 
     def partition_zone(self, zone: str, seconds: float, mode: PartitionMode) -> None:
-        """Cuts everything in a zone, controllers included, off from everything else."""
+        """Partitions all hosts of a zone, controllers included, from all other hosts."""
         inside = [name for name in self.names if self.deployment.zone_of(name) == zone]
         inside += [name for name, row in self.cloud.machines.items() if row.zone == zone]
         outside = set(self.all_hosts()) - set(inside)
         self.world.partition(inside, outside, seconds, mode)
 
     def duplicate_heartbeats(self, chance: float, min_delay_s: float, max_delay_s: float) -> None:
-        """Lets duplicates of agents' heartbeats arrive late, at any controller."""
+        """Delivers duplicates of agents' heartbeats late, to random controllers."""
         self.world.late_duplicates = LateDuplicates(
             AGENT_HEARTBEAT_PATH, chance, min_delay_s, max_delay_s, self.names
         )
 
     def end_faults(self) -> None:
-        """Tells the observer that all faults are over, and ends those of single messages."""
+        """Notifies the observer of the end of all faults, and ends message loss and duplication."""
         self.observer.liveness.faults_ended_at = self.world.now
         self.world.late_duplicates = None
         self.world.loss = 0.0
         self.world.repeat_chance = 0.0
 
     def lower_state_limits(self) -> None:
-        """Puts the limits that were announced for the state service in force."""
+        """Puts the announced limits of the state service into force."""
         limits = self.deployment.lowered_limits()
         assert limits.value_bytes is not None
         assert limits.txn_ops is not None
@@ -218,7 +218,7 @@
         body: str,
         answers: list[tuple[int, Any, Any]],
     ) -> None:
-        """Sends one request past the network, and keeps (status, body, retry) of its answer."""
+        """Sends a request without the network; appends (status, body, retry) to `answers`."""
         handler = self.world.hosts[controller]
         assert handler is not None
 
--- a/tests/stand_ins/combined_faults.py
+++ b/tests/stand_ins/combined_faults.py
@@ -1,4 +1,4 @@
-"""Faults that meet within a few seconds: each kind begins here with what was drawn for it."""
+"""The kinds of faults that scenarios combine within a few seconds of each other."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from .cluster import Cluster
 from .world import PartitionMode
 
-LEADER_CHANCE = 0.6  # that a fault hits the leader rather than any controller
+LEADER_CHANCE = 0.6  # the probability that a fault hits the leader and not a random controller
 RESTART_S = [0.05, 0.3, 3.0]
 MAX_SLOW_STATE_S = 3.0
 MAX_PAUSE_S = 25
@@ -17,11 +17,11 @@
 
 
 class CombinedFault(NamedTuple):
-    """One fault, drawn.
+    """The parameters drawn for one fault.
 
     Attributes:
         machines: All machines that are up.
-        some_machines: One to four of them.
+        some_machines: One to four of them, drawn at random.
     """
 
     cluster: Cluster
@@ -33,7 +33,10 @@
 
 
 def inject(cluster: Cluster, kind: str, seconds: float) -> None:
-    """Begins one fault; the order of the draws is part of every seed."""
+    """Draws a fault's parameters and begins it.
+
+    The order of the draws must not change: it determines what a seed means.
+    """
     rng = cluster.world.random
     leader = cluster.leader()
     hits_leader = leader is not None and rng.random() < LEADER_CHANCE
@@ -50,7 +53,7 @@
 
 
 def state_outage(fault: CombinedFault) -> None:
-    """The state service is away."""
+    """The state service has an outage."""
     fault.cluster.state.begin_outage(fault.seconds)
 
 
@@ -61,7 +64,7 @@
 
 
 def slow_state(fault: CombinedFault) -> None:
-    """Messages between the state service and one controller are held up."""
+    """Messages between the state service and one controller are delayed."""
     fault.cluster.world.partition(
         [fault.controller],
         [state_service.HOST],
@@ -71,19 +74,19 @@
 
 
 def crash(fault: CombinedFault) -> None:
-    """A controller ends and comes back."""
+    """A controller crashes and restarts."""
     fault.cluster.crash(fault.controller, fault.cluster.world.random.choice(RESTART_S))
 
 
 def crash_all(fault: CombinedFault) -> None:
-    """All controllers end and come back."""
+    """All controllers crash and restart."""
     for name in fault.cluster.names:
         down_s = fault.cluster.world.random.choice([*RESTART_S, fault.seconds])
         fault.cluster.crash(name, down_s)
 
 
 def crash_leaders(fault: CombinedFault) -> None:
-    """The leader ends, ten times over."""
+    """The current leader crashes, ten times in a row."""
     cluster = fault.cluster
     for number in range(LEADER_CRASHES):
         delay = number * fault.seconds / LEADER_CRASHES
@@ -92,18 +95,18 @@
 
 
 def isolate_from_control_plane(fault: CombinedFault) -> None:
-    """A controller is cut off from state service and peers."""
+    """A controller is partitioned from the state service and its peers."""
     fault.cluster.isolate_from_control_plane(fault.controller, fault.seconds, fault.mode)
 
 
 def partition_zone(fault: CombinedFault) -> None:
-    """A zone is cut off."""
+    """A zone is partitioned from all other hosts."""
     zone = fault.cluster.world.random.choice(fault.cluster.deployment.zones)
     fault.cluster.partition_zone(zone, fault.seconds, fault.mode)
 
 
 def partition_machines(fault: CombinedFault) -> None:
-    """Some machines are cut off from all controllers."""
+    """Some machines are partitioned from all controllers."""
     if fault.some_machines:
         fault.cluster.world.partition(
             fault.some_machines, fault.cluster.names, fault.seconds, fault.mode
@@ -111,13 +114,13 @@
 
 
 def make_unreachable(fault: CombinedFault) -> None:
-    """Heartbeats of some machines arrive; answers and commands don't."""
+    """Some machines get no messages from controllers; their heartbeats arrive."""
     if fault.some_machines:
         fault.cluster.world.drop_messages(fault.cluster.names, fault.some_machines, fault.seconds)
 
 
 def block_heartbeats(fault: CombinedFault) -> None:
-    """Some machines, or all, reach no controller; direct commands still pass."""
+    """Some or all machines can't connect to controllers; direct commands reach them."""
     if fault.some_machines:
         machines = fault.cluster.world.random.choice([fault.some_machines, fault.machines])
         fault.cluster.world.block_connections(machines, fault.cluster.names, fault.seconds)
@@ -130,19 +133,19 @@
 
 
 def kill_machines(fault: CombinedFault) -> None:
-    """Some machines stop."""
+    """Some machines are killed."""
     fault.cluster.cloud.kill_machines(fault.cluster.world.random.randint(1, 3))
 
 
 def cancel_running_jobs(fault: CombinedFault) -> None:
-    """Users cancel some running jobs at once, and some of their machines may hang."""
+    """Users cancel some running jobs at once; some of the jobs' machines may hang."""
     rng = fault.cluster.world.random
     count = rng.randint(1, 6)
     fault.cluster.users.cancel_running_jobs(count, rng.choice([0, fault.seconds]))
 
 
 def cancel_on_completion(fault: CombinedFault) -> None:
-    """Users cancel jobs at the moment of their end."""
+    """Users cancel jobs just when they complete."""
     share = fault.cluster.world.random.uniform(0.3, 1.0)
     fault.cluster.users.cancel_on_completion(share, fault.seconds)
 
@@ -153,17 +156,17 @@
 
 
 def partition_controllers(fault: CombinedFault) -> None:
-    """Controllers don't reach each other."""
+    """Controllers can't reach each other."""
     fault.cluster.partition_controllers(fault.seconds)
 
 
 def pause(fault: CombinedFault) -> None:
-    """A controller stands still."""
+    """A controller's process is paused."""
     fault.cluster.pause(fault.controller, min(fault.seconds, MAX_PAUSE_S))
 
 
 def delay_messages(fault: CombinedFault) -> None:
-    """Commands, heartbeats and their answers are held up for seconds and then go on."""
+    """Commands, heartbeats and their answers are delayed for some seconds."""
     if fault.some_machines:
         fault.cluster.world.partition(
             fault.some_machines,
@@ -174,12 +177,12 @@
 
 
 def duplicate_heartbeats(fault: CombinedFault) -> None:
-    """Duplicates of heartbeats come late, to any controller."""
+    """Duplicates of heartbeats arrive late, at random controllers."""
     chance = fault.cluster.world.random.uniform(0.02, 0.3)
     fault.cluster.duplicate_heartbeats(chance, MIN_DUPLICATE_S, MAX_DUPLICATE_S)
 
 
-# In this order: the draw of a seed names a place.
+# The order must not change: a seed's draw is an index into these.
 KINDS: dict[str, Callable[[CombinedFault], None]] = {
     function.__name__: function
     for function in (
--- a/tests/stand_ins/deployment.py
+++ b/tests/stand_ins/deployment.py
@@ -1,4 +1,4 @@
-"""What a deployment consists of, and the settings that its platform gives each controller."""
+"""The parameters of a deployment, and the settings that its platform gives each controller."""
 
 from dataclasses import dataclass, field
 
@@ -6,7 +6,7 @@
 
 from . import observer
 
-# Where the stand-ins are; simulated hosts have no ports, but settings name some.
+# The addresses of the stand-ins. Simulated hosts have no ports, but the settings require some.
 STATE_ADDRESS = ("state", 1)
 CLOUD_ADDRESS = ("cloud", 1)
 FRONT_PORT, INTERNAL_PORT = 1, 2
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class StateLimits:
-    """Limits of the state service that are announced for later; None: stays as it is."""
+    """Announced future limits of the state service; None: the limit does not change."""
 
     value_bytes: int | None = None
     txn_ops: int | None = None
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """How many controllers there are, and what limits they and the stand-ins keep to.
+    """The size of a deployment and the limits of its controllers and stand-ins.
 
     Attributes:
-        controllers: How many there are.
-        rps: Requests a second that the state service takes.
-        write_rps: Puts and removals a second that it takes.
-        value_bytes: The largest value that it takes.
-        txn_ops: The most puts and removals of a transaction.
+        controllers: The number of controllers.
+        rps: The state service's limit on requests per second.
+        write_rps: Its limit on puts and removals per second.
+        value_bytes: Its limit on the size of a value.
+        txn_ops: Its limit on puts and removals in a transaction.
         heartbeat_s: The interval of agents' heartbeats.
-        capacity: How many machines each pool of the cloud has.
-        next_limits: Limits of the state service announced for later.
-        zones: The zones; controllers are spread over them in turn.
+        capacity: The number of machines in each pool of the cloud.
+        next_limits: Announced future limits of the state service.
+        zones: The zones; controllers are assigned to them round-robin.
         teams: The teams by their names.
     """
 
@@ -58,7 +58,7 @@
 
     @property
     def names(self) -> list[str]:
-        """The controllers."""
+        """The names of the controllers."""
         return [f"hearth-{number}" for number in range(self.controllers)]
 
     def zone_of(self, controller: str) -> str:
@@ -66,7 +66,7 @@
         return self.zones[self.names.index(controller) % len(self.zones)]
 
     def lowered_limits(self) -> StateLimits:
-        """The state service's limits once those that are announced are in force."""
+        """The state service's limits once the announced ones are in force."""
         announced = self.next_limits
         return StateLimits(
             self.value_bytes if announced.value_bytes is None else announced.value_bytes,
@@ -79,7 +79,7 @@
 
         Args:
             name: The controller.
-            reads_announced: Whether it keeps to the limits that are announced for later.
+            reads_announced: Whether it already respects the announced limits.
         """
         write_rps, value_bytes, txn_ops = self.write_rps, self.value_bytes, self.txn_ops
         if reads_announced:
--- a/tests/stand_ins/forwarder.py
+++ b/tests/stand_ins/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards the connections of one host to another, and holds them up while the link is cut."""
+"""Forwards connections from one host to another, and stalls them while the link is partitioned."""
 
 import socket
 import threading
@@ -8,14 +8,14 @@
 from .real_time_world import LOOPBACK, RealTimeWorld
 
 CHUNK_BYTES = 64 * 1024
-POLL_INTERVAL_S = 0.05  # how often a forwarder looks whether its link is whole again
+POLL_INTERVAL_S = 0.05  # how often a forwarder checks whether its link works again
 
 
 class Forwarder:
-    """One link, in one direction of opening connections.
+    """A link between two hosts, over which the source opens connections to the target.
 
     Attributes:
-        address: Where it takes connections.
+        address: The address at which it accepts connections.
     """
 
     def __init__(self, world: RealTimeWorld, source: str, target: str, port: int) -> None:
@@ -28,54 +28,56 @@
         self.open()
 
     def open(self) -> None:
-        """Takes connections, at the same port as before."""
+        """Starts to accept connections; after `refuse`, at the same port as before."""
         if self.listener is None:
             self.listener = socket.create_server(self.address)
             self.address = self.listener.getsockname()
             threading.Thread(target=self.accept, args=(self.listener,), daemon=True).start()
 
     def refuse(self) -> None:
-        """Refuses connections, as the machine of a process that has ended does."""
+        """Refuses connections, as a machine does whose process has ended."""
         if self.listener is not None:
             self.listener.shutdown(socket.SHUT_RDWR)
             self.listener.close()
             self.listener = None
 
     def accept(self, listener: socket.socket) -> None:
-        """Takes connections until the listener is closed."""
+        """Accepts connections until the listener is closed."""
         while True:
             try:
-                near, _ = listener.accept()
+                accepted, _ = listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self.connect, args=(near,), daemon=True).start()
+            threading.Thread(target=self.connect, args=(accepted,), daemon=True).start()
 
-    def connect(self, near: socket.socket) -> None:
-        """Connects to the target once the link is whole, and forwards in both directions."""
+    def connect(self, accepted: socket.socket) -> None:
+        """Connects to the target once the link works, and forwards in both directions."""
         self.wait_for_link(self.source, self.target)
         try:
-            far = socket.create_connection((LOOPBACK, self.port))
+            connected = socket.create_connection((LOOPBACK, self.port))
         except OSError:
-            near.close()
+            accepted.close()
             return
         for arguments in (
-            (near, far, self.source, self.target),
-            (far, near, self.target, self.source),
+            (accepted, connected, self.source, self.target),
+            (connected, accepted, self.target, self.source),
         ):
             threading.Thread(target=self.pump, args=arguments, daemon=True).start()
 
     def wait_for_link(self, source: str, target: str) -> None:
-        """Returns once what the source sends can reach the target."""
+        """Blocks until messages of the source can reach the target."""
         while self.world.is_blocked(source, target):
             time.sleep(POLL_INTERVAL_S)
 
-    def pump(self, near: socket.socket, far: socket.socket, source: str, target: str) -> None:
-        """Forwards in one direction until one of the ends closes."""
+    def pump(
+        self, receiving: socket.socket, sending: socket.socket, source: str, target: str
+    ) -> None:
+        """Forwards in one direction until either end closes, then closes both."""
         with suppress(OSError):
-            while data := near.recv(CHUNK_BYTES):
+            while data := receiving.recv(CHUNK_BYTES):
                 self.wait_for_link(source, target)
-                far.sendall(data)
-        for end in (near, far):
+                sending.sendall(data)
+        for end in (receiving, sending):
             with suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
             end.close()
--- a/tests/stand_ins/invalid_requests.py
+++ b/tests/stand_ins/invalid_requests.py
@@ -1,4 +1,4 @@
-"""Users who repeat jobs with another body, cancel what is done, and submit what can never run."""
+"""Invalid requests of users: altered repeats, cancellations of done jobs, and invalid jobs."""
 
 from . import wire
 from .submissions import Submission
@@ -9,7 +9,7 @@
 
 
 class InvalidRequests:
-    """Draws such requests; none of the jobs that they submit may be accepted."""
+    """Sends random invalid requests; no job that they submit may be accepted."""
 
     def __init__(self, users: Users, team: str) -> None:
         self.users = users
@@ -18,7 +18,7 @@
         self.team = team
 
     def begin(self, seconds: float) -> None:
-        """Sends one a second, at random moments."""
+        """Schedules one request per second on average, at random times."""
         rng = self.world.random
         for number in range(int(seconds)):
             delay = rng.uniform(0, seconds)
@@ -26,7 +26,7 @@
             self.world.at(delay, self.send, rng.randrange(KINDS), job_id)
 
     def send(self, kind: int, invalid_id: str) -> None:
-        """Sends one of a kind: a repeat, a cancellation, a job without a field, one too large."""
+        """Sends a repeat (kind 0), a cancellation (1), or an invalid submission (2 and 3)."""
         rng, observer = self.world.random, self.observer
         live = sorted(set(observer.accepted_at) - set(observer.final))
         done = sorted(job for job, row in observer.final.items() if row.state is JobState.DONE)
@@ -38,7 +38,7 @@
             self.submit_invalid(kind, invalid_id)
 
     def submit_invalid(self, kind: int, invalid_id: str) -> None:
-        """Submits a job that lacks a field (kind 2) or that can never run."""
+        """Submits a job that lacks a field (kind 2) or that can never run (kind 3)."""
         rng = self.world.random
         body = wire.write_submission(Submission(id=invalid_id, team=self.team))
         if kind == 2:
--- a/tests/stand_ins/job_ledger.py
+++ b/tests/stand_ins/job_ledger.py
@@ -1,4 +1,4 @@
-"""What is known of each job: what was submitted, and what users have been told."""
+"""The history of each job: its submission, its task events, and the answers that users got."""
 
 from typing import NamedTuple
 
@@ -7,27 +7,27 @@
 
 
 class FinalState(NamedTuple):
-    """A final state, and when a user was told of it first."""
+    """A final state, and when a user first received it."""
 
     state: JobState
     reported_at: float
 
 
 class JobLedger:
-    """All jobs by their ids; times are seconds of the world.
+    """The history of all jobs by id; times are in seconds of the world's clock.
 
     Attributes:
-        jobs: What was submitted, once a user has tried to.
-        submitted_at: When a user tried to submit it first.
-        accepted_at: When a user was told that it is accepted.
-        cancel_requested: The jobs whose cancellation a user has asked for.
-        cancelled_at: When a user was told that it is cancelled.
-        last_left_at: When the last of its tasks left a machine after that.
-        final: Its final state.
-        done: The numbers of its tasks that have completed.
-        begun_at: When its first task started.
+        jobs: The submission, from the first attempt to send it.
+        submitted_at: When the submission was first sent.
+        accepted_at: When a user first got an answer that the job is accepted.
+        cancel_requested: The jobs whose cancellation a user has requested.
+        cancelled_at: When a user first got an answer that the job is cancelled.
+        last_left_at: When a task of the cancelled job last ended on a machine.
+        final: The final state.
+        done: The numbers of the tasks that have completed.
+        begun_at: When the first task started.
         ended_at: When the last task of an array completed.
-        failing_since: Since when no question about it gets a proper answer.
+        failing_since: Since when all requests about the job have failed.
     """
 
     def __init__(self) -> None:
@@ -48,33 +48,33 @@
         return len(self.done.get(job_id, ())) >= self.jobs[job_id].tasks
 
     def all_dependencies(self, job_id: str) -> list[str]:
-        """The jobs that a job needs, directly or through others."""
+        """The direct and indirect dependencies of a job."""
         found: list[str] = []
         stack = [job_id]
         while stack:
-            for need in self.jobs[stack.pop()].needs or ():
-                if need in self.jobs and need not in found:
-                    found.append(need)
-                    stack.append(need)
+            for dependency in self.jobs[stack.pop()].needs or ():
+                if dependency in self.jobs and dependency not in found:
+                    found.append(dependency)
+                    stack.append(dependency)
         return found
 
     def is_to_be_cancelled(self, job_id: str) -> bool:
-        """Whether a user asked to cancel the job or one that it needs."""
+        """Whether a user requested to cancel the job or one of its dependencies."""
         return job_id in self.cancel_requested or any(
-            need in self.cancel_requested for need in self.all_dependencies(job_id)
+            dependency in self.cancel_requested for dependency in self.all_dependencies(job_id)
         )
 
     def dependency_cancelled_at(self, job_id: str) -> float | None:
-        """When a user was first told that a job before this one is cancelled."""
+        """When a user first got an answer that a dependency of the job is cancelled."""
         cancelled_at = [
-            self.cancelled_at[need]
-            for need in self.all_dependencies(job_id)
-            if need in self.cancelled_at
+            self.cancelled_at[dependency]
+            for dependency in self.all_dependencies(job_id)
+            if dependency in self.cancelled_at
         ]
         return min(cancelled_at, default=None)
 
     def note_final(self, job_id: str, state: JobState, now: float) -> None:
-        """Keeps the final state that a user was told first."""
+        """Records the first final state that a user received."""
         self.final.setdefault(job_id, FinalState(state, now))
         if state is JobState.CANCELLED:
             self.cancelled_at.setdefault(job_id, now)
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -1,4 +1,4 @@
-"""What must not last for too long: silence about a job, waiting for free machines, starvation."""
+"""Checks of liveness: jobs must be answered for, tasks placed, and no group of jobs starved."""
 
 from typing import TYPE_CHECKING
 
@@ -8,21 +8,23 @@
     from .observer import Observer
 
 CHECK_INTERVAL_S = 1.0
-MAX_FAILING_S = 90  # PROTOCOL: polls for a job may fail for so long while most others get answers
-MAX_FAILING_AFTER_FAULTS_S = 75  # the same once all faults are over, however others fare
-MAX_PENDING_S = 90  # a task for which there is a machine may wait for so long
+# PROTOCOL: how long requests about one job may fail while most other requests get answers.
+MAX_FAILING_S = 90
+# The same once all faults have ended, whether or not other requests get answers.
+MAX_FAILING_AFTER_FAULTS_S = 75
+MAX_PENDING_S = 90  # how long a task may be pending while a machine has capacity for it
 ANSWERS_KEPT_S = 90
-LARGEST_JOBS_DIVISOR = 10  # the largest tenth of each class
-MAX_LARGEST_START_S = 240  # the time that these have to begin
+LARGEST_JOBS_DIVISOR = 10  # the largest jobs of a class are its largest tenth
+MAX_LARGEST_START_S = 240  # the time within which the largest jobs have to start
 
 
 class LivenessChecks:
-    """Looks once a second for what has lasted too long, and records it as a violation.
+    """Checks once a second for conditions that have lasted too long; records them as violations.
 
     Attributes:
-        faults_ended_at: When the last fault was over, once that is known.
-        pending_since: Since when a task of a job waits that could run.
-        answers: Of the last answers to users, (when, whether it was a proper one).
+        faults_ended_at: When the last fault ended; None until then.
+        pending_since: By job, since when one of its tasks has been pending that could run.
+        answers: The recent answers to users as (time, whether the request succeeded).
     """
 
     def __init__(self, observer: "Observer") -> None:
@@ -33,13 +35,13 @@
         self.answers: list[tuple[float, bool]] = []
         self.world.at(CHECK_INTERVAL_S, self.check)
 
-    def note_answer(self, proper: bool) -> None:
-        """A user got an answer, or none."""
+    def note_answer(self, succeeded: bool) -> None:
+        """Records whether a user's request succeeded."""
         kept = [row for row in self.answers if row[0] > self.world.now - ANSWERS_KEPT_S]
-        self.answers = [*kept, (self.world.now, proper)]
+        self.answers = [*kept, (self.world.now, succeeded)]
 
     def check(self) -> None:
-        """Looks for what has lasted too long."""
+        """Runs all checks and schedules the next run."""
         self.check_cancelled()
         self.check_failing()
         if self.faults_ended_at is not None:
@@ -47,7 +49,7 @@
         self.world.at(CHECK_INTERVAL_S, self.check)
 
     def check_cancelled(self) -> None:
-        """Tasks of a cancelled job must be gone in time."""
+        """Checks that the tasks of cancelled jobs leave their machines in time."""
         observer = self.observer
         for job_id, cancelled_at in observer.cancelled_at.items():
             if self.world.now <= cancelled_at + observer.cancel_s:
@@ -57,27 +59,30 @@
                     observer.record("ran_cancelled", f"{name} is on {sorted(machine_zones)}")
 
     def check_failing(self) -> None:
-        """Questions about a job must not fail for long while others are answered."""
+        """Checks that requests about a job do not fail for long while others succeed."""
         observer, now = self.observer, self.world.now
-        most_answered = sum(proper for _, proper in self.answers) > len(self.answers) / 2
+        most_answered = sum(succeeded for _, succeeded in self.answers) > len(self.answers) / 2
         for job_id, since in observer.failing_since.items():
             if now - since > MAX_FAILING_S and most_answered:
-                observer.record("forgotten", f"polls for {job_id} fail since {since:.0f}")
-            # Once all faults are over, a job stays known however others fare.
+                observer.record(
+                    "forgotten", f"requests about {job_id} have failed since {since:.0f}"
+                )
+            # Once all faults have ended, this holds whether or not other requests succeed.
             if (
                 self.faults_ended_at is not None
                 and now - max(since, self.faults_ended_at) > MAX_FAILING_AFTER_FAULTS_S
             ):
                 observer.record(
-                    "forgotten", f"no question about {job_id} is answered since {since:.0f}"
+                    "forgotten", f"no request about {job_id} has succeeded since {since:.0f}"
                 )
 
-    # --- waiting for a machine
+    # --- pending tasks
 
     def check_pending(self, faults_ended_at: float) -> None:
-        """Once all faults are over, no task waits long that a machine is free for.
+        """Checks that no task that could run stays pending for long.
 
-        Within its team's quota, that is.
+        A task could run if a machine has capacity for it within its team's quota. The time counts
+        from the end of the faults.
         """
         observer, now = self.observer, self.world.now
         placed, team_cpus = self.placed_tasks()
@@ -90,11 +95,12 @@
             since = self.pending_since.setdefault(job_id, now)
             if now - max(since, faults_ended_at) > MAX_PENDING_S:
                 observer.record(
-                    "left_pending", f"{job_id} waits since {since:.0f}, and there is capacity"
+                    "left_pending",
+                    f"{job_id} has been pending since {since:.0f} although there is capacity",
                 )
 
     def placed_tasks(self) -> tuple[dict[str, set[int]], dict[str, float]]:
-        """The tasks on machines or on their way, by job, and the processors they take, by team."""
+        """The tasks on machines, fetching ones included, by job, and the cpus they use, by team."""
         placed: dict[str, set[int]] = {}
         team_cpus = dict.fromkeys(self.observer.teams, 0.0)
         for machine in self.observer.machines.values():
@@ -106,7 +112,7 @@
         return placed, team_cpus
 
     def could_run(self, job_id: str, job: Submission, begun: int, team_cpus: float) -> bool:
-        """Whether one more task of a job could run now."""
+        """Whether one more task of a job, of which `begun` have been placed or done, could run."""
         observer = self.observer
         if job_id in observer.final or observer.is_to_be_cancelled(job_id):
             return False
@@ -125,9 +131,9 @@
     # --- starvation
 
     def begun_shares(self) -> dict[tuple[str, str], float]:
-        """Of each class, team and of each class's largest jobs, the share that has begun.
+        """The share of jobs that have started, by class, by team, and of each class's largest jobs.
 
-        The largest ones: within MAX_LARGEST_START_S.
+        The largest jobs count as started only if they did so within MAX_LARGEST_START_S.
         """
         observer = self.observer
         live = [
@@ -148,7 +154,7 @@
         return {group: sum(rows) / len(rows) for group, rows in groups.items()}
 
     def largest_begun(self, job_ids: list[str]) -> list[bool]:
-        """For each of the largest jobs of a class, whether it began in time."""
+        """For each of the largest jobs of a class, whether it started in time."""
         observer = self.observer
         ordered = sorted(job_ids, key=lambda job_id: -observer.jobs[job_id].tasks)
         rows = []
@@ -156,6 +162,6 @@
             begun_at = observer.begun_at.get(job_id, self.world.now)
             waited = begun_at - observer.accepted_at[job_id]
             if waited <= MAX_LARGEST_START_S and job_id not in observer.begun_at:
-                continue  # its time is not up yet
+                continue  # it still has time to start
             rows.append(waited <= MAX_LARGEST_START_S)
         return rows
--- a/tests/stand_ins/loopback.py
+++ b/tests/stand_ins/loopback.py
@@ -1,8 +1,8 @@
-"""A deployment in real time: controllers are processes of their own, on loopback.
+"""A deployment in real time, whose controllers are separate processes on loopback.
 
-State service, cloud, workers and users are those of the simulated deployments; their clock is the
-real one, and HTTP carries what goes between them and the controllers. Links between controllers,
-and to the state service, go through forwarders that hold everything back while they are cut.
+The stand-ins are those of the simulated deployments, but use the real clock and communicate with
+the controllers over HTTP. Links between controllers, and to the state service, go through
+forwarders that stall all traffic while the link is partitioned.
 """
 
 import os
@@ -51,14 +51,14 @@
 
 
 class Ports(NamedTuple):
-    """Where a controller serves users and workers, and where it serves its peers."""
+    """A controller's ports: `front` for users and workers, `internal` for peers."""
 
     front: int
     internal: int
 
 
 class RealProcess:
-    """One controller's process, with what the checkers ask of it."""
+    """A controller's process, with the attributes of `SimulatedProcess` that the checks read."""
 
     def __init__(self, popen: subprocess.Popen) -> None:
         self.popen = popen
@@ -72,13 +72,13 @@
         self.popen.wait()
 
     def resume(self) -> None:
-        """Lets a process that stands still go on."""
+        """Resumes a paused process."""
         if self.alive:
             self.popen.send_signal(signal.SIGCONT)
 
 
 class LoopbackCluster(Cluster):
-    """Controllers as processes of their own."""
+    """A cluster whose controllers are separate processes."""
 
     world: RealTimeWorld
     processes: dict[str, RealProcess]
@@ -118,7 +118,7 @@
         self.processes[name] = RealProcess(popen)
 
     def settings_text(self, name: str) -> str:
-        """The platform's file for a controller, whose links go through forwarders."""
+        """The platform's settings file for a controller, whose links go through forwarders."""
         settings = self.deployment.settings(name)
         peers = "".join(
             PEER.format(
@@ -140,17 +140,17 @@
         )
 
     def forward(self, source: str, target: str, port: int) -> str:
-        """The address at which one host reaches another."""
+        """Opens a forwarder from one host to another and returns its address."""
         forwarder = Forwarder(self.world, source, target, port)
         self.forwarders.append(forwarder)
         return "{}:{}".format(*forwarder.address)
 
     def forwarders_to(self, name: str) -> list[Forwarder]:
-        """The links that lead to a host."""
+        """The forwarders whose target is this host."""
         return [forwarder for forwarder in self.forwarders if forwarder.target == name]
 
     def crash(self, name: str, seconds: float, power: bool = True) -> None:
-        """Kills a controller's process, and starts it again after some seconds."""
+        """Kills a controller's process and starts a new one after a time."""
         process = self.processes[name]
         if process.alive:
             process.end()
@@ -159,14 +159,14 @@
             self.world.at(seconds, self.begin, name)
 
     def pause(self, name: str, seconds: float) -> None:
-        """Lets a process stand still for a while."""
+        """Pauses a process for a while."""
         process = self.processes[name]
         process.paused_until = self.world.now + seconds
         process.popen.send_signal(signal.SIGSTOP)
         self.world.at(seconds, process.resume)
 
     def stop(self) -> None:
-        """Ends all that was started."""
+        """Ends all processes, forwarders and servers."""
         for process in self.processes.values():
             process.end()
         for forwarder in self.forwarders:
@@ -175,6 +175,6 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on just now."""
+    """Returns a port that is currently free."""
     with socket.create_server((LOOPBACK, 0)) as probe:
         return probe.getsockname()[1]
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -1,7 +1,7 @@
-"""Watches a run and records every violation of PROTOCOL's rules, by its own bookkeeping.
+"""Observes a run, independently of the service, and records each violation of a rule.
 
-Rules of PROTOCOL keep the names that it gives them (`ran_twice`, `went_back`, ...); the others are
-the project's own.
+Rules of PROTOCOL have the names that it gives them (`ran_twice`, `went_back`, ...); the other rules
+are this project's.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class Violation(NamedTuple):
-    """One event that breaks a rule."""
+    """An event that violated a rule."""
 
     at: float
     rule: str
@@ -40,15 +40,16 @@
 
 
 class Observer(JobLedger):
-    """Follows tasks and answers, and records each violation.
+    """Tracks tasks and answers to users, and records each violation.
 
     Attributes:
-        placements: The machines that a task is on, with the zone of each.
-        machines: The cloud's machines.
-        start_count: How often a task started on a machine.
-        starts_after_cancel: How many of them began after their user was told of a cancellation.
-        invalid_refused: How many submissions that can never run were refused for good.
-        on_array_completed: Called when the last task of an array has completed.
+        placements: By task, the machines that it runs on, with the zone of each.
+        machines: The cloud's machines by name.
+        start_count: The number of task starts.
+        starts_after_cancel: The number of starts after a user got an answer that the job is
+            cancelled.
+        invalid_refused: The number of invalid submissions that were refused permanently.
+        on_array_completed: Called with the job when the last task of an array has completed.
     """
 
     def __init__(self, world: World, cancel_s: float, teams: dict[str, Team]) -> None:
@@ -70,22 +71,24 @@
         self.violations.append(Violation(round(self.world.now, 2), rule, text))
 
     def broken_rules(self) -> set[str]:
-        """The rules that were broken so far."""
+        """The rules that were violated so far."""
         broken = {violation.rule for violation in self.violations}
         if not self.start_count and self.accepted_at:
             broken.add("nothing_ran")
         return broken
 
-    # --- what workers do
+    # --- events on workers
 
     def task_started(self, name: str, machine: "Worker") -> None:
-        """A task has its image and runs from now on."""
+        """A task has fetched its image and starts to run."""
         job_id = job_of(name)
         job = self.jobs[job_id]
         self.start_count += 1
-        for need in job.needs or ():
-            if not self.is_done(need):
-                self.record("started_before_dependency", f"{name} starts before {need} is done")
+        for dependency in job.needs or ():
+            if not self.is_done(dependency):
+                self.record(
+                    "started_before_dependency", f"{name} starts before {dependency} is done"
+                )
         self.begun_at.setdefault(job_id, self.world.now)
         machine_zones = self.placements.setdefault(name, {})
         if machine_zones:
@@ -93,15 +96,15 @@
                 "ran_twice", f"{name} starts on {machine.name} while on {sorted(machine_zones)}"
             )
         if not self.may_be_placed(job_id, job, machine):
-            self.record("wrong_place", f"{name} on {machine.name} in {machine.zone}")
+            self.record("wrong_place", f"{name} may not run on {machine.name} in {machine.zone}")
         if not 0 <= number_of(name) < job.tasks:
-            self.record("invented", f"{name} is no task of its job")
+            self.record("invented", f"{name} is outside its job's range of task numbers")
         machine_zones[machine.name] = machine.zone
         self.check_quota(job.team)
         self.check_cancelled(name, job_id)
 
     def may_be_placed(self, job_id: str, job: Submission, machine: "Worker") -> bool:
-        """Whether a job allows a machine, given where its other tasks are now."""
+        """Whether a job's constraints allow a machine, given where its other tasks run."""
         used_zones = [
             zone
             for name, machine_zones in self.placements.items()
@@ -120,7 +123,7 @@
         return not job.zone_spread or used_zones.count(machine.zone) + 1 <= most_in_zone
 
     def check_quota(self, team: str) -> None:
-        """Records it if a team's tasks use more than its quota."""
+        """Records a violation if a team's tasks use more than its quota."""
         quota = self.teams[team].cpu_quota
         jobs = (
             (self.jobs[job_of(name)], machine_zones)
@@ -128,10 +131,10 @@
         )
         used = sum(job.cpus * len(machine_zones) for job, machine_zones in jobs if job.team == team)
         if quota and used > quota + CPU_SLACK:
-            self.record("quota", f"{team} uses {used} of {quota}")
+            self.record("quota", f"{team} uses {used} cpus, its quota is {quota}")
 
     def check_cancelled(self, name: str, job_id: str) -> None:
-        """Records it if a task starts too long after its user was told of a cancellation."""
+        """Records a violation if a task starts too long after its job's cancellation."""
         cancelled_at = self.cancelled_at.get(job_id)
         if cancelled_at is None:
             return
@@ -141,14 +144,14 @@
             self.record("ran_cancelled", f"{name} starts {late_s:.1f} s after its cancellation")
 
     def task_left(self, name: str, machine: str) -> None:
-        """A task that ran on a machine is not on it any more."""
+        """A task no longer runs on a machine."""
         self.placements.get(name, {}).pop(machine, None)
         job_id = job_of(name)
         if job_id in self.cancelled_at:
             self.last_left_at[job_id] = self.world.now
 
     def task_completed(self, name: str) -> None:
-        """A task has done its work."""
+        """A task has run to completion."""
         job_id = job_of(name)
         done = self.done.setdefault(job_id, set())
         is_new = number_of(name) not in done
@@ -157,34 +160,36 @@
             self.ended_at[job_id] = self.world.now
             self.on_array_completed(job_id)
 
-    # --- what users are told
+    # --- answers to users
 
     def answered(self, job_id: str, asked_at: float, status: int, body: Any) -> None:
-        """A user got an answer about a job, to a submission, poll or cancellation.
+        """A submission, poll or cancellation of a job was answered or failed.
 
         Args:
             job_id: The job.
-            asked_at: When the user had asked.
-            status: The status of the answer; 0 and below if there was none.
+            asked_at: When the request was sent.
+            status: The status of the answer; 0 or less if there was none.
             body: The body of the answer.
         """
         self.liveness.note_answer(status in ACCEPTED_STATUSES)
         if status in ACCEPTED_STATUSES:
             self.failing_since.pop(job_id, None)
             if job_id not in self.jobs:
-                self.record("invented", f"{job_id} gets {status}")
+                self.record(
+                    "invented", f"{job_id} was never submitted, but is answered with {status}"
+                )
                 return
             self.check_state(job_id, asked_at, wire.read_job_state(body))
             self.accepted_at.setdefault(job_id, self.world.now)
         elif job_id in self.accepted_at:
             if status in FORGOTTEN_STATUSES:
-                self.record("forgotten", f"{job_id} gets {status}")
+                self.record("forgotten", f"{job_id} was accepted, but is answered with {status}")
             self.failing_since.setdefault(job_id, self.world.now)
 
     def check_state(self, job_id: str, asked_at: float, state: JobState) -> None:
-        """Compares a state that a user was told with what is known of the job."""
+        """Compares the state in an answer with the job's known history."""
         if state is JobState.DONE and not self.is_done(job_id):
-            self.record("not_done", f"{job_id} is called done")
+            self.record("not_done", f"{job_id} is reported as done before all its tasks completed")
         orphaned_at = self.dependency_cancelled_at(job_id)
         if (
             state not in FINAL_STATES
@@ -193,18 +198,18 @@
         ):
             self.record(
                 "dependent_not_cancelled",
-                f"{job_id} is called {state}; a job before it was cancelled at {orphaned_at:.1f}",
+                f"{job_id} is reported as {state}; a dependency was cancelled at {orphaned_at:.1f}",
             )
         if state is JobState.CANCELLED and not self.is_to_be_cancelled(job_id):
-            self.record("went_back", f"{job_id} is called cancelled; nobody asked")
+            self.record("went_back", f"{job_id} is reported as cancelled without a request")
         before = self.final.get(job_id)
         if before is not None and state is not before.state and asked_at > before.reported_at:
-            self.record("went_back", f"{job_id} was {before.state}, is {state}")
+            self.record("went_back", f"{job_id} was reported as {before.state}, now as {state}")
         if state in FINAL_STATES:
             self.note_final(job_id, state, self.world.now)
 
     def answered_invalid(self, job_id: str, status: int) -> None:
-        """A user got an answer to a submission that lacks a field or can never run."""
+        """An invalid submission, which lacks a field or can never run, was answered."""
         self.invalid_refused += status in REJECTED_STATUSES
         if status in ACCEPTED_STATUSES:
-            self.record("accepted_invalid", f"{job_id} is accepted")
+            self.record("accepted_invalid", f"{job_id} is invalid, but was accepted")
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -1,6 +1,6 @@
-"""Checks who holds the shards and the leadership, over the whole history of the state service.
+"""Checks the ownership of shards and of the leadership over the state service's whole history.
 
-A `role` is what a controller can hold: `s/3` for a shard, `lead` for the leadership.
+A `role` is something that a controller can own: `s/3` is a shard, `lead` is the leadership.
 """
 
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from .state_wire import LEADER, LIVE_PREFIX, SHARD, SHARD_PREFIX, Transaction
 
 # Times as shares of an agent's lease.
-MAX_SERVED_AGE_SHARE = (
-    2 / 9
-)  # a controller served by the state service within it can do its shards' work
-MAX_UNOWNED_SHARE = 1.0  # what a controller that has ended held must be others' after that
+# A controller whose last answer from the state service is younger can operate its shards.
+MAX_SERVED_AGE_SHARE = 2 / 9
+# The roles of a controller whose process has ended must have another owner after this time.
+MAX_UNOWNED_SHARE = 1.0
 HANDOVER_WINDOW_S, MAX_HANDOVERS_IN_WINDOW = 60.0, 4
 CHECK_INTERVAL_S = 0.5
 FIRST_CHECK_S = 1.0
-STARTUP_S = 10  # until then roles may be nobody's
+STARTUP_S = 10  # until then roles may have no owner
 
 
 class Change(NamedTuple):
-    """A role's key was written."""
+    """A write to the key of a role; `before` is the previous owner."""
 
     at: float
     role: str
@@ -31,13 +31,13 @@
 
 
 class Ownership:
-    """Follows each transaction; `watch` adds rules on failovers to the observer's.
+    """Audits each transaction; `watch` enables additional rules about failovers.
 
     Attributes:
-        changes: All changes of roles, in their order.
-        served_at: When the state service last served a controller.
-        first_served_at: When it served a process first.
-        unowned_since: Since when the owner of a role is no more.
+        changes: All changes of roles, in order.
+        served_at: By controller, when the state service last answered it with status 200.
+        first_served_at: By process, when it first got such an answer.
+        unowned_since: By role, since when its owner has no running process.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -54,21 +54,21 @@
         self.state.audits.append(self.audit)
 
     def watch(self) -> None:
-        """Also records failovers from controllers that could work, what is left, and flapping."""
+        """Also records failovers from operational controllers, unowned roles, and flapping."""
         self.watching = True
         self.world.at(FIRST_CHECK_S, self.check_unowned)
 
     # --- the state service's history
 
     def note_served(self, host: str) -> None:
-        """The state service has answered a host."""
+        """The state service has answered a host with status 200."""
         process = self.cluster.processes.get(host)
         if process is not None:
             self.served_at[host] = self.world.now
             self.first_served_at.setdefault(process, self.world.now)
 
     def audit(self, transaction: Transaction, source: str) -> Callable[[], None]:
-        """Looks at a transaction before it is carried out."""
+        """Records the owners and job records before a transaction, to check it once committed."""
         before = {role: self.owner(role) for role in self.claimed_roles(transaction)}
         existing = {key for key in self.job_keys(transaction) if key in self.state.keys}
         owners = {role: self.owner(role) for role in self.shards_conditioned_on(transaction)}
@@ -76,61 +76,64 @@
         def committed() -> None:
             self.check_epochs(transaction, source, owners)
             self.check_records(transaction, source, existing)
-            for role, former in before.items():
-                self.note_change(role, former, self.owner(role))
+            for role, previous in before.items():
+                self.note_change(role, previous, self.owner(role))
 
         return committed
 
     @staticmethod
     def claimed_roles(transaction: Transaction) -> list[str]:
-        """The roles whose keys a transaction writes."""
+        """The roles whose keys a transaction puts."""
         written = [write.key for write in transaction.writes if write.data is not None]
         roles = [key[len(LIVE_PREFIX) :] for key in written]
         return [role for role in roles if role == LEADER or role.startswith(SHARD)]
 
     @staticmethod
     def shards_conditioned_on(transaction: Transaction) -> list[str]:
-        """The shards on whose epoch a transaction hangs."""
+        """The shards whose epochs are among the conditions of a transaction."""
         keys = [key for key, _ in transaction.conditions]
         return [key[len(LIVE_PREFIX) :] for key in keys if key.startswith(SHARD_PREFIX)]
 
     @staticmethod
     def job_keys(transaction: Transaction) -> list[str]:
-        """The keys of job records that a transaction changes."""
+        """The keys of job records that a transaction writes."""
         keys = [write.key for write in transaction.writes]
         return [key for key in keys if key.startswith(state_wire.JOB_PREFIXES)]
 
     def owner(self, role: str) -> str | None:
-        """Who holds a role now."""
+        """The current owner of a role."""
         row = self.state.keys.get(LIVE_PREFIX + role)
         return None if row is None else state_wire.read_owner(row.data)
 
     def check_epochs(
         self, transaction: Transaction, source: str, owners: dict[str, str | None]
     ) -> None:
-        """Who commits on a shard's epoch holds the shard, or claims it just then.
+        """Checks that a commit on a shard's epoch comes from its owner or claims the shard.
 
         Args:
-            transaction: What was committed.
-            source: Who committed it.
-            owners: Who held the shards on whose epochs it hangs.
+            transaction: The committed transaction.
+            source: The controller that sent it.
+            owners: The owners, before it, of the shards whose epochs it has as conditions.
         """
         claimed = self.claimed_roles(transaction)
-        former = {
+        stale_owners = {
             role: owner for role, owner in owners.items() if owner != source and role not in claimed
         }
-        if former:
-            self.observer.record("stale_owner_write", f"{source} commits on the epoch of {former}")
+        if stale_owners:
+            self.observer.record(
+                "stale_owner_write",
+                f"{source} commits on the epochs of shards that it does not own: {stale_owners}",
+            )
 
     def check_records(self, transaction: Transaction, source: str, existing: set[str]) -> None:
-        """What a job's record already held is changed on a shard's epoch, or cancelled.
+        """Checks that existing job records change on a shard's epoch, unless by cancellation.
 
         Args:
-            transaction: What was committed.
-            source: Who committed it.
-            existing: The keys of job records among its writes that were there before.
+            transaction: The committed transaction.
+            source: The controller that sent it.
+            existing: The keys of job records that it writes and that existed before it.
         """
-        # Chunks that no record names any more are removed without.
+        # Chunks to which no record refers any more are removed without a condition on an epoch.
         changed = [
             write
             for write in transaction.writes
@@ -142,11 +145,12 @@
         )
         if changed and not self.shards_conditioned_on(transaction) and not cancels_all:
             self.observer.record(
-                "stale_owner_write", f"{source} changes {existing} on no shard's epoch"
+                "stale_owner_write",
+                f"{source} changes {existing} without a condition on a shard's epoch",
             )
 
     def note_change(self, role: str, before: str | None, owner: str | None) -> None:
-        """A role was claimed, perhaps by its owner."""
+        """Records a claim of a role, possibly by its current owner, and checks the handover."""
         self.changes.append(Change(self.world.now, role, owner, before))
         if not self.watching or before is None or before == owner:
             return
@@ -154,7 +158,7 @@
             return
         if self.is_able(before):
             self.observer.record(
-                "false_failover", f"{owner} takes {role} from {before}, which could work"
+                "false_failover", f"{owner} takes {role} from {before}, which is operational"
             )
         recent_handovers = [
             change
@@ -163,36 +167,36 @@
         ]
         if len(recent_handovers) > MAX_HANDOVERS_IN_WINDOW:
             self.observer.record(
-                "shard_flapping", f"{role} changed hands {len(recent_handovers)} times in a minute"
+                "shard_flapping", f"{role} changed owners {len(recent_handovers)} times in a minute"
             )
 
-    # --- what roles and controllers are like
+    # --- state of roles and controllers
 
     def home(self, shard: str) -> str:
-        """The controller that holds a shard when all are well."""
+        """The home of a shard: its owner while all controllers are healthy."""
         return self.cluster.names[int(shard[len(SHARD) :]) % len(self.cluster.names)]
 
     def is_able(self, controller: str) -> bool:
-        """Whether a controller can do its work, for long enough that others could know.
+        """Whether a controller has been operational for long enough that its peers can know.
 
-        It runs, does not stand still, and the state service serves it.
+        Its process runs, is not paused, and gets answers from the state service.
         """
         process, now = self.cluster.processes[controller], self.world.now
-        fresh_s = self.cluster.deployment.lease_s * MAX_SERVED_AGE_SHARE
+        max_served_age_s = self.cluster.deployment.lease_s * MAX_SERVED_AGE_SHARE
         return (
             process.alive
             and process.paused_until <= now
             and self.world.partition_between(controller, state_service.HOST) is None
-            and now - self.first_served_at.get(process, now) >= fresh_s
-            and now - self.served_at.get(controller, -1e9) < fresh_s
+            and now - self.first_served_at.get(process, now) >= max_served_age_s
+            and now - self.served_at.get(controller, -1e9) < max_served_age_s
         )
 
     def is_alive(self, controller: str | None) -> bool:
-        """Whether there is a process of this controller."""
+        """Whether the process of this controller runs."""
         return controller is not None and self.cluster.processes[controller].alive
 
     def check_unowned(self) -> None:
-        """What is held by a process that is no more must find another owner in time."""
+        """Checks that the roles of a controller whose process has ended get a new owner in time."""
         self.world.at(CHECK_INTERVAL_S, self.check_unowned)
         now = self.world.now
         any_able = any(map(self.is_able, self.cluster.names))
@@ -204,17 +208,18 @@
             since = self.unowned_since.setdefault(role, now)
             if now - since > MAX_UNOWNED_SHARE * self.cluster.deployment.lease_s:
                 self.observer.record(
-                    "left_unowned", f"{role} is {owner}'s, which is no more, since {since}"
+                    "left_unowned",
+                    f"{role} is owned by {owner}, whose process has ended, since {since}",
                 )
 
     def shards(self) -> list[str]:
         """All shards that have a key."""
         return [key[len(LIVE_PREFIX) :] for key in self.state.keys if key.startswith(SHARD_PREFIX)]
 
-    # --- what scenarios ask
+    # --- queries of scenarios
 
     def handovers(self, since: float) -> list[Change]:
-        """The changes from one owner to another, from a moment on."""
+        """The changes from one owner to another since a moment."""
         return [
             change
             for change in self.changes
@@ -222,7 +227,7 @@
         ]
 
     def losses(self, controller: str, since: float) -> list[Change]:
-        """What others took from a controller from a moment on; but for shards not its own."""
+        """The roles taken over from a controller since a moment, except shards returned home."""
         return [
             change
             for change in self.handovers(since)
@@ -231,41 +236,41 @@
         ]
 
     def held_at(self, controller: str, moment: float) -> set[str]:
-        """What a controller held at a moment."""
-        held: dict[str, str | None] = {}
+        """The roles that a controller owned at a moment."""
+        owned: dict[str, str | None] = {}
         for change in self.changes:
             if change.at <= moment:
-                held[change.role] = change.owner
-        return {role for role, owner in held.items() if owner == controller}
+                owned[change.role] = change.owner
+        return {role for role, owner in owned.items() if owner == controller}
 
     def failover_s(self, controller: str, moment: float) -> float:
-        """How long it took until all that a controller held was others'; infinite if it isn't."""
-        waiting = self.held_at(controller, moment)
-        assert waiting, f"{controller} held nothing at {moment}"
+        """The time until all roles of a controller had other owners; infinite if some have not."""
+        remaining = self.held_at(controller, moment)
+        assert remaining, f"{controller} owned no role at {moment}"
         for change in self.changes:
             if change.at > moment and change.owner != controller:
-                waiting.discard(change.role)
-                if not waiting:
+                remaining.discard(change.role)
+                if not remaining:
                     return change.at - moment
         return float("inf")
 
     def most_shards_held(self, controller: str, since: float) -> int:
-        """The most shards that a controller ever held from a moment on."""
-        held: set[str] = set()
+        """The largest number of shards that a controller owned at once since a moment."""
+        owned: set[str] = set()
         maximum = 0
         for change in self.changes:
             if change.role == LEADER:
                 continue
             if change.owner == controller:
-                held.add(change.role)
+                owned.add(change.role)
             else:
-                held.discard(change.role)
+                owned.discard(change.role)
             if change.at >= since:
-                maximum = max(maximum, len(held))
+                maximum = max(maximum, len(owned))
         return maximum
 
     def away_from_home(self) -> dict[str, str | None]:
-        """The shards whose owner is not their home now."""
+        """The shards that are not owned by their home now, with their owners."""
         return {
             shard: self.owner(shard)
             for shard in self.shards()
--- a/tests/stand_ins/previous_version.py
+++ b/tests/stand_ins/previous_version.py
@@ -1,8 +1,9 @@
-"""Controllers of the version before, written from its behaviour: what it reads, and what it can't.
+"""Emulates controllers of the previous version by restricting those of this version.
 
-It follows only the keys that it knows, reads exactly the fields of its own records, and announces
-no format. Whatever it couldn't read or would rewrite wrongly fails the scenario. Keys and fields
-are the stored ones; `emberglade/jobs` and `emberglade/state` say what they mean.
+The previous version follows only the keys that it knows, reads exactly the fields of its own
+records, and announces no format. The scenario fails on any record that it could not read or would
+rewrite incorrectly. Keys and fields are the stored ones, which `emberglade/jobs` and
+`emberglade/state` define.
 """
 
 import types
@@ -15,30 +16,30 @@
 JOB_PREFIX, CHUNK_PREFIX = "j/", "t/"
 KNOWN_PREFIXES = (JOB_PREFIX, CHUNK_PREFIX, "s/", "m/", "n/", "r/", "f/")
 SPEC_COLUMNS = 21
-RECORD_FIELDS = {"s", "z", "w", "p"}  # spec, size of a chunk, whether cancelled, first chunk
+RECORD_FIELDS = {"s", "z", "w", "p"}  # spec, chunk size, cancelled flag, first chunk
 CHUNK_FIELDS = {"d", "b", "t"}
 CHUNK_KEY_DEPTH = 3  # t/<job>/<number>
 
 
 class UnreadableRecordError(AssertionError):
-    """The version before can't read a record that was written while it serves."""
+    """A record that the previous version can't read was written while it serves."""
 
 
 def is_known(key: str) -> bool:
-    """Whether the version before follows a key."""
+    """Whether the previous version follows a key."""
     return key in KNOWN_KEYS or key.startswith(KNOWN_PREFIXES)
 
 
 def check_readable(key: str, data: Any, chunk_sizes: dict[str, int]) -> None:
-    """Checks that the version before reads a value rightly.
+    """Checks that the previous version reads a value correctly.
 
     Args:
         key: The key without its prefix.
-        data: Its value; None: it was removed.
-        chunk_sizes: The size of each job's chunks so far, which must not change.
+        data: Its value; None if it was removed.
+        chunk_sizes: The known chunk size of each job, which must not change.
 
     Raises:
-        UnreadableRecordError: It does not.
+        UnreadableRecordError: It would not.
     """
     if key.startswith(JOB_PREFIX):
         job_id = key[len(JOB_PREFIX) :]
@@ -51,7 +52,7 @@
         ):
             raise UnreadableRecordError(f"{key}: {data}")
         elif chunk_sizes.setdefault(job_id, data["z"]) != data["z"]:
-            raise UnreadableRecordError(f"{key}: another size of chunks")
+            raise UnreadableRecordError(f"{key}: the chunk size changed")
     elif key.startswith(CHUNK_PREFIX) and data is not None:
         depth = len(key.split("/"))
         if depth != CHUNK_KEY_DEPTH or not set(data) <= CHUNK_FIELDS:
@@ -59,7 +60,7 @@
 
 
 def limit_to_known_keys(actor: Any) -> None:
-    """Lets an actor see only what the version before sees of the state service."""
+    """Limits an actor's view of the state service to the keys that the previous version follows."""
     original = actor.on_changed
     chunk_sizes: dict[str, int] = {}
 
@@ -75,9 +76,9 @@
 
 
 def as_previous_version(controller: Controller) -> list[tuple[Actor, str]]:
-    """The actors of a controller that the version before has, seeing what it sees."""
+    """The controller's actors that the previous version has, limited to the keys it follows."""
     upgrade = controller.format_upgrade
-    upgrade._post = lambda *_: None  # it is told who it is, and does nothing
+    upgrade._post = lambda *_: None  # it still receives the identity, but handles no message
     actors = [(actor, name) for actor, name in controller.actors() if actor is not upgrade]
     for actor, _ in actors:
         if hasattr(actor, "on_changed"):
--- a/tests/stand_ins/random_faults.py
+++ b/tests/stand_ins/random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults, one at a time or combined, drawn from the scenario's seed."""
+"""Random faults, single or combined, drawn from the scenario's seed."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,17 +12,17 @@
 REPEAT_CHANCE = 0.01
 DUPLICATE_CHANCE, MIN_DUPLICATE_S, MAX_DUPLICATE_S = 0.02, 1.0, 40.0
 MAX_OUTAGE_S = 25
-WORK_SHARE = 0.8  # of the time of a scenario of combined faults, for work
-QUIET_AFTER_S = 12  # after the end of the last combined fault
+WORK_SHARE = 0.8  # the share of a combined-faults scenario in which jobs are submitted
+QUIET_AFTER_S = 12  # from the end of the last combined fault until message faults end
 
 
 def draw_faults(cluster: Cluster, faults: int, mass_faults: int, until: float) -> None:
-    """Plans so many faults, besides messages that are lost and come late.
+    """Schedules random faults, and enables message loss and duplication.
 
     Args:
-        cluster: What they hit.
-        faults: How many hit a controller or a few machines.
-        mass_faults: How many hit a share of all machines at once.
+        cluster: The cluster that they affect.
+        faults: The number of faults of a controller or a few machines.
+        mass_faults: The number of faults of a share of all machines at once.
         until: When the scenario ends.
     """
     world, rng = cluster.world, cluster.world.random
@@ -38,10 +38,10 @@
 def draw_combined_faults(
     cluster: Cluster, jobs: int, count: int, until: float, needs_share: float = 0.0
 ) -> float:
-    """Plans work, and so many combinations of two to four faults within some seconds.
+    """Schedules jobs, and `count` combinations of two to four faults within some seconds.
 
     Returns:
-        When all faults are over.
+        When all faults have ended.
     """
     world, rng = cluster.world, cluster.world.random
     work_until = until * WORK_SHARE
@@ -61,7 +61,7 @@
 
 
 class FaultDraw(NamedTuple):
-    """One fault, drawn: which controller it hits, for how long, what becomes of messages."""
+    """The parameters drawn for one fault; `mode` is that of its partition, if it is one."""
 
     cluster: Cluster
     controller: str
@@ -71,7 +71,7 @@
 
 
 def inject(cluster: Cluster) -> None:
-    """Brings one random fault about."""
+    """Draws a random fault and begins it."""
     rng = cluster.world.random
     draw = FaultDraw(
         cluster,
@@ -84,18 +84,18 @@
 
 
 def crash(draw: FaultDraw) -> None:
-    """A controller ends and comes back."""
+    """A controller crashes and restarts."""
     draw.cluster.crash(draw.controller, draw.cluster.world.random.choice([0.05, 0.3, 3.0]))
 
 
 def crash_all(draw: FaultDraw) -> None:
-    """All controllers end and come back."""
+    """All controllers crash and restart."""
     for name in draw.cluster.names:
         draw.cluster.crash(name, draw.cluster.world.random.uniform(0.3, 4))
 
 
 def crash_three_times(draw: FaultDraw) -> None:
-    """Controllers end three times within five seconds."""
+    """Three crashes of random controllers within five seconds."""
     rng = draw.cluster.world.random
     for _ in range(3):
         delay = rng.uniform(0, 5)
@@ -104,23 +104,23 @@
 
 
 def isolate(draw: FaultDraw) -> None:
-    """A controller is cut off from everything."""
+    """A controller is partitioned from all other hosts."""
     draw.cluster.isolate(draw.controller, draw.seconds, draw.mode)
 
 
 def isolate_from_control_plane(draw: FaultDraw) -> None:
-    """A controller is cut off from state service and peers."""
+    """A controller is partitioned from the state service and its peers."""
     draw.cluster.isolate_from_control_plane(draw.controller, draw.seconds, draw.mode)
 
 
 def partition_from_state(draw: FaultDraw) -> None:
-    """A controller is cut off from the state service."""
+    """A controller is partitioned from the state service."""
     world = draw.cluster.world
     world.partition([draw.controller], [state_service.HOST], draw.seconds, draw.mode)
 
 
 def partition_from_workers(draw: FaultDraw) -> None:
-    """A controller is cut off from all workers."""
+    """A controller is partitioned from all workers."""
     world = draw.cluster.world
     world.partition([draw.controller], draw.machines, draw.seconds, draw.mode)
 
@@ -131,39 +131,39 @@
 
 
 def state_outage(draw: FaultDraw) -> None:
-    """The state service is away."""
+    """The state service has an outage."""
     draw.cluster.state.begin_outage(min(draw.seconds, MAX_OUTAGE_S))
 
 
 def partition_machines(draw: FaultDraw) -> None:
-    """Two machines are cut off from all controllers."""
+    """Two machines are partitioned from all controllers."""
     if draw.machines:
         draw.cluster.world.partition(sample_two(draw), draw.cluster.names, draw.seconds, draw.mode)
 
 
 def make_unreachable(draw: FaultDraw) -> None:
-    """Heartbeats of two machines arrive; answers and commands don't."""
+    """Two machines get no messages from controllers; their heartbeats arrive."""
     if draw.machines:
         draw.cluster.world.drop_messages(draw.cluster.names, sample_two(draw), draw.seconds)
 
 
 def sample_two(draw: FaultDraw) -> list[str]:
-    """Two machines, or one if there is no other."""
+    """Draws two machines, or takes the only one."""
     return draw.cluster.world.random.sample(draw.machines, min(2, len(draw.machines)))
 
 
 def reclaim_spot(draw: FaultDraw) -> None:
-    """The cloud takes spot machines back."""
+    """The cloud reclaims a share of the spot machines."""
     rng = draw.cluster.world.random
     draw.cluster.cloud.reclaim_spot(rng.random(), rng.choice([0.0, 5.0]))
 
 
 def cloud_outage(draw: FaultDraw) -> None:
-    """The cloud is away."""
+    """The cloud has an outage."""
     draw.cluster.cloud.begin_outage(draw.seconds)
 
 
-# In this order: the draw of a seed names a place.
+# The order must not change: a seed's draw is an index into this list.
 KINDS: list[Callable[[FaultDraw], None]] = [
     crash,
     crash_all,
@@ -185,7 +185,7 @@
 
 
 def kill_many(cluster: Cluster, count: int) -> None:
-    """Machines stop."""
+    """Machines are killed."""
     cluster.cloud.kill_machines(count)
 
 
@@ -195,7 +195,7 @@
 
 
 def partition_one_zone(cluster: Cluster, count: int) -> None:
-    """A zone is cut off."""
+    """A zone is partitioned from all other hosts."""
     rng = cluster.world.random
     zone = rng.choice(cluster.deployment.zones)
     seconds = rng.uniform(10, 45)
@@ -204,13 +204,13 @@
 
 
 def reclaim_all_spot(cluster: Cluster, count: int) -> None:
-    """The cloud takes all spot machines back and is away."""
+    """The cloud reclaims all spot machines, then has an outage."""
     cluster.cloud.reclaim_spot(1.0, 0.0)
     cluster.cloud.begin_outage(cluster.world.random.uniform(10, 60))
 
 
 def pause_one(cluster: Cluster, count: int) -> None:
-    """A controller stands still."""
+    """A controller's process is paused."""
     rng = cluster.world.random
     cluster.pause(rng.choice(cluster.names), rng.uniform(5, 40))
 
@@ -225,7 +225,7 @@
 
 
 def inject_mass_fault(cluster: Cluster) -> None:
-    """Brings about a random fault that hits a share of all machines."""
+    """Draws a random fault that affects a share of all machines, and begins it."""
     rng = cluster.world.random
     count = int(rng.uniform(0.1, 0.35) * len(cluster.cloud.machines))
     MASS_KINDS[rng.randrange(len(MASS_KINDS))](cluster, count)
--- a/tests/stand_ins/random_work.py
+++ b/tests/stand_ins/random_work.py
@@ -11,17 +11,17 @@
 CANCEL_SHARE = 0.35
 CANCEL_SHARE_WITH_DEPENDENCIES = 0.1
 MAX_DEPENDENCIES = 3
-SUBMITTED_UNTIL_SHARE = 0.7  # of the time that a scenario lasts
+SUBMITTED_UNTIL_SHARE = 0.7  # the share of a scenario in which jobs are submitted
 
 
 def draw_work(cluster: Cluster, jobs: int, until: float, needs_share: float = 0.0) -> None:
-    """Plans so many submissions, and cancellations of some of them.
+    """Schedules random submissions, and cancellations of some of the jobs.
 
     Args:
-        cluster: Whose users submit them.
-        jobs: How many.
+        cluster: The cluster whose users submit them.
+        jobs: The number of jobs.
         until: When the scenario ends.
-        needs_share: The share of them that needs one to three others.
+        needs_share: The share of jobs that have one to three dependencies.
     """
     world, rng = cluster.world, cluster.world.random
     earlier: list[str] = []
@@ -41,7 +41,10 @@
 
 
 def draw_job(cluster: Cluster, rng: random_module.Random) -> dict[str, Any]:
-    """The fields of one job; the order of the draws is part of every seed."""
+    """Draws the fields of one job.
+
+    The order of the draws must not change: it determines what a seed means.
+    """
     service = rng.random() < SERVICE_SHARE
     run_s = rng.uniform(5, 40)
     return {
--- a/tests/stand_ins/real_time_world.py
+++ b/tests/stand_ins/real_time_world.py
@@ -1,4 +1,4 @@
-"""The world in real time: its clock is the real one, and HTTP carries messages on loopback."""
+"""A world in real time: it uses the real clock, and HTTP on loopback for messages."""
 
 import heapq
 import threading
@@ -18,11 +18,11 @@
 
 
 class RealTimeWorld(World):
-    """The world's events at their real time, one after the other in the thread that runs it.
+    """Runs events at their real time, one after the other, in the thread that calls `run`.
 
     Attributes:
-        front_addresses: The address where each controller serves users and workers.
-        servers: The server of a stand-in for one of its clients, by both their names.
+        front_addresses: By controller, the address at which it serves users and workers.
+        servers: The HTTP servers by the names of the stand-in and of the client that each serves.
     """
 
     def __init__(self, seed: int) -> None:
@@ -35,21 +35,21 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the world began."""
+        """Seconds since the world started."""
         return time.monotonic() - self.started_at
 
     @now.setter
     def now(self, value: float) -> None:
-        """The clock can't be set."""
+        """Ignores the value: the real clock can't be set."""
 
     def at(self, delay: float, action: Callable, *args: Any) -> None:
-        """Plans a call; any thread may."""
+        """Schedules a call; thread-safe."""
         with self.planned:
             super().at(delay, action, *args)
             self.planned.notify()
 
     def run(self, until: float) -> None:
-        """Plays events as their time comes, up to a moment."""
+        """Runs events when they are due, up to a time."""
         while self.now < until:
             with self.planned:
                 due = self.events[0][0] if self.events else until
@@ -69,7 +69,7 @@
         timeout: float,
         reply: Reply,
     ) -> None:
-        """One call of a stand-in to a controller, over HTTP."""
+        """Sends a request of a stand-in to a controller over HTTP."""
         self.pool.call(
             self.front_addresses[target],
             method,
@@ -80,12 +80,12 @@
         )
 
     def serve(self, name: str, source: str, port: int = 0) -> int:
-        """The port where a stand-in serves one of its clients, known by the port it comes to.
+        """Returns the port at which a stand-in serves one client, which identifies the client.
 
         Args:
             name: The stand-in.
             source: The client.
-            port: The one to listen at, if it is not open yet; 0: any that is free.
+            port: The port to listen at if there is no server yet; 0: any free port.
         """
         if (name, source) not in self.servers:
 
@@ -100,22 +100,22 @@
     def handle(
         self, name: str, method: str, path: str, body: bytes, source: str, reply: Reply
     ) -> None:
-        """Hands a request to a stand-in."""
+        """Passes a request to a stand-in."""
         handler = self.hosts.get(name)
         if handler is not None:
             handler(method, path, body, source, reply)
 
     def address_of(self, worker: str) -> str:
-        """Where a worker takes direct commands."""
+        """The address at which a worker accepts direct commands."""
         return f"{LOOPBACK}:{self.serve(worker, 'controllers')}"
 
     def is_blocked(self, source: str, target: str) -> bool:
-        """Whether what the one sends to the other does not arrive now."""
+        """Whether messages from the source to the target are blocked now."""
         return self.partition_between(source, target) is not None or any(
             block.applies(source, target, self.now) for block in self.drops
         )
 
     def stop(self) -> None:
-        """Ends all servers."""
+        """Shuts down all servers."""
         for server in self.servers.values():
             server.shutdown()
--- a/tests/stand_ins/serve_loopback.py
+++ b/tests/stand_ins/serve_loopback.py
@@ -1,10 +1,10 @@
-"""Serves the stand-ins on loopback for one controller that is started by hand.
+"""Serves the stand-ins on loopback for one controller that is started manually.
 
     python3 tests/stand_ins/serve_loopback.py examples/settings.toml
 
-State service, cloud and the workers on its machines, in real time, on the ports that the
-controller's settings file names. Nothing outlives the process: end the controller with it. Whatever
-the checker of PROTOCOL's rules sees broken is printed.
+The state service, the cloud and its machines' workers run in real time, on the ports that the
+controller's settings file names. They keep their state in memory only, so end the controller with
+this process. Violations of PROTOCOL's rules are printed.
 """
 
 import argparse
@@ -28,13 +28,13 @@
 
 SEED = 1
 LIVE_JOBS = LIVE_PREFIX + jobs_wire.JOB_PREFIX
-MACHINES_PER_POOL = 10  # of each zone, spot or not
+MACHINES_PER_POOL = 10  # a pool is a zone's spot or regular machines
 BOOT_S = 3.0
-CHECK_INTERVAL_S = 1.0  # between two looks for broken rules
+CHECK_INTERVAL_S = 1.0  # between two checks for new violations
 
 
 class RecordedStateService(StateService):
-    """Notes each job that is committed: the workers' stand-ins have to know what they run."""
+    """Registers each committed job with the observer, from which workers read what they run."""
 
     def __init__(self, world: RealTimeWorld, settings: Settings, observer: Observer) -> None:
         super().__init__(
@@ -47,7 +47,7 @@
         self.observer = observer
 
     def apply(self, writes: list[Write]) -> None:
-        """Applies the writes of one transaction."""
+        """Registers new jobs, then applies the writes of one transaction."""
         for write in writes:
             job_id = write.key.removeprefix(LIVE_JOBS)
             is_job = job_id != write.key and write.data is not None
@@ -58,7 +58,7 @@
 
 
 def as_submission(spec: JobSpec) -> Submission:
-    """What a job's user submitted; its tasks run as long as was estimated."""
+    """Reconstructs a job's submission; its tasks run as long as estimated."""
     return Submission(
         id=spec.id,
         job_class=spec.job_class,
@@ -85,7 +85,7 @@
 
 
 def make_world(settings: Settings) -> RealTimeWorld:
-    """The stand-ins for one controller, listening; they act once the world runs."""
+    """Creates the stand-ins for one controller; they listen, and act once the world runs."""
     world = RealTimeWorld(SEED)
     world.front_addresses = {settings.node: "{}:{}".format(*settings.front)}
     teams = {
@@ -108,15 +108,17 @@
 
 
 def print_broken_rules(world: RealTimeWorld, observer: Observer, printed: int) -> None:
-    """Prints what was broken since the last look, and looks again in a moment."""
+    """Prints the violations since the last check, and schedules the next check."""
     for at_s, rule, text in observer.violations[printed:]:
-        print(f"broken after {at_s} s: {rule}: {text}", flush=True)
+        print(f"violation after {at_s} s: {rule}: {text}", flush=True)
     world.at(CHECK_INTERVAL_S, print_broken_rules, world, observer, len(observer.violations))
 
 
 def main() -> int:
     """Runs the command line; returns the exit code."""
-    parser = argparse.ArgumentParser(description="The stand-ins on loopback, for one controller.")
+    parser = argparse.ArgumentParser(
+        description="Serves the stand-ins on loopback for one controller."
+    )
     parser.add_argument("config", metavar="FILE", help="the controller's settings, TOML")
     try:
         settings = load_platform(parser.parse_args().config)
@@ -124,14 +126,14 @@
         print(f"serve_loopback: {error}", file=sys.stderr)
         return 2
     if {settings.state[0], settings.cloud[0]} != {LOOPBACK}:
-        print(f"serve_loopback: the endpoints have to be on {LOOPBACK}", file=sys.stderr)
+        print(f"serve_loopback: endpoints: expected both hosts to be {LOOPBACK}", file=sys.stderr)
         return 2
     world = make_world(settings)
     state_address = f"{LOOPBACK}:{settings.state[1]}"
     cloud_address = f"{LOOPBACK}:{settings.cloud[1]}"
     print(
         f"state service at {state_address}, cloud at {cloud_address}, workers for "
-        f"{settings.node}; Ctrl-C ends them",
+        f"{settings.node}; stop with Ctrl-C",
         flush=True,
     )
     try:
--- a/tests/stand_ins/simulated_process.py
+++ b/tests/stand_ins/simulated_process.py
@@ -1,4 +1,4 @@
-"""One controller's process on simulated time: its clock, its actors and its clients."""
+"""A controller's process on simulated time: its clocks, its actor system and its clients."""
 
 import random
 from collections.abc import Callable
@@ -8,19 +8,19 @@
 
 from .world import Reply, World
 
-MAX_CLOCK_DRIFT = 0.0005  # a process's clock runs faster or slower by at most this share
+MAX_CLOCK_DRIFT = 0.0005  # the maximum rate error of a process's monotonic clock
 MAX_CLOCK_OFFSET_S = 1000
-WALL_CLOCK_START_S = 1.7e9  # what wall clocks show when the world begins
+WALL_CLOCK_START_S = 1.7e9  # the wall-clock time when the world starts
 
 
 class SimulatedProcess:
-    """Runs the actors of one controller on simulated time, as their actor system.
+    """The actor system of one controller, on simulated time.
 
     Attributes:
-        alive: Whether the process still runs; all messages after its end are lost.
-        paused_until: Until when it stands still, while its clocks go on.
-        rate: How much faster than the world's its steady clock runs.
-        offset: What its steady clock showed when the world began.
+        alive: Whether the process runs; messages to a process that has ended are dropped.
+        paused_until: The end of its current pause, during which its clocks go on.
+        rate: The rate of its monotonic clock relative to the world's clock.
+        offset: The reading of its monotonic clock when the world started.
     """
 
     def __init__(self, world: World, name: str, seed: int) -> None:
@@ -33,7 +33,7 @@
         self.offset = self.random.uniform(0, MAX_CLOCK_OFFSET_S)
 
     def now(self) -> float:
-        """The process's steady clock, in seconds."""
+        """The process's monotonic clock, in seconds."""
         return self.offset + self.world.now * self.rate
 
     def wall_time(self) -> float:
@@ -41,7 +41,7 @@
         return WALL_CLOCK_START_S + self.world.now
 
     def spawn(self, actor: Actor, name: str) -> None:
-        """Makes this the system of an actor and tells it to begin."""
+        """Makes this the system of an actor and sends it `on_begin`."""
         actor.system = self
         actor._post = lambda delay, handler, args: self.world.at(
             delay / self.rate, self.deliver, handler, args
@@ -49,27 +49,27 @@
         send(actor.on_begin)
 
     def pause(self, until: float) -> None:
-        """Stands still until a moment of the world's time."""
+        """Pauses the process until a time of the world's clock."""
         self.paused_until = until
 
     def deliver(self, handler: Callable[..., None], args: tuple) -> None:
-        """Hands a message over now, or once a pause is over."""
+        """Delivers a message now, or at the end of the current pause."""
         if self.world.now < self.paused_until:
-            # In the order in which it came, when the process goes on.
+            # Postponed messages are delivered in the order of their arrival.
             self.world.at(self.paused_until - self.world.now, self.deliver, handler, args)
         elif self.alive:
             handler(*args)
 
 
 class SimulatedClient:
-    """What a controller uses instead of sockets; silent once its process has ended."""
+    """A client on the simulated network; it drops answers once its process has ended."""
 
     def __init__(self, process: SimulatedProcess, target: str) -> None:
         self.process = process
         self.target = target
 
     def call(self, method: str, path: str, body: Any, timeout: float, reply: Reply) -> None:
-        """One request; `reply(status, data)` unless the process has ended by then."""
+        """Sends a request; calls `reply(status, data)` unless the process has ended by then."""
         process = self.process
         process.world.request(
             process.name,
@@ -83,7 +83,7 @@
 
 
 class SimulatedClientPool:
-    """The same for many addresses."""
+    """A pool of simulated clients for any address."""
 
     def __init__(self, process: SimulatedProcess) -> None:
         self.process = process
@@ -91,6 +91,6 @@
     def call(
         self, address: str, method: str, path: str, body: Any, timeout: float, reply: Reply
     ) -> None:
-        """One request to an address `host:port`."""
+        """Sends a request to an address `host:port`."""
         host = address.partition(":")[0]
         SimulatedClient(self.process, host).call(method, path, body, timeout, reply)
--- a/tests/stand_ins/state_records.py
+++ b/tests/stand_ins/state_records.py
@@ -1,4 +1,4 @@
-"""What the state service keeps: keys, leases, and what is left of a rate."""
+"""Records of the state service's stand-in: stored keys, leases and token buckets."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass
 class StoredKey:
-    """The value of a key."""
+    """A key's value, the revision of its last change, and the lease it is attached to."""
 
     data: Any
     mod_revision: int
@@ -15,7 +15,7 @@
 
 @dataclass
 class Lease:
-    """A lease that keys hang on."""
+    """A lease that keys can be attached to."""
 
     life_s: float
     expires_at: float
@@ -23,13 +23,13 @@
 
 @dataclass
 class TokenBucket:
-    """What is left of a rate's burst, which is one second's worth."""
+    """A rate limiter whose burst is one second of its rate."""
 
     tokens: float
     updated_at: float = 0.0
 
     def take(self, amount: int, rate: float, now: float) -> bool:
-        """Takes an amount if the rate allows it."""
+        """Refills the bucket and takes an amount if there are enough tokens."""
         tokens = min(rate, self.tokens + (now - self.updated_at) * rate)
         allowed = tokens >= amount
         self.tokens = tokens - amount if allowed else tokens
--- a/tests/stand_ins/state_service.py
+++ b/tests/stand_ins/state_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service: keys, transactions, leases, watches, limits, outages."""
+"""A stand-in for the state service: keys, transactions, leases, watches, limits and outages."""
 
 import urllib.parse
 from collections.abc import Callable
@@ -14,8 +14,9 @@
 
 HOST = "state"
 TRANSACTION_BYTES = 64 * 1024
-CONDITIONS_PER_WRITE = 4  # a transaction may hold so many times its writes in conditions
-# When a transaction that gets no answer is carried out.
+# The limit on conditions in a transaction, as a multiple of the limit on writes.
+CONDITIONS_PER_WRITE = 4
+# The delay after which a transaction that gets no answer is carried out.
 MIN_LATE_S, MAX_LATE_S = 2, 12
 MALFORMED_ANSWERS: list[tuple[int, Any]] = [
     (200, None),
@@ -27,29 +28,31 @@
 ]
 
 Answer = tuple[int, Any]
-# Called before each transaction; what it returns is called once the transaction is committed.
+# Called before each transaction; the function that it returns is called after a successful commit.
 Audit = Callable[[Transaction, str], Callable[[], None]]
 
 
 class StateService:
-    """The keys, their revisions, and what is refused.
+    """Stores keys with their revisions, enforces the limits, and simulates faults.
 
     Attributes:
         keys: All keys.
         revision: The newest revision.
-        outage_until: Until when it answers nobody.
-        refused_until: For some controllers, until when it refuses them alone.
-        late_share: The share of transactions that gets no answer and is carried out after newer
-            ones, `late_until` a moment.
-        late_applied: How many of those changed something.
-        malformed_chance: The chance of a malformed answer.
-        limits_lowered: Whether the limits have fallen: what is too large is refused from then on.
-        refused_sizes: (who, what) of values and transactions refused for their size since.
-        refused_transactions: How many were above TRANSACTION_BYTES in all.
-        largest_value: The size of the largest value written below `eg/l/m` and the like.
-        write_counts: The puts and removals below `eg/l/m` and the like.
-        lease_count: How many leases were ever granted.
-        audits: See Audit.
+        outage_until: The end of the current outage, in which every request gets a 503.
+        refused_until: By controller, until when its requests get a 503.
+        late_share: The share of transactions that, until `late_until`, get no answer and are
+            carried out late, possibly after newer ones.
+        late_applied: The number of late transactions that changed a key.
+        malformed_chance: The probability of a malformed answer.
+        limits_lowered: Whether the limits were lowered. Until then a transaction above them fails
+            the run; afterwards it is refused.
+        refused_sizes: (controller, reason) of each transaction refused since the limits were
+            lowered.
+        refused_transactions: The number of transactions refused for exceeding TRANSACTION_BYTES.
+        largest_value: The size of the largest value written, by key kind (`eg/l/m`).
+        write_counts: The number of puts and removals, by key kind (`eg/l/m`).
+        lease_count: The number of leases granted so far.
+        audits: Called around each transaction; see Audit.
         served_listeners: Called with the name of each host that gets an answer of status 200.
     """
 
@@ -91,29 +94,29 @@
     # --- faults
 
     def lower_limits(self, value_bytes: int, transaction_writes: int, write_rate: float) -> None:
-        """Lowers the limits without notice; what is stored stays readable."""
+        """Lowers the limits without notice; stored values stay readable."""
         self.value_bytes = value_bytes
         self.transaction_writes = transaction_writes
         self.write_rate = write_rate
         self.limits_lowered = True
 
     def begin_outage(self, seconds: float) -> None:
-        """Answers nobody for a while; all leases get their full time again."""
+        """Refuses all requests for a while; all leases are extended past the outage."""
         self.outage_until = self.world.now + seconds
         for lease in self.leases.values():
             lease.expires_at += seconds + lease.life_s
 
     def refuse(self, controller: str, seconds: float) -> None:
-        """Refuses one controller alone."""
+        """Refuses the requests of one controller for a while."""
         self.refused_until[controller] = self.world.now + seconds
 
     def delay_transactions(self, share: float, seconds: float) -> None:
-        """Leaves a share of transactions without an answer and carries them out late."""
+        """For a while, carries out a share of transactions late and without an answer."""
         self.late_share = share
         self.late_until = self.world.now + seconds
 
     def expire_lease_of(self, key: str) -> None:
-        """Ends the lease that a key hangs on, as if its renewals had come too late."""
+        """Expires the lease that a key is attached to, as if its renewals had been late."""
         if key in self.keys:
             number = self.keys[key].lease
             assert number is not None
@@ -123,7 +126,7 @@
     # --- requests
 
     def handle(self, method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
-        """Answers one request of a controller."""
+        """Answers a controller's request."""
         random = self.world.random
 
         def answer(status: int, data: Any = None) -> None:
@@ -142,11 +145,11 @@
             self.route(path, orjson.loads(body) if body else {}, source, answer)
 
     def is_refused(self, source: str) -> bool:
-        """Whether a controller alone is refused now."""
+        """Whether the requests of this controller are refused now."""
         return self.refused_until.get(source, -1) > self.world.now
 
     def route(self, path: str, data: dict[str, Any], source: str, reply: Reply) -> None:
-        """Answers a request that is within the limits."""
+        """Dispatches a request that is within the request rate."""
         path, _, query = path.partition("?")
         options = dict(urllib.parse.parse_qsl(query))
         if path == wire.TRANSACTION_PATH:
@@ -165,7 +168,7 @@
             reply(404, {})
 
     def list_keys(self, request: wire.ListRequest) -> dict[str, Any]:
-        """One page of the keys below a prefix."""
+        """Returns one page of the keys below a prefix."""
         names = sorted(
             key for key in self.keys if key.startswith(request.prefix) and key > request.after
         )
@@ -176,7 +179,7 @@
         return wire.write_keys(rows, len(names) > request.limit, self.revision)
 
     def get_key(self, name: str) -> Answer:
-        """One key."""
+        """Returns the answer to a read of one key."""
         found = self.keys.get(name)
         if found is None:
             return 404, wire.write_revision(self.revision)
@@ -185,7 +188,7 @@
     # --- transactions
 
     def receive_transaction(self, transaction: Transaction, source: str, reply: Reply) -> None:
-        """Carries a transaction out and answers, or carries it out late without an answer."""
+        """Carries out a transaction and answers, or schedules it for later without an answer."""
         random = self.world.random
         if self.world.now < self.late_until and random.random() < self.late_share:
             delay = random.uniform(MIN_LATE_S, MAX_LATE_S)
@@ -194,13 +197,13 @@
             reply(*self.transact(transaction, source))
 
     def apply_late(self, transaction: Transaction, source: str) -> None:
-        """Carries out a transaction that nobody waits for any more."""
+        """Carries out a transaction whose sender gets no answer."""
         before = self.revision
         self.transact(transaction, source)
         self.late_applied += self.revision > before
 
     def transact(self, transaction: Transaction, source: str) -> Answer:
-        """Carries a transaction out; the audits see what was before and what came of it."""
+        """Carries out a transaction; the audits run before it, and again after a commit."""
         committed = [audit(transaction, source) for audit in self.audits]
         status, body = self.commit(transaction, source)
         if status == 200:
@@ -209,7 +212,7 @@
         return status, body
 
     def commit(self, transaction: Transaction, source: str) -> Answer:
-        """Makes a transaction's changes if the limits, its leases and its conditions allow."""
+        """Applies a transaction if the limits, its leases and its conditions allow it."""
         limit_violation = self.limit_violation(transaction)
         assert limit_violation is None or self.limits_lowered, limit_violation
         if limit_violation is not None:
@@ -235,27 +238,27 @@
         return 200, wire.write_revision(self.revision)
 
     def mod_revision_of(self, key: str) -> int:
-        """The revision at which a key last changed; 0 if there is no such key."""
+        """The revision at which a key last changed; 0 if the key does not exist."""
         found = self.keys.get(key)
         return 0 if found is None else found.mod_revision
 
     def limit_violation(self, transaction: Transaction) -> str | None:
-        """What of a transaction is above the limits, or None."""
+        """Describes how a transaction exceeds the limits; None if it does not."""
         if (
             len(transaction.writes) > self.transaction_writes
             or len(transaction.conditions) > CONDITIONS_PER_WRITE * self.transaction_writes
         ):
-            return "over the limits of a transaction"
+            return "too many writes or conditions in a transaction"
         for write in transaction.writes:
             size = len(orjson.dumps(write.data))
             if size > self.value_bytes:
-                return f"{write.key}: a value is too large"
+                return f"{write.key}: the value exceeds the size limit"
             kind = wire.key_kind(write.key)
             self.largest_value[kind] = max(self.largest_value.get(kind, 0), size)
         return None
 
     def apply(self, writes: list[Write]) -> None:
-        """Makes changes at one new revision."""
+        """Applies writes at one new revision and notifies the watches."""
         self.revision += 1
         for write in writes:
             kind = wire.key_kind(write.key)
@@ -272,14 +275,14 @@
     # --- leases
 
     def grant_lease(self, life_s: float) -> int:
-        """A new lease's number."""
+        """Grants a lease and returns its number."""
         self.lease_count += 1
         self.leases[self.lease_count] = Lease(life_s, self.world.now + life_s)
         self.world.at(life_s, self.expire, self.lease_count)
         return self.lease_count
 
     def renew_lease(self, number: int) -> Answer:
-        """Gives a lease its full time again."""
+        """Extends a lease by its full duration from now on."""
         lease = self.leases.get(number)
         if lease is None:
             return 404, {}
@@ -287,7 +290,7 @@
         return 200, {}
 
     def expire(self, number: int) -> None:
-        """Ends a lease if its time is up, and removes the keys that hang on it."""
+        """Removes a lease that has expired, with the keys attached to it; else checks later."""
         lease = self.leases.get(number)
         if lease is None:
             return
--- a/tests/stand_ins/state_watches.py
+++ b/tests/stand_ins/state_watches.py
@@ -1,4 +1,4 @@
-"""The state service's watches, and the changes that it keeps for them."""
+"""The watches of the state service's stand-in, and the change history that they read."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -10,12 +10,12 @@
     from .state_service import StateService
 
 KEPT_CHANGES = 10_000
-AFTER_OUTAGE_DELAY_S = 0.01  # how long after an outage watches are answered
+AFTER_OUTAGE_DELAY_S = 0.01  # from the end of an outage until watches are answered
 
 
 @dataclass(eq=False)
 class Watch:
-    """A controller that waits for changes below a prefix."""
+    """A long-poll request for changes below a prefix."""
 
     prefix: str
     since: int
@@ -28,7 +28,7 @@
     """The open watches of a state service.
 
     Attributes:
-        changes: The newest changes, as (revision, key, event), the event as watches tell it.
+        changes: The newest changes as (revision, key, event); `event` is in its wire form.
     """
 
     def __init__(self, service: "StateService") -> None:
@@ -38,12 +38,12 @@
         self.open_watches: list[Watch] = []
 
     def record(self, revision: int, key: str, event: dict[str, Any]) -> None:
-        """Keeps one change; `serve` tells of it."""
+        """Adds a change to the history; `serve` sends it to the watches."""
         self.changes.append((revision, key, event))
         del self.changes[:-KEPT_CHANGES]
 
     def open(self, request: wire.WatchRequest, source: str, reply: Reply) -> None:
-        """Keeps a watch until there is something to tell or its time is up."""
+        """Holds a watch open until there is a change or its wait time has passed."""
         if self.changes and request.since < self.changes[0][0] - 1:
             reply(410, {})
             return
@@ -53,7 +53,7 @@
         self.world.at(request.wait_s, self.serve)
 
     def serve(self) -> None:
-        """Answers the watches for which there is something to tell, or whose time is up."""
+        """Answers the watches that have changes or whose wait time has passed."""
         outage_s = self.service.outage_until - self.world.now
         if outage_s > 0:
             self.world.at(outage_s + AFTER_OUTAGE_DELAY_S, self.serve)
--- a/tests/stand_ins/state_wire.py
+++ b/tests/stand_ins/state_wire.py
@@ -1,4 +1,7 @@
-"""The one place of the stand-ins that knows the state service's fields and the stored keys."""
+"""Wire format of the state service and layout of the stored keys.
+
+No other module of the stand-ins contains these field names and key prefixes.
+"""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -15,7 +18,7 @@
 
 
 class Write(NamedTuple):
-    """One change of a transaction; `data` is None where the key is removed."""
+    """One write of a transaction; `data` is None if the key is removed."""
 
     key: str
     data: Any
@@ -23,19 +26,19 @@
 
 
 class Transaction(NamedTuple):
-    """Changes that are made if each `(key, mod_revision)` of `conditions` holds."""
+    """Writes that are applied if each `(key, mod_revision)` of `conditions` matches."""
 
     conditions: list[tuple[str, int]]
     writes: list[Write]
     raw: dict[str, Any]
 
     def size_bytes(self) -> int:
-        """The size of the whole body."""
+        """The size of the request body."""
         return len(orjson.dumps(self.raw))
 
 
 def read_transaction(body: dict[str, Any]) -> Transaction:
-    """The transaction that a body holds."""
+    """Reads a transaction from a request body."""
     conditions = [(row["key"], row["stamp"]) for row in body.get("when", ())]
     writes = [
         Write(row["put"], row["data"], row.get("tenure"))
@@ -47,52 +50,52 @@
 
 
 def write_revision(revision: int) -> dict[str, Any]:
-    """An answer that names the newest revision."""
+    """Builds an answer that contains only the newest revision."""
     return {"ledger_rev": revision}
 
 
 def write_failed_conditions(keys: list[str], revision: int) -> dict[str, Any]:
-    """The answer to a transaction whose conditions don't hold."""
+    """Builds the answer to a transaction of which these keys' conditions do not match."""
     return {"failed": keys, "ledger_rev": revision}
 
 
 def read_lease_life(body: dict[str, Any]) -> float:
-    """The seconds that a new lease is to last."""
+    """Reads the requested duration of a new lease, in seconds."""
     return body["life_ms"] / 1000
 
 
 def write_lease(number: int) -> dict[str, Any]:
-    """The answer that grants a lease."""
+    """Builds the answer that grants a lease."""
     return {"tenure": number}
 
 
 def write_key(key: str, data: Any, mod_revision: int) -> dict[str, Any]:
-    """One key with its value."""
+    """Builds one key with its value and mod revision."""
     return {"key": key, "data": data, "stamp": mod_revision}
 
 
 def write_keys(rows: Iterable[dict[str, Any]], more: bool, revision: int) -> dict[str, Any]:
-    """One page of keys."""
+    """Builds one page of keys."""
     return {"pairs": list(rows), "has_next": more, "ledger_rev": revision}
 
 
 def write_put(key: str, data: Any, revision: int) -> dict[str, Any]:
-    """One change as watches tell it: the key has a new value."""
+    """Builds the watch event of a put."""
     return {"put": key, "data": data, "stamp": revision}
 
 
 def write_removal(key: str, revision: int) -> dict[str, Any]:
-    """One change as watches tell it: the key is gone."""
+    """Builds the watch event of a removal."""
     return {"remove": key, "stamp": revision}
 
 
 def write_changes(changes: list[dict[str, Any]], revision: int) -> dict[str, Any]:
-    """The answer to a watch."""
+    """Builds the answer to a watch."""
     return {"ledger_rev": revision, "news": changes}
 
 
 class WatchRequest(NamedTuple):
-    """A question for the changes below a prefix after a revision."""
+    """A request for the changes below a prefix after a revision."""
 
     prefix: str
     since: int
@@ -100,13 +103,13 @@
 
 
 def read_watch(options: dict[str, str]) -> WatchRequest:
-    """The watch that the options of a path describe."""
+    """Reads a watch request from query options."""
     wait_s = int(options.get("wait_ms", 0)) / 1000
     return WatchRequest(options["under"], int(options["since"]), wait_s)
 
 
 class ListRequest(NamedTuple):
-    """A question for the keys below a prefix, after one of them."""
+    """A request for a page of the keys below a prefix that follow `after`."""
 
     prefix: str
     after: str
@@ -114,12 +117,12 @@
 
 
 def read_list(options: dict[str, str]) -> ListRequest:
-    """The list that the options of a path ask for."""
+    """Reads a list request from query options."""
     limit = int(options.get("limit", LIST_PAGE))
     return ListRequest(options["under"], options.get("since", ""), limit)
 
 
-# --- what controllers keep there
+# --- keys stored by controllers
 
 LIVE_PREFIX = "eg/l/"
 LEADER = "lead"
@@ -134,15 +137,15 @@
 
 
 def key_kind(key: str) -> str:
-    """The prefix `eg/l/m` and the like that a key is counted under."""
+    """The kind under which a key is counted: its first three segments, such as `eg/l/m`."""
     return "/".join(key.split("/")[:KIND_DEPTH])
 
 
 def read_owner(data: dict[str, Any]) -> str:
-    """The controller that a shard's or the leader's key names."""
+    """Reads the owner from the value of a shard's or the leader's key."""
     return data["node"]
 
 
 def is_cancelled(data: dict[str, Any]) -> bool:
-    """Whether a job's record says that the job is cancelled."""
+    """Whether a job's record marks the job as cancelled."""
     return bool(data.get("w"))
--- a/tests/stand_ins/submissions.py
+++ b/tests/stand_ins/submissions.py
@@ -1,4 +1,4 @@
-"""What users submit: jobs with the field names of the source."""
+"""Jobs as users submit them, with this project's field names instead of the protocol's."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,13 +13,14 @@
 
 @dataclass
 class Submission:
-    """One job as its user describes it, and how it behaves on a machine.
+    """A job as its user describes it, and how its tasks behave on a machine.
 
     Attributes:
         estimated_run_s: The run time of one task as its user states it.
-        actual_run_s: How long a task of an array really runs; None: not known to the user either.
+        actual_run_s: The actual run time of an array's task; None: set to the estimate when
+            the job is submitted.
         fails: Whether all its tasks end in error.
-        needs: The jobs that it waits for; None: the field is left out.
+        needs: Its dependencies; None: the field is left out.
     """
 
     id: str | None = None
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks on one machine: fetching, running, saving, exited."""
+"""The tasks on one machine and their states: fetching, running, saving, exited."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from .worker import Worker
 
-HUNG_RETRY_S = 0.5  # how often what a hung machine has to do is tried again
+HUNG_RETRY_S = 0.5  # the retry interval for actions of a hung machine
 TIME_TO_FAIL_S = 0.5  # how long a task runs before it ends in error
 CAPACITY_SLACK = 1e-9
 
@@ -20,7 +20,7 @@
     """One attempt of a task on a machine.
 
     Attributes:
-        serial: Which start on this machine it is; what was planned for another one is void.
+        serial: The number of its start on this machine; events of other starts are ignored.
     """
 
     attempt: int
@@ -57,11 +57,11 @@
             del self.by_name[command.task]
 
     def start(self, command: Command, present: RunningTask | None) -> None:
-        """Begins with a task, or refuses it."""
+        """Starts a task, or refuses it."""
         name = command.task
         if present is not None:
             if present.attempt != command.attempt:
-                # Refused as busy; that the refusal is not listed is enough for these tests.
+                # Refused as busy. For these tests it suffices that the heartbeat omits the refusal.
                 self.machine.schedule_change_heartbeat()
             return
         self.start_count += 1
@@ -79,7 +79,7 @@
             self.machine.schedule_change_heartbeat()
 
     def stop(self, command: Command, task: RunningTask) -> None:
-        """Stops a task, which saves first if it can and has the time."""
+        """Stops a task, which saves first if it has checkpoints and enough grace time."""
         job = self.observer.jobs[job_of(command.task)]
         saves = job.checkpoint_interval_s > 0 and command.grace_s >= job.checkpoint_save_s
         if task.state is TaskState.RUNNING and saves:
@@ -89,19 +89,19 @@
         elif task.state is not TaskState.SAVING or command.grace_s == 0:
             self.exit(command.task, ExitReason.STOPPED)
 
-    # --- what tasks take
+    # --- resource usage
 
     def live_names(self) -> list[str]:
-        """The tasks that have not exited, those on their way included."""
+        """The tasks that have not exited, fetching ones included."""
         return [name for name, task in self.by_name.items() if task.state is not TaskState.EXITED]
 
     def usage(self) -> tuple[float, float]:
-        """What the tasks here take, as (cpus, ram_gb)."""
+        """The resources used by live tasks, as (cpus, ram_gb)."""
         jobs = [self.observer.jobs[job_of(name)] for name in self.live_names()]
         return sum(job.cpus for job in jobs), sum(job.ram_gb for job in jobs)
 
     def fits(self) -> bool:
-        """Whether all tasks here fit the machine."""
+        """Whether all live tasks together fit the machine."""
         cpus, ram_gb = self.usage()
         machine_type = self.machine.type
         return (
@@ -109,10 +109,10 @@
             and ram_gb <= machine_type.ram_gb + CAPACITY_SLACK
         )
 
-    # --- what becomes of a task
+    # --- progress of a task
 
     def run(self, name: str, serial: int, job: Submission) -> None:
-        """The image is there, so the task runs."""
+        """The image has been fetched, so the task runs."""
         if self.postpone_if_hung(self.run, name, serial, job):
             return
         task = self.find(name, serial, TaskState.FETCHING)
@@ -147,7 +147,7 @@
             task.checkpointed = True
 
     def exit(self, name: str, reason: ExitReason) -> None:
-        """The task ends; it is shown until it is cleared."""
+        """Ends a task; heartbeats list it until it is cleared."""
         task = self.by_name[name]
         self.note_left(name, task)
         task.state = TaskState.EXITED
@@ -155,25 +155,25 @@
         self.machine.schedule_change_heartbeat()
 
     def kill_all(self) -> None:
-        """Ends and forgets all tasks."""
+        """Ends and removes all tasks."""
         for name, task in self.by_name.items():
             self.note_left(name, task)
         self.by_name = {}
 
     def note_left(self, name: str, task: RunningTask) -> None:
-        """Tells the observer if a task that was on the machine no longer is."""
+        """Notifies the observer of the end of a task that was running or saving."""
         if task.state in (TaskState.RUNNING, TaskState.SAVING):
             self.observer.task_left(name, self.machine.name)
 
     def find(self, name: str, serial: int, state: TaskState) -> RunningTask | None:
-        """The task if it is still the one of this start, in this state, on a live machine."""
+        """The task if it is still of this start and in this state, and the machine is not dead."""
         task = self.by_name.get(name)
         if task is None or task.serial != serial or task.state is not state:
             return None
         return None if self.machine.dead else task
 
     def postpone_if_hung(self, action: Callable[..., None], *args: object) -> bool:
-        """Whether the machine hangs; the action is then tried again."""
+        """Returns whether the machine is hung; if so, schedules a retry of the action."""
         if self.machine.hung:
             self.world.at(HUNG_RETRY_S, action, *args)
         return self.machine.hung
--- a/tests/stand_ins/users.py
+++ b/tests/stand_ins/users.py
@@ -1,4 +1,4 @@
-"""A stand-in for users: they submit, poll, cancel, and repeat what got no proper answer."""
+"""A stand-in for users: they submit, poll and cancel jobs, and retry failed requests."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -12,23 +12,23 @@
 SUBMIT_TIMEOUT_S = 5.0
 POLL_TIMEOUT_S = 2.0
 POLL_INTERVAL_S = 5.0
-FINAL_POLL_INTERVAL_S = 40.0  # users may ask again at any later time, more rarely
-RETRY_S = 1.0  # plus up to a second
+FINAL_POLL_INTERVAL_S = 40.0  # for finished jobs, which users may poll at any later time
+RETRY_S = 1.0  # the minimum; up to a second of jitter is added
 RETRY_LIMIT_S = 60
 DEPENDENCY_ACCEPTED_RETRY_S = 0.3
 JOB_ACCEPTED_RETRY_S = 1.0
 CANCELLATION_SPREAD_S = 0.2
 MAX_HUNG_MACHINES = 8
-MAX_REACTION_S = 2.0  # within it a user reacts to the end of a job
+MAX_REACTION_S = 2.0  # the maximum delay of a user's reaction to the completion of a job
 
 
 class Users:
-    """All users; they reach the controllers through a load balancer that picks one at random.
+    """All users; a load balancer sends each of their requests to a random controller.
 
     Attributes:
-        cancel_share: The share of arrays that are cancelled at the moment of their last task's
-            end; `cancel_until` a moment.
-        cancelled_on_completion: How many were.
+        cancel_share: The share of arrays that, until `cancel_until`, are cancelled just when
+            their last task completes.
+        cancelled_on_completion: The number of arrays cancelled in that way.
     """
 
     def __init__(self, world: World, observer: Observer, controllers: list[str]) -> None:
@@ -43,9 +43,9 @@
     # --- submissions
 
     def submit(self, job: Submission) -> None:
-        """Submits a job, once the jobs that it needs are accepted."""
-        if not all(need in self.observer.accepted_at for need in job.needs or ()):
-            # Users name what they know to be accepted.
+        """Submits a job once its dependencies are accepted."""
+        if not all(dependency in self.observer.accepted_at for dependency in job.needs or ()):
+            # Users only name dependencies that they know to be accepted.
             self.world.at(DEPENDENCY_ACCEPTED_RETRY_S, self.submit, job)
             return
         assert job.id is not None
@@ -56,7 +56,7 @@
         self.try_to_submit(job, self.world.now)
 
     def try_to_submit(self, job: Submission, since: float) -> None:
-        """Sends a submission, and again until it gets an answer for good or a minute is over."""
+        """Sends a submission, with retries until a definitive answer or for RETRY_LIMIT_S."""
         assert job.id is not None
         job_id, asked_at = job.id, self.world.now
 
@@ -70,18 +70,18 @@
         self.post(wire.SUBMISSIONS_PATH, wire.write_submission(job), answered)
 
     def draw_retry_s(self) -> float:
-        """After how long a user tries again."""
+        """Draws the delay before a retry."""
         return RETRY_S + self.world.random.random()
 
     def submit_again(self, job_id: str, changes: dict[str, Any] | None = None) -> None:
-        """Repeats a submission, with some fields of its body changed."""
+        """Repeats a submission, optionally with some fields of its body changed."""
         body = {**wire.write_submission(self.observer.jobs[job_id]), **(changes or {})}
         self.post(wire.SUBMISSIONS_PATH, body, self.answer_recorder(job_id))
 
     # --- polls
 
     def poll(self, job_id: str) -> None:
-        """Asks for a job's state again and again."""
+        """Polls a job's state periodically."""
         note = self.answer_recorder(job_id)
 
         def answered(status: int, body: Any) -> None:
@@ -93,7 +93,7 @@
         self.get(wire.submission_path(job_id), answered)
 
     def poll_once(self, job_id: str) -> None:
-        """Asks for a job's state."""
+        """Polls a job's state once."""
         self.get(wire.submission_path(job_id), self.answer_recorder(job_id))
 
     # --- cancellations
@@ -101,15 +101,15 @@
     def cancel(
         self, job_id: str, since: float | None = None, controller: str | None = None
     ) -> None:
-        """Cancels a job, again and again until it is told to be, or for a minute.
+        """Cancels a job, with retries until it succeeds or for RETRY_LIMIT_S.
 
         Args:
-            job_id: The job; it is cancelled once it is accepted.
-            since: When the user began to ask; None: now.
-            controller: Where the user's connection leads to; None: anywhere.
+            job_id: The job; the request waits until it is accepted.
+            since: When the user first sent the request; None: now.
+            controller: The controller that gets the request; None: a random one.
         """
         if job_id not in self.observer.accepted_at:
-            # Users cancel what they know to be accepted.
+            # Users only cancel jobs that they know to be accepted.
             self.world.at(JOB_ACCEPTED_RETRY_S, self.cancel, job_id, None, controller)
             return
         first_asked_at = self.world.now if since is None else since
@@ -124,15 +124,15 @@
         self.post(wire.cancel_path(job_id), {}, answered, controller)
 
     def cancel_once(self, job_id: str) -> None:
-        """Asks to cancel a job, whatever the answer."""
+        """Sends one request to cancel a job, without retries."""
         self.post(wire.cancel_path(job_id), {}, self.answer_recorder(job_id))
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Cancels some running jobs almost at once.
 
         Args:
-            count: How many.
-            hang_s: How long some of their machines hang; 0: none does.
+            count: The number of jobs.
+            hang_s: How long some of their machines hang; 0: no machine hangs.
         """
         rng = self.world.random
         running = {
@@ -148,7 +148,7 @@
             self.hang_machines_of(chosen, hang_s)
 
     def hang_machines_of(self, job_ids: Iterable[str], seconds: float) -> None:
-        """Hangs some of the machines that jobs are on."""
+        """Hangs up to MAX_HUNG_MACHINES of the machines on which these jobs run."""
         names = {
             machine
             for name, machine_zones in self.observer.placements.items()
@@ -161,15 +161,12 @@
                 machine.hang(seconds)
 
     def cancel_on_completion(self, share: float, seconds: float) -> None:
-        """For a while, cancels a share of the arrays at the moment when they are complete."""
+        """For a while, cancels a share of the arrays just when they complete."""
         self.cancel_share = share
         self.cancel_until = self.world.now + seconds
 
     def react_to_completion(self, job_id: str) -> None:
-        """The last task of an array has just completed.
-
-        Its user may cancel it, ask for it, and submit it again.
-        """
+        """Handles the completion of an array: its user may cancel, poll and resubmit it."""
         rng = self.world.random
         if self.world.now < self.cancel_until and rng.random() < self.cancel_share:
             self.cancelled_on_completion += 1
@@ -180,7 +177,7 @@
     # --- requests
 
     def answer_recorder(self, job_id: str) -> Callable[[int, Any], None]:
-        """What tells the observer of the answer to a request that is sent now."""
+        """Returns a callback that reports the answer to a request sent now to the observer."""
         asked_at = self.world.now
         return lambda status, body: self.observer.answered(job_id, asked_at, status, body)
 
@@ -191,11 +188,11 @@
         answered: Callable[[int, Any], None],
         controller: str | None = None,
     ) -> None:
-        """Sends a submission or a cancellation to a controller, any if none is named."""
+        """Sends a submission or a cancellation to a controller, by default a random one."""
         target = controller or self.world.random.choice(self.controllers)
         self.world.request(HOST, target, "POST", path, body, SUBMIT_TIMEOUT_S, answered)
 
     def get(self, path: str, answered: Callable[[int, Any], None]) -> None:
-        """Asks any controller."""
+        """Sends a GET request to a random controller."""
         target = self.world.random.choice(self.controllers)
         self.world.request(HOST, target, "GET", path, None, POLL_TIMEOUT_S, answered)
--- a/tests/stand_ins/wire.py
+++ b/tests/stand_ins/wire.py
@@ -1,6 +1,7 @@
-"""The one place of the stand-ins that knows the protocol's field names, paths and words.
+"""Wire format of users, agents and the cloud, as `PROTOCOL-emberglade` defines it.
 
-Agents and users speak `PROTOCOL-emberglade`; the stand-ins use the names of docs/glossary.md.
+No other module of the stand-ins contains the protocol's field names, paths and values; the others
+use the names of docs/glossary.md.
 """
 
 from collections.abc import Iterable
@@ -12,7 +13,7 @@
 # --- users
 
 SUBMISSIONS_PATH = "/submissions"
-# Field of a Submission -> the protocol's, in the order in which users send them.
+# Maps fields of Submission to those of the protocol, in the order in which users send them.
 SUBMISSION_FIELDS = {
     "job_class": "breed",
     "team": "crew",
@@ -36,9 +37,9 @@
 }
 SHAPES = {JobShape.ARRAY: "sweep", JobShape.SERVICE: "standing"}
 NULLABLE = ("hearth_kinds", "glade", "due_s")
-# The fields of a submission that PROTOCOL does not let be null.
+# The fields of a submission that must not be null according to PROTOCOL.
 NOT_NULL = [name for name in SUBMISSION_FIELDS.values() if name not in NULLABLE] + ["id"]
-# What a repeated submission may differ in, and what keeps a job from ever running.
+# Changes to the body of a repeated submission.
 REPEAT_CHANGES: list[dict[str, Any]] = [
     {},
     {"cpus": 1000.0},
@@ -46,6 +47,7 @@
     {"crew": "nobody"},
     {"embers": -1},
 ]
+# Changes to a submission with which the job can never run.
 UNSATISFIABLE_FIELDS: list[dict[str, Any]] = [
     {"cpus": 500.0},
     {"ram_gb": 1e6},
@@ -56,7 +58,7 @@
 
 
 class JobState(StrEnum):
-    """A job's state as its user is told, by the names of the source."""
+    """A job's state as reported to its user, by this project's names."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -73,7 +75,7 @@
 
 
 def submission_path(job_id: str) -> str:
-    """The path of one job."""
+    """The path of a job."""
     return f"{SUBMISSIONS_PATH}/{job_id}"
 
 
@@ -83,7 +85,7 @@
 
 
 def write_submission(job: Submission) -> dict[str, Any]:
-    """The body of a submission; what only the stand-ins know of the job travels along."""
+    """Builds the body of a submission, including fields that only the stand-ins use."""
     body = {field: getattr(job, name) for name, field in SUBMISSION_FIELDS.items()}
     body["shape"] = SHAPES[JobShape(job.shape)]
     if job.fails:
@@ -98,7 +100,7 @@
 
 
 def read_job_state(body: dict[str, Any]) -> JobState:
-    """The state that an answer to a user names."""
+    """Reads the job state from an answer to a user."""
     return WIRE_STATES[body["glow"]]
 
 
@@ -109,7 +111,7 @@
 
 
 class TaskState(StrEnum):
-    """The state of a task on a machine, by the protocol's names."""
+    """The state of a task on a machine; values are the protocol's."""
 
     FETCHING = "fetching"
     RUNNING = "running"
@@ -118,7 +120,7 @@
 
 
 class ExitReason(StrEnum):
-    """Why a task has ended, by the protocol's names."""
+    """Why a task has ended; values are the protocol's."""
 
     DONE = "done"
     ERROR = "error"
@@ -128,7 +130,7 @@
 
 
 class CommandKind(StrEnum):
-    """What an agent is told to do with a task, by the protocol's names."""
+    """The kind of a command to an agent; values are the protocol's."""
 
     START = "start"
     STOP = "halt"
@@ -136,7 +138,7 @@
 
 
 class Command(NamedTuple):
-    """One command to an agent; `grace_s` is the time that a stopped task has to save."""
+    """A command to an agent; `grace_s` is the time that a stopped task has to save."""
 
     kind: str
     task: str
@@ -145,7 +147,7 @@
 
 
 class Commands(NamedTuple):
-    """A body that holds commands; None where it lacks a field."""
+    """The commands of a body, with its token and epoch; None if it lacks the field."""
 
     fencing_token: int | None
     agent_epoch: int | None
@@ -153,7 +155,7 @@
 
 
 def read_commands(body: dict[str, Any]) -> Commands:
-    """The commands of a request to an agent, or of the answer to its heartbeat."""
+    """Reads the commands of a request to an agent or of an answer to its heartbeat."""
     commands = [
         Command(row["blast"], row["ember"], row["strike"], row.get("smother_s", 0))
         for row in body.get("bellows", ())
@@ -162,7 +164,7 @@
 
 
 def read_redirect(status: int, body: Any) -> str | None:
-    """The controller that an agent is to send its heartbeats to, if an answer names one."""
+    """Reads the controller to which an answer redirects an agent's heartbeats, if any."""
     if status != 421 or not isinstance(body, dict):
         return None
     return body.get("firekeeper")
@@ -171,7 +173,7 @@
 def write_task(
     name: str, attempt: int, state: str, exit_reason: str | None, checkpointed: bool
 ) -> dict[str, Any]:
-    """One task of an agent's heartbeat."""
+    """Builds the row of a task in an agent's heartbeat."""
     row: dict[str, Any] = {"ember": name, "strike": attempt, "glow": state}
     if exit_reason:
         row["ashcause"] = exit_reason
@@ -188,7 +190,7 @@
     reclaimed_in_s: float | None,
     tasks: Iterable[dict[str, Any]],
 ) -> dict[str, Any]:
-    """An agent's heartbeat; `machine` comes from `write_machine`."""
+    """Builds an agent's heartbeat; `machine` comes from `write_machine`."""
     return {
         **machine,
         "kindling_span": agent_epoch,
@@ -202,7 +204,7 @@
 def write_machine(
     name: str, address: str, machine_type: str, zone: str, spot: bool
 ) -> dict[str, Any]:
-    """What a heartbeat says of the machine itself."""
+    """Builds the fields of the machine itself in a heartbeat."""
     return {
         "hearth": name,
         "addr": address,
@@ -221,7 +223,7 @@
 
 
 class ScaleOutRequest(NamedTuple):
-    """A request to rent machines; one that is repeated has the same `name`."""
+    """A request to rent machines; a repeated request has the same `name`."""
 
     name: str
     zone: str
@@ -230,32 +232,32 @@
 
 
 def read_scale_out(body: dict[str, Any]) -> ScaleOutRequest:
-    """The request that a body holds."""
+    """Reads a scale-out request."""
     return ScaleOutRequest(body["woodcall"], body["glade"], body["driftwood"], body["number"])
 
 
 def read_scale_in(body: dict[str, Any]) -> list[str]:
-    """The machines that a body gives back."""
+    """Reads the names of the machines to return."""
     return body["hearths"]
 
 
 def write_scaled_out(names: list[str]) -> dict[str, Any]:
-    """The answer that names the machines that were rented."""
+    """Builds the answer with the names of the rented machines."""
     return {"hearths": names}
 
 
 def write_catalog(machine_types: list[dict[str, Any]]) -> dict[str, Any]:
-    """The machine types that can be rented."""
+    """Builds the catalog of machine types."""
     return {"hearth_kinds": machine_types}
 
 
 def write_listed_machine(machine: dict[str, Any], running: bool, age_s: float) -> dict[str, Any]:
-    """One row of the machine list; `machine` comes from `write_machine`."""
+    """Builds a row of the machine list; `machine` comes from `write_machine`."""
     row = {"id" if name == "hearth" else name: value for name, value in machine.items()}
     return {**row, "glow": "running" if running else "starting", "age_s": age_s}
 
 
 def write_machine_list(rows: list[dict[str, Any]], after: str) -> dict[str, Any]:
-    """One page of the machine list, in the order of names."""
+    """Builds one page of the machine list, ordered by name."""
     following = sorted((row for row in rows if row["id"] > after), key=lambda row: row["id"])
     return {"hearths": following[:LIST_PAGE], "has_next": len(following) > LIST_PAGE}
--- a/tests/stand_ins/worker.py
+++ b/tests/stand_ins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for one rented machine and the worker agent on it, as PROTOCOL describes it."""
+"""A stand-in for a rented machine and its worker agent, which behaves as PROTOCOL describes."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -18,18 +18,18 @@
     from .cloud import MachineType
 
 HEARTBEAT_TIMEOUT_S = 4.0
-MIN_HEARTBEAT_GAP_S = 0.5  # between two heartbeats of which the second tells of a change
-# The interval of heartbeats, as shares of the nominal one.
+MIN_HEARTBEAT_GAP_S = 0.5  # between a heartbeat and one that reports a change
+# The range of the heartbeat interval, as shares of the nominal interval.
 MIN_INTERVAL_SHARE, MAX_INTERVAL_SHARE = 0.75, 1.25
 REDIRECT_DELAY_S = 0.1
 NEXT_CONTROLLER_DELAY_S = 1.0
 LEASE_CHECK_S = 0.2
-HUNG_RETRY_S = 0.5  # how often what a hung machine has to do is tried again
+HUNG_RETRY_S = 0.5  # the retry interval for actions of a hung machine
 
 
 @dataclass(frozen=True)
 class WorkerSettings:
-    """What all worker agents know."""
+    """Settings that all worker agents share."""
 
     heartbeat_s: float
     lease_s: float
@@ -40,15 +40,15 @@
     """One machine and its agent.
 
     Attributes:
-        up: Whether it has booted and not ended.
-        dead: Whether it has ended.
+        up: Whether it has booted and has not been stopped.
+        dead: Whether it has been stopped permanently.
         listed: Whether the cloud lists it.
-        hung: Whether it executes nothing and answers nobody for a while.
-        faulty: Whether all tasks end in error on it.
-        reclaim_at: When the cloud takes it away, if it has said so.
-        controller: The place of the controller that gets its heartbeats in `settings.controllers`.
-        lease_renewed_at: When the last heartbeat that was answered had been sent.
-        heartbeat_count: How many heartbeats it has sent.
+        hung: Whether it is hung: it executes nothing and answers no request.
+        faulty: Whether all tasks on it end in error.
+        reclaim_at: When the cloud reclaims it, if it has given notice.
+        controller: The index in `settings.controllers` of the controller that gets its heartbeats.
+        lease_renewed_at: When the last heartbeat that renewed the lease was sent.
+        heartbeat_count: The number of heartbeats sent.
     """
 
     def __init__(
@@ -84,22 +84,22 @@
         self.in_flight = False
         self.heartbeat_count = 0
         self.last_sent = -10.0
-        self.queued_requests: list[tuple] = []  # what came while the machine hung
+        self.queued_requests: list[tuple] = []  # requests that arrived while the machine was hung
 
     # --- the machine
 
     def description(self) -> dict[str, Any]:
-        """What lists and heartbeats say of the machine itself."""
+        """The fields of the machine itself in machine lists and heartbeats."""
         address = self.world.address_of(self.name)
         return wire.write_machine(self.name, address, self.type.label, self.zone, self.spot)
 
     def listed_row(self) -> dict[str, Any]:
-        """The machine as the cloud lists it."""
+        """The machine's row in the cloud's machine list."""
         age_s = self.world.now - self.rented_at
         return wire.write_listed_machine(self.description(), self.up, age_s)
 
     def boot(self) -> None:
-        """Begins to serve, unless it has ended meanwhile."""
+        """Starts to serve, unless the machine has been stopped meanwhile."""
         if self.dead:
             return
         self.up = True
@@ -109,19 +109,19 @@
         self.check_lease()
 
     def end(self) -> None:
-        """Ends with all tasks that are on it."""
+        """Stops the machine permanently, with all its tasks."""
         self.dead = True
         self.up = False
         self.world.hosts.pop(self.name, None)
         self.tasks.kill_all()
 
     def hang(self, seconds: float) -> None:
-        """Executes nothing and answers nobody; then goes on with what came meanwhile."""
+        """Hangs the machine for a while; requests that arrive meanwhile are queued."""
         self.hung = True
         self.world.at(seconds, self.recover)
 
     def recover(self) -> None:
-        """Goes on after a hang."""
+        """Resumes after a hang, with the queued requests."""
         self.hung = False
         if self.dead:
             return
@@ -130,7 +130,7 @@
             self.handle(*request)
 
     def is_usable(self) -> bool:
-        """Whether nothing keeps the machine from taking tasks and completing them."""
+        """Whether the machine can accept tasks and complete them."""
         return (
             self.up
             and self.listed
@@ -140,7 +140,7 @@
         )
 
     def has_capacity_for(self, job: Submission) -> bool:
-        """Whether one more task like this may run here."""
+        """Whether the machine has capacity for one more task of a job, and the job allows it."""
         cpus, ram_gb = self.tasks.usage()
         return (
             cpus + job.cpus <= self.type.cpus
@@ -153,9 +153,9 @@
     # --- the lease
 
     def check_lease(self) -> None:
-        """Looks again and again whether the lease has expired.
+        """Checks periodically whether the lease has expired.
 
-        Also on a machine that hangs: it executes nothing, and may only go on within its lease.
+        A hung machine checks too: its tasks may only continue if it recovers within its lease.
         """
         if self.dead:
             return
@@ -164,7 +164,7 @@
         self.world.at(LEASE_CHECK_S, self.check_lease)
 
     def begin_agent_epoch(self) -> None:
-        """Kills and forgets all tasks."""
+        """Kills and removes all tasks and increments the agent epoch."""
         self.tasks.kill_all()
         self.agent_epoch += 1
         self.lease_renewed_at = self.world.now
@@ -173,7 +173,7 @@
     # --- commands
 
     def handle(self, method: str, path: str, body: bytes, source: str, reply: Reply) -> None:
-        """Answers a request of a controller, once the machine does not hang."""
+        """Answers a controller's request; a hung machine queues it until it recovers."""
         if self.hung:
             self.queued_requests.append((method, path, body, source, reply))
         elif path == wire.COMMANDS_PATH:
@@ -182,7 +182,7 @@
             reply(200, self.heartbeat())
 
     def receive_commands(self, received: wire.Commands) -> tuple[int, dict[str, Any]]:
-        """Executes direct commands unless their fencing token or agent epoch is out of date."""
+        """Executes direct commands unless their fencing token or agent epoch is stale."""
         if received.fencing_token is None or received.agent_epoch is None:
             return 400, {}
         if received.fencing_token < self.fencing_token or received.agent_epoch != self.agent_epoch:
@@ -200,13 +200,13 @@
     # --- heartbeats
 
     def schedule_change_heartbeat(self) -> None:
-        """Plans a heartbeat that tells of a change, soon."""
+        """Schedules a heartbeat that reports a change, at most one per MIN_HEARTBEAT_GAP_S."""
         if self.up and not self.in_flight:
             delay = max(0.0, self.last_sent + MIN_HEARTBEAT_GAP_S - self.world.now)
             self.world.at(delay, self.send_heartbeat, self.heartbeat_count)
 
     def heartbeat(self) -> dict[str, Any]:
-        """The body of a heartbeat, and of an answer to commands."""
+        """Builds the body of a heartbeat or of an answer to commands."""
         self.sequence += 1
         reclaimed_in_s = None
         if self.reclaim_at is not None:
@@ -221,7 +221,7 @@
         )
 
     def task_rows(self) -> Iterator[dict[str, Any]]:
-        """The tasks as a heartbeat shows them."""
+        """The rows of the tasks in a heartbeat."""
         return (
             wire.write_task(name, task.attempt, task.state, task.exit_reason, task.checkpointed)
             for name, task in self.tasks.by_name.items()
@@ -231,8 +231,8 @@
         """Sends a heartbeat unless one is in flight.
 
         Args:
-            planned_after: How many had been sent when this one was planned; another one in
-                between takes its place. None: it was not planned before.
+            planned_after: The number of heartbeats sent when this one was scheduled; it is skipped
+                if another one was sent since. None: it is not skipped.
         """
         if self.hung:
             self.world.at(HUNG_RETRY_S, self.send_heartbeat, planned_after)
@@ -255,9 +255,9 @@
         )
 
     def receive_answer(self, sent_at: float, agent_epoch: int, status: int, body: Any) -> None:
-        """Goes by the answer to a heartbeat."""
+        """Handles the answer to a heartbeat."""
         if self.hung:
-            # Dropped if it waits for longer than a worker does; else read when the machine goes on.
+            # The answer is kept until the machine recovers, unless the heartbeat times out first.
             if self.world.now - sent_at >= HEARTBEAT_TIMEOUT_S:
                 status = NO_ANSWER
             self.world.at(HUNG_RETRY_S, self.receive_answer, sent_at, agent_epoch, status, body)
@@ -271,7 +271,7 @@
             self.switch_controller(wire.read_redirect(status, body))
 
     def renew_lease(self, sent_at: float, agent_epoch: int, received: wire.Commands) -> None:
-        """Executes the commands of an answer unless it is out of date."""
+        """Renews the lease and executes an answer's commands, unless the answer is stale."""
         assert received.fencing_token is not None
         if received.fencing_token >= self.fencing_token and agent_epoch == self.agent_epoch:
             self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
@@ -281,7 +281,7 @@
         self.world.at(delay, self.send_heartbeat, self.heartbeat_count)
 
     def switch_controller(self, target: str | None) -> None:
-        """Sends the next heartbeat to the controller that an answer names, or to the next one."""
+        """Sends the next heartbeat to the controller that the answer names, or to the next one."""
         controllers = self.settings.controllers
         if target in controllers and target != controllers[self.controller]:
             self.controller = controllers.index(target)
--- a/tests/stand_ins/world.py
+++ b/tests/stand_ins/world.py
@@ -1,4 +1,4 @@
-"""Simulated time, and a network that delays, drops and duplicates messages."""
+"""Simulated time, and a simulated network that delays, drops and duplicates messages."""
 
 import heapq
 import itertools
@@ -12,27 +12,27 @@
 
 from emberglade.transport import NO_ANSWER, REFUSED
 
-Reply = Callable[..., None]  # called with status and decoded body
-Handler = Callable[..., None]  # called with method, path, body bytes, source and a Reply
+Reply = Callable[..., None]  # called with the status and the decoded body
+Handler = Callable[..., None]  # called with method, path, body as bytes, source and a Reply
 
 MIN_DELAY_S = 0.001
 DELAY_SPREAD_S = 0.004
-# How late the second copy of a request may come.
+# The delay of a duplicated request.
 MIN_REPEAT_DELAY_S, MAX_REPEAT_DELAY_S = 1, 40
 WORKER_PORT = 9000
-CLOCK_SLACK_S = 1e-6  # a moment that is this near counts as come
+CLOCK_SLACK_S = 1e-6  # tolerance for rounding when a deadline is compared with the clock
 
 
 class PartitionMode(StrEnum):
-    """What becomes of messages between the two sides of a partition."""
+    """How a partition affects messages between its two sides."""
 
-    DELAY = "delay"  # they arrive when it is over
+    DELAY = "delay"  # they arrive when it ends
     DROP = "drop"
 
 
 @dataclass(frozen=True)
 class Partition:
-    """Two groups of hosts that don't reach each other."""
+    """Two groups of hosts that can't reach each other."""
 
     first: set[str]
     second: set[str]
@@ -40,7 +40,7 @@
     mode: PartitionMode
 
     def separates(self, source: str, target: str) -> bool:
-        """Whether the two hosts are on different sides."""
+        """Whether two hosts are on different sides."""
         return (source in self.first and target in self.second) or (
             source in self.second and target in self.first
         )
@@ -48,20 +48,20 @@
 
 @dataclass(frozen=True)
 class OneWayBlock:
-    """Something that fails from some hosts to others, and works in the other direction."""
+    """A fault in one direction: from the source hosts to the target hosts."""
 
     sources: set[str]
     targets: set[str]
     until: float
 
     def applies(self, source: str, target: str, now: float) -> bool:
-        """Whether it fails now between the two hosts."""
+        """Whether the block is in force from this source to this target."""
         return source in self.sources and target in self.targets and self.until > now
 
 
 @dataclass(frozen=True)
 class LateDuplicates:
-    """Requests to one path whose duplicates arrive late, at any of some hosts."""
+    """A fault that delivers late duplicates of requests to one path to random hosts of a list."""
 
     path: str
     chance: float
@@ -71,19 +71,19 @@
 
 
 class World:
-    """The clock, the events to come, and the network between hosts.
+    """The clock, the event queue, and the network between hosts.
 
     Attributes:
-        random: The one source of random numbers of a simulated run.
-        now: Seconds since the world began.
+        random: The random number generator that all stand-ins of a run share.
+        now: Seconds since the world started.
         hosts: The handler of each host by its name; None while its process is down.
-        powered_off: Hosts whose machine is off: silent while they are down.
-        drops: Messages that are lost in one direction.
-        blocked_connections: Connections that can't be opened in one direction.
-        repeat_chance: The chance that a request arrives a second time, late.
+        powered_off: Hosts whose machine is off: while down, they don't refuse connections either.
+        drops: One-way faults that drop all messages.
+        blocked_connections: One-way faults that prevent connections from being opened.
+        repeat_chance: The probability that a request is duplicated, with a delay.
         late_duplicates: Late duplicates of requests to one path, if any.
-        max_extra_delay_s: The most that a message takes longer than usual.
-        loss: The chance that a message is lost.
+        max_extra_delay_s: The maximum additional delay of a message.
+        loss: The probability that a message is lost.
     """
 
     def __init__(self, seed: int) -> None:
@@ -102,19 +102,19 @@
         self.loss = 0.0
 
     def at(self, delay: float, action: Callable, *args: Any) -> None:
-        """Plans a call in `delay` seconds."""
+        """Schedules a call in `delay` seconds."""
         due = self.now + max(delay, 0.0)
         heapq.heappush(self.events, (due, next(self.event_numbers), action, args))
 
     def run(self, until: float) -> None:
-        """Plays all events up to a moment."""
+        """Runs all events up to a time."""
         while self.events and self.events[0][0] <= until:
             self.now, _, action, args = heapq.heappop(self.events)
             action(*args)
         self.now = until
 
     def address_of(self, worker: str) -> str:
-        """Where a worker takes direct commands."""
+        """The address at which a worker accepts direct commands."""
         return f"{worker}:{WORKER_PORT}"
 
     # --- network faults
@@ -126,13 +126,13 @@
         self.partitions.append(Partition(set(first), set(second), self.now + seconds, mode))
 
     def drop_messages(self, sources: Iterable[str], targets: Iterable[str], seconds: float) -> None:
-        """Loses all messages in this direction, answers among them."""
+        """Drops all messages in this direction, answers included."""
         self.drops.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
 
     def block_connections(
         self, sources: Iterable[str], targets: Iterable[str], seconds: float
     ) -> None:
-        """Keeps hosts from opening connections; requests in the other direction work."""
+        """Prevents hosts from opening connections; requests in the other direction work."""
         self.blocked_connections.append(OneWayBlock(set(sources), set(targets), self.now + seconds))
 
     def partition_between(self, source: str, target: str) -> Partition | None:
@@ -145,7 +145,7 @@
     # --- messages
 
     def deliver(self, source: str, target: str, action: Callable[[], None]) -> None:
-        """Carries one message: `action` runs when it arrives, which may be never."""
+        """Transmits a message: `action` runs when it arrives, or never if it is lost."""
         delay = MIN_DELAY_S + self.random.random() * (DELAY_SPREAD_S + self.max_extra_delay_s)
         partition = self.partition_between(source, target)
         if any(block.applies(source, target, self.now) for block in self.drops):
@@ -168,7 +168,7 @@
         timeout: float,
         reply: Reply,
     ) -> None:
-        """One call; ends in `reply(status, body)` after an answer or after `timeout`."""
+        """Sends a request; `reply(status, body)` is called on its answer or after `timeout`."""
         waiting = [True]
         payload = orjson.dumps(body) if body is not None else b""
 
@@ -186,7 +186,7 @@
             if handler is not None:
                 handler(method, path, payload, source, respond)
             elif target in self.hosts and target not in self.powered_off:
-                # Its process has ended; the machine refuses the connection.
+                # Its process is down, but its machine is up and refuses the connection.
                 self.deliver(target, source, lambda: finish(REFUSED, None))
 
         if not any(block.applies(source, target, self.now) for block in self.blocked_connections):
@@ -214,4 +214,4 @@
 
 
 def ignore_answer(*_: Any) -> None:
-    """A reply that nobody waits for."""
+    """Discards the answer to a duplicated request."""
