--- a/tests/stand_ins/cloud.py
+++ b/tests/stand_ins/cloud.py
@@ -173,7 +173,7 @@
             machine.hang(seconds)
 
     def sample_running(self, count: int) -> list[Worker]:
-        """Draws machines that are up: `count` of them, or all if there are fewer."""
+        """Draws `count` of the machines that are up, or all if there are fewer."""
         running = list(self.running())
         return self.world.random.sample(running, min(count, len(running)))
 
--- a/tests/stand_ins/state_service.py
+++ b/tests/stand_ins/state_service.py
@@ -204,11 +204,11 @@
 
     def transact(self, transaction: Transaction, source: str) -> Answer:
         """Carries out a transaction; the audits run before it, and again after a commit."""
-        committed = [audit(transaction, source) for audit in self.audits]
+        commit_callbacks = [audit(transaction, source) for audit in self.audits]
         status, body = self.commit(transaction, source)
         if status == 200:
-            for note in committed:
-                note()
+            for callback in commit_callbacks:
+                callback()
         return status, body
 
     def commit(self, transaction: Transaction, source: str) -> Answer:
--- a/tests/stand_ins/state_wire.py
+++ b/tests/stand_ins/state_wire.py
@@ -1,7 +1,4 @@
-"""Wire format of the state service and layout of the stored keys.
-
-No other module of the stand-ins contains these field names and key prefixes.
-"""
+"""Wire format of the state service, and the stored keys that the stand-ins read."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
--- a/tests/stand_ins/wire.py
+++ b/tests/stand_ins/wire.py
@@ -1,7 +1,6 @@
 """Wire format of users, agents and the cloud, as `PROTOCOL-emberglade` defines it.
 
-No other module of the stand-ins contains the protocol's field names, paths and values; the others
-use the names of docs/glossary.md.
+The other modules of the stand-ins use the names of docs/glossary.md.
 """
 
 from collections.abc import Iterable
