--- a/tests/scenario_kinds/expect_machines.py
+++ b/tests/scenario_kinds/expect_machines.py
@@ -16,7 +16,7 @@
         """This many tasks of the job are running, all of them in this zone or on this machine."""
         machines = [
             machine
-            for name, machines_of_task in self.observer.on.items()
+            for name, machines_of_task in self.observer.placements.items()
             if job_of(name) == job_id
             for machine in machines_of_task
         ]
@@ -30,7 +30,7 @@
         """Number of running tasks of all jobs with this prefix."""
         return sum(
             len(machines_of_task)
-            for name, machines_of_task in self.observer.on.items()
+            for name, machines_of_task in self.observer.placements.items()
             if name.startswith("job-" + prefix)
         )
 
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -1,4 +1,4 @@
-"""What must not last for too long: silence about a job, waiting for free machines, starvation."""
+"""Checks of liveness: jobs must be answered for, tasks placed, and no group of jobs starved."""
 
 from typing import TYPE_CHECKING
 
@@ -7,77 +7,82 @@
 if TYPE_CHECKING:
     from .observer import Observer
 
-INTERVAL_S = 1.0
-FAILING_S = 90  # PROTOCOL: polls for a job may fail for so long while most others get answers
-FAILING_AFTER_FAULTS_S = 75  # the same once all faults are over, however others fare
-PENDING_S = 90  # a task for which there is a machine may wait for so long
+CHECK_INTERVAL_S = 1.0
+# PROTOCOL: how long requests about one job may fail while most other requests get answers.
+MAX_FAILING_S = 90
+# The same once all faults have ended, whether or not other requests get answers.
+MAX_FAILING_AFTER_FAULTS_S = 75
+MAX_PENDING_S = 90  # how long a task may be pending while a machine has capacity for it
 ANSWERS_KEPT_S = 90
-LARGEST_SHARE = 10  # the largest tenth of each class
-LARGEST_BEGIN_S = 240  # the time that these have to begin
+LARGEST_JOBS_DIVISOR = 10  # the largest jobs of a class are its largest tenth
+MAX_LARGEST_START_S = 240  # the time within which the largest jobs have to start
 
 
 class LivenessChecks:
-    """Looks once a second for what has lasted too long, and records it as a violation.
+    """Checks once a second for conditions that have lasted too long; records them as violations.
 
     Attributes:
-        quiet_since: When the last fault was over, once that is known.
-        pending_since: Since when a task of a job waits that could run.
-        answers: Of the last answers to users, (when, whether it was a proper one).
+        faults_ended_at: When the last fault ended; None until then.
+        pending_since: By job, since when one of its tasks has been pending that could run.
+        answers: The recent answers to users as (time, whether the request succeeded).
     """
 
     def __init__(self, observer: "Observer") -> None:
         self.observer = observer
         self.world = observer.world
-        self.quiet_since: float | None = None
+        self.faults_ended_at: float | None = None
         self.pending_since: dict[str, float] = {}
         self.answers: list[tuple[float, bool]] = []
-        self.world.at(INTERVAL_S, self.check)
+        self.world.at(CHECK_INTERVAL_S, self.check)
 
-    def note_answer(self, proper: bool) -> None:
-        """A user got an answer, or none."""
+    def note_answer(self, succeeded: bool) -> None:
+        """Records whether a user's request succeeded."""
         kept = [row for row in self.answers if row[0] > self.world.now - ANSWERS_KEPT_S]
-        self.answers = [*kept, (self.world.now, proper)]
+        self.answers = [*kept, (self.world.now, succeeded)]
 
     def check(self) -> None:
-        """Looks for what has lasted too long."""
+        """Runs all checks and schedules the next run."""
         self.check_cancelled()
         self.check_failing()
-        if self.quiet_since is not None:
-            self.check_pending(self.quiet_since)
-        self.world.at(INTERVAL_S, self.check)
+        if self.faults_ended_at is not None:
+            self.check_pending(self.faults_ended_at)
+        self.world.at(CHECK_INTERVAL_S, self.check)
 
     def check_cancelled(self) -> None:
-        """Tasks of a cancelled job must be gone in time."""
+        """Checks that the tasks of cancelled jobs leave their machines in time."""
         observer = self.observer
         for job_id, cancelled_at in observer.cancelled_at.items():
             if self.world.now <= cancelled_at + observer.cancel_s:
                 continue
-            for name, places in observer.on.items():
-                if places and job_of(name) == job_id:
-                    observer.record("ran_cancelled", f"{name} is on {sorted(places)}")
+            for name, machine_zones in observer.placements.items():
+                if machine_zones and job_of(name) == job_id:
+                    observer.record("ran_cancelled", f"{name} is on {sorted(machine_zones)}")
 
     def check_failing(self) -> None:
-        """Questions about a job must not fail for long while others are answered."""
+        """Checks that requests about a job do not fail for long while others succeed."""
         observer, now = self.observer, self.world.now
-        most_answered = sum(proper for _, proper in self.answers) > len(self.answers) / 2
+        most_answered = sum(succeeded for _, succeeded in self.answers) > len(self.answers) / 2
         for job_id, since in observer.failing_since.items():
-            if now - since > FAILING_S and most_answered:
-                observer.record("forgotten", f"polls for {job_id} fail since {since:.0f}")
-            # Once all faults are over, a job stays known however others fare.
+            if now - since > MAX_FAILING_S and most_answered:
+                observer.record(
+                    "forgotten", f"requests about {job_id} have failed since {since:.0f}"
+                )
+            # Once all faults have ended, this holds whether or not other requests succeed.
             if (
-                self.quiet_since is not None
-                and now - max(since, self.quiet_since) > FAILING_AFTER_FAULTS_S
+                self.faults_ended_at is not None
+                and now - max(since, self.faults_ended_at) > MAX_FAILING_AFTER_FAULTS_S
             ):
                 observer.record(
-                    "forgotten", f"no question about {job_id} is answered since {since:.0f}"
+                    "forgotten", f"no request about {job_id} has succeeded since {since:.0f}"
                 )
 
-    # --- waiting for a machine
+    # --- pending tasks
 
-    def check_pending(self, quiet_since: float) -> None:
-        """Once all faults are over, no task waits long that a machine is free for.
+    def check_pending(self, faults_ended_at: float) -> None:
+        """Checks that no task that could run stays pending for long.
 
-        Within its team's quota, that is.
+        A task could run if a machine has capacity for it within its team's quota. The time counts
+        from the end of the faults.
         """
         observer, now = self.observer, self.world.now
         placed, team_cpus = self.placed_tasks()
@@ -88,13 +93,14 @@
                 self.pending_since.pop(job_id, None)
                 continue
             since = self.pending_since.setdefault(job_id, now)
-            if now - max(since, quiet_since) > PENDING_S:
+            if now - max(since, faults_ended_at) > MAX_PENDING_S:
                 observer.record(
-                    "left_pending", f"{job_id} waits since {since:.0f}, and there is capacity"
+                    "left_pending",
+                    f"{job_id} has been pending since {since:.0f} although there is capacity",
                 )
 
     def placed_tasks(self) -> tuple[dict[str, set[int]], dict[str, float]]:
-        """The tasks on machines or on their way, by job, and the processors they take, by team."""
+        """The tasks on machines, fetching ones included, by job, and the cpus they use, by team."""
         placed: dict[str, set[int]] = {}
         team_cpus = dict.fromkeys(self.observer.teams, 0.0)
         for machine in self.observer.machines.values():
@@ -106,9 +112,9 @@
         return placed, team_cpus
 
     def could_run(self, job_id: str, job: Submission, begun: int, team_cpus: float) -> bool:
-        """Whether one more task of a job could run now."""
+        """Whether one more task of a job, of which `begun` have been placed or done, could run."""
         observer = self.observer
-        if job_id in observer.final or observer.is_called_off(job_id):
+        if job_id in observer.final or observer.is_to_be_cancelled(job_id):
             return False
         if not all(map(observer.is_done, job.needs or ())) or begun >= job.tasks:
             return False
@@ -125,12 +131,14 @@
     # --- starvation
 
     def begun_shares(self) -> dict[tuple[str, str], float]:
-        """Of each class, team and of each class's largest jobs, the share that has begun.
+        """The share of jobs that have started, by class, by team, and of each class's largest jobs.
 
-        The largest ones: within LARGEST_BEGIN_S.
+        The largest jobs count as started only if they did so within MAX_LARGEST_START_S.
         """
         observer = self.observer
-        live = [job_id for job_id in observer.accepted_at if not observer.is_called_off(job_id)]
+        live = [
+            job_id for job_id in observer.accepted_at if not observer.is_to_be_cancelled(job_id)
+        ]
         groups: dict[tuple[str, str], list[bool]] = {}
         for job_id in live:
             job = observer.jobs[job_id]
@@ -146,14 +154,14 @@
         return {group: sum(rows) / len(rows) for group, rows in groups.items()}
 
     def largest_begun(self, job_ids: list[str]) -> list[bool]:
-        """For each of the largest jobs of a class, whether it began in time."""
+        """For each of the largest jobs of a class, whether it started in time."""
         observer = self.observer
         ordered = sorted(job_ids, key=lambda job_id: -observer.jobs[job_id].tasks)
         rows = []
-        for job_id in ordered[: max(1, len(ordered) // LARGEST_SHARE)]:
+        for job_id in ordered[: max(1, len(ordered) // LARGEST_JOBS_DIVISOR)]:
             begun_at = observer.begun_at.get(job_id, self.world.now)
             waited = begun_at - observer.accepted_at[job_id]
-            if waited <= LARGEST_BEGIN_S and job_id not in observer.begun_at:
-                continue  # its time is not up yet
-            rows.append(waited <= LARGEST_BEGIN_S)
+            if waited <= MAX_LARGEST_START_S and job_id not in observer.begun_at:
+                continue  # it still has time to start
+            rows.append(waited <= MAX_LARGEST_START_S)
         return rows
