--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,7 +1,8 @@
 """Answers agents' heartbeats.
 
-Every controller may answer any agent. Commands are derived from the replica alone. A start is sent
-only from a replica that was synced after the heartbeat arrived; docs/safety.md gives the reasons.
+Every controller may answer any agent. Commands are derived from the replica alone. A command to
+start a task is sent only if the replica was synced after the heartbeat arrived; docs/safety.md
+gives the reasons.
 """
 
 import itertools
@@ -72,21 +73,21 @@
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
         if self._is_outdated(heartbeat, last_seen):
-            # Harmless: the answer can only renew a lease that the newer message already renewed.
+            # An answer is safe: it only renews a lease that the newer message already renewed.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record = self._get_or_add_record(heartbeat, now)
         self.reachability.track(record, heartbeat, last_seen, now)
-        before = record.heartbeat
+        previous = record.heartbeat
         record.heartbeat = heartbeat
         record.heartbeat_at = now
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
-        if self._is_unchanged(record, before):
-            # The fast path: most heartbeats end here, and they use most of the processor time.
+        if self._is_unchanged(record, previous):
+            # Fast path for most heartbeats, which use most of this process's processor time.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        self._handle_change(record, before, connected_peer, reply)
+        self._handle_change(record, previous, connected_peer, reply)
 
     # --- checks on a heartbeat
 
@@ -113,16 +114,17 @@
     def _is_caught_up(self, now: float) -> bool:
         """Whether this controller's replica was recently as new as those of all peers.
 
-        Peers that have lost contact with the store themselves answer questions with a delay of up
-        to a sync's timeout (combined_faults/cancel_before_outage_timeouts.txt, 2).
+        The limit allows for peers that have just lost contact with the store too: they delay their
+        answers by up to the timeout of a sync
+        (combined_faults/cancel_before_outage_timeouts.txt, seed 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
     def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether this is a delayed duplicate, or comes from a machine that was already returned.
+        """Whether a heartbeat is a delayed duplicate, or its machine was returned to the cloud.
 
-        Such a message is no evidence that the machine is alive (docs/safety.md, 11).
+        Such a heartbeat is no evidence that the machine is alive (docs/safety.md, 11).
         """
         if last_seen is not None and last_seen.version >= heartbeat.version:
             return True
@@ -137,15 +139,15 @@
             self.inventory.schedule_update()
         return record
 
-    def _is_unchanged(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
-        """Whether nothing changed since `before` that could lead to commands or task updates."""
+    def _is_unchanged(self, record: AgentRecord, previous: AgentHeartbeat) -> bool:
+        """Whether nothing changed since `previous` that could lead to commands or task updates."""
         heartbeat = record.heartbeat
         return (
             record.settled
             and record.tasks is not None
             and heartbeat.machine not in self.committed.bindings.changed_machines
-            and heartbeat.raw_tasks == before.raw_tasks
-            and heartbeat.agent_epoch == before.agent_epoch
+            and heartbeat.raw_tasks == previous.raw_tasks
+            and heartbeat.agent_epoch == previous.agent_epoch
             and heartbeat.spot_notice_s is None
             and not record.unreachable
         )
@@ -155,7 +157,7 @@
     def _handle_change(
         self,
         record: AgentRecord,
-        before: AgentHeartbeat,
+        previous: AgentHeartbeat,
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
@@ -167,7 +169,7 @@
             record.tasks = None
             reply(400, agent_wire.write_error(error))
             return
-        if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
+        if (previous.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
             self.inventory.schedule_update()
         self.committed.bindings.changed_machines.discard(heartbeat.machine)
         updated = self.updates.notify_owners(heartbeat, tasks)
@@ -197,9 +199,10 @@
         """Answers according to a reconciliation that was done without a sync."""
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
-            # This controller's replica is as new as the others', but a start needs a sync. Agents
-            # are not redirected for other reasons: the lease of an agent that can't reach the other
-            # controller expires meanwhile (combined_faults/cancel_before_outage_timeouts.txt).
+            # This controller's replica is as new as the others', but a start needs a sync, which
+            # the peer can do. In all other cases this controller answers, because the lease of an
+            # agent that can't reach the peer expires while it tries
+            # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
             self._answer_after_sync(record, reply)
@@ -212,7 +215,7 @@
         send(self.store.on_sync, callback(self.on_heartbeat_synced, number))
 
     def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
-        """Handles the store's answer to the sync that a heartbeat waits for; None: it failed."""
+        """Handles the end of a sync that a heartbeat waits for; `revision` is None if it failed."""
         pending = self.pending.pop(number, None)
         if pending is not None:
             synced = revision is not None
@@ -221,7 +224,7 @@
     def answer_overdue(self) -> None:
         """Answers heartbeats whose sync takes too long, without the commands that need a sync.
 
-        An agent stops waiting for an answer after some seconds.
+        This keeps the agent from timing out before it receives an answer.
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
@@ -233,7 +236,7 @@
         self, record: AgentRecord, heartbeat: AgentHeartbeat, synced: bool, reply: Reply
     ) -> None:
         if record.heartbeat is not heartbeat:
-            # A newer message has arrived meanwhile; its own answer contains the commands.
+            # A newer heartbeat has arrived since; the answer to it contains the commands.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record.contact_at = self.now()
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -9,7 +9,8 @@
 from .wire.agents import AgentHeartbeat
 
 REDIRECT_INTERVAL_LEASES = 4  # minimum time between redirects of a machine to its own zone
-MAX_SHARE_FACTOR = 3  # times an even share of all machines; a controller with more gets no others
+# A controller with more than this multiple of an even share of all machines is sent no others.
+MAX_SHARE_FACTOR = 3
 
 
 class Routing:
@@ -19,18 +20,21 @@
         self.settings = settings
         self.committed = committed
         self.evidence = evidence
-        self.redirected_at: dict[str, float] = {}  # machine -> when it was redirected to its zone
-        # controller -> when a machine was last redirected to it
-        self.redirected_to_at: dict[str, float] = {}
-        self.suspected: Set[str] = frozenset()  # controllers that no agent is redirected to
+        # machine -> when it was last redirected to a controller in its zone
+        self.machine_redirected_at: dict[str, float] = {}
+        # controller -> when a machine in its zone was last redirected to it
+        self.peer_redirected_to_at: dict[str, float] = {}
+        # controllers suspected of having failed; no agent is redirected to them
+        self.suspected: Set[str] = frozenset()
 
     def may_answer(self, now: float) -> bool:
         """Whether this controller is allowed to answer agents (docs/safety.md, 8).
 
-        It is allowed if no cancellation that its replica lacks can have been confirmed to a user
-        longer than `max_staleness_s` ago. That holds if a sync was answered since then, or if every
-        peer has stated since then that its replica is no newer than this one: a controller confirms
-        to users only what its own replica shows.
+        The replica must show every cancellation that was confirmed to a user more than
+        `max_staleness_s` ago. This is certain in two cases: a sync sent within that time was
+        answered; or every peer, asked within that time, stated that its replica is not newer than
+        this one. The latter suffices because a controller confirms to users only what its own
+        replica shows.
         """
         if self.committed.revision < 0:
             return False
@@ -51,20 +55,20 @@
         return None
 
     def peer_in_zone_of(self, heartbeat: AgentHeartbeat, now: float) -> str | None:
-        """A controller in the machine's zone that can take it, unless this one is in that zone.
+        """A controller in the machine's zone that its agent should use instead of this one, if any.
 
-        If a zone is partitioned off, its machines need a controller inside it to renew their
-        leases. Without this redirect most of them used controllers outside, and with five
-        controllers the search for the one inside took longer than a lease
-        (agents/zone_partitioned_of_five.txt). A machine is redirected only once in
-        REDIRECT_INTERVAL_LEASES, so that one that can't reach the controller in its zone keeps
-        sending heartbeats here.
+        If a zone is partitioned from the others, only a controller inside it can renew the leases
+        of its machines. Without this redirect most of the machines used controllers outside; with
+        five controllers, an agent took longer than a lease to find the one inside
+        (agents/zone_partitioned_of_five.txt). A machine is redirected at most once every
+        REDIRECT_INTERVAL_LEASES leases, so a machine that can't reach the controller in its zone
+        can use this one.
         """
         machine = heartbeat.machine
         if (
             heartbeat.zone == self.settings.zone
             or heartbeat.spot_notice_s is not None
-            or now - self.redirected_at.get(machine, NEVER)
+            or now - self.machine_redirected_at.get(machine, NEVER)
             < REDIRECT_INTERVAL_LEASES * self.settings.lease_s
         ):
             return None
@@ -76,15 +80,17 @@
         if not inside:
             return None
         chosen = inside[zlib.crc32(machine.encode()) % len(inside)]
-        self.redirected_at[machine] = now
-        self.redirected_to_at[chosen] = now
+        self.machine_redirected_at[machine] = now
+        self.peer_redirected_to_at[chosen] = now
         return chosen
 
     def forget_old(self, now: float) -> None:
-        """Drops machines that may be redirected to their own zone again."""
-        after_s = REDIRECT_INTERVAL_LEASES * self.settings.lease_s
-        self.redirected_at = {
-            name: sent_at for name, sent_at in self.redirected_at.items() if now - sent_at < after_s
+        """Drops the records of redirects that no longer prevent another redirect of the machine."""
+        interval_s = REDIRECT_INTERVAL_LEASES * self.settings.lease_s
+        self.machine_redirected_at = {
+            name: sent_at
+            for name, sent_at in self.machine_redirected_at.items()
+            if now - sent_at < interval_s
         }
 
     def _has_contact(self, view: PeerMachineView, now: float) -> bool:
@@ -95,17 +101,18 @@
         )
 
     def _can_take_machines(self, peer: str, now: float) -> bool:
-        """Whether a peer can take more machines."""
+        """Whether machines can be redirected to a peer."""
         view = self.evidence.direct_views.get(peer)
         return (
             peer in self.committed.controllers
             and peer not in self.suspected
             and view is not None
             and self._has_contact(view, now)
-            # Machines reach it, or one is redirected to it now and then to find out.
+            # If no machine is in contact with it, at most one per quarter of a lease is redirected
+            # to it, which shows whether machines can reach it.
             and bool(
                 view.active_machines
-                or now - self.redirected_to_at.get(peer, NEVER) > self.settings.lease_s / 4
+                or now - self.peer_redirected_to_at.get(peer, NEVER) > self.settings.lease_s / 4
             )
             # Limits the load of one controller if most machines are in its zone.
             and view.active_machines
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -1,4 +1,8 @@
-"""Status tables in the store: counts, and machines while a peer does not exchange views."""
+"""Status tables that controllers write to the store.
+
+A table states the demand that its controller counted. It also contains the controller's machines
+while a live peer has not exchanged views of them recently.
+"""
 
 import logging
 from typing import Any
@@ -13,9 +17,10 @@
 log = logging.getLogger("emberglade.agents")
 
 TABLE_INTERVAL_S = 5.0  # required by the DESIGN page
-TABLE_OVERHEAD_BYTES = 96  # the node's incarnation, the table's number and field names
-ENTRY_OVERHEAD_BYTES = 4  # of a machine in a table, besides its name and values
-# Limit for a table's value even if the store accepts larger ones: transactions are limited too.
+TABLE_OVERHEAD_BYTES = 96  # for the node's incarnation, the table's number and field names
+ENTRY_OVERHEAD_BYTES = 4  # punctuation of a machine's entry, besides its name and its row
+# A table's value is not larger than this even if the store accepts larger values, because the size
+# of a transaction is limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
 
@@ -59,8 +64,9 @@
     def on_demand_counted(self, demand: dict, shortage: dict) -> None:
         """Handles the job manager's counts for a table: sends the table to the member.
 
-        Machines are the largest part of a table, and tables were most of the data that an idle
-        cluster wrote. So a table contains machines only while a peer gets them no other way.
+        Machines are the largest part of a table, and with them tables were most of the data that an
+        idle cluster wrote. So a table contains machines only while a live peer has not exchanged
+        views with this controller.
         """
         now = self.now()
         header = self._header(demand, shortage, now)
@@ -78,7 +84,7 @@
         send(self.member.on_table, table, overflow)
 
     def _header(self, demand: dict, shortage: dict, now: float) -> table_wire.TableHeader:
-        # The incarnation and a counter make the number unique among the controller's tables.
+        # The incarnation and a counter make the number unique among this controller's tables.
         self.last_number += 1
         return table_wire.TableHeader(
             number=f"{self.incarnation}-{self.last_number}",
@@ -94,7 +100,7 @@
     def _pack_machines(
         self, machine_types: list[str], now: float, value_bytes: int, first_bytes: int
     ) -> list[dict[str, list]]:
-        """The machines in values of at most `value_bytes` each, `first_bytes` in the first."""
+        """Splits the machines into values of at most `value_bytes`, the first of `first_bytes`."""
         values: list[dict[str, list]] = [{}]
         bytes_left = first_bytes
         for name, machine in self.records.known_machines(now, 2 * self.settings.lease_s).items():
--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -1,7 +1,7 @@
 """The operators' settings: an optional file in protobuf text format.
 
 The message type is built here rather than generated, so no protobuf compiler is needed. The
-protobuf library is imported only if a file is named, which keeps other starts fast.
+protobuf library is imported only if a file is given, because the import slows the start-up.
 """
 
 import math
@@ -33,13 +33,15 @@
 class Operators:
     """The operators' settings; the attributes have the names of the file's fields.
 
-    The defaults are those of DESIGN-emberglade, or are marked there as open.
+    The defaults are those of DESIGN-emberglade, which marks some of them as open. The experts are
+    those of `emberglade/sizing`.
 
     Attributes:
         epsilon: Learning rate of the experts' weights, above 0 and at most 0.5.
         cost_round_s: Length of a cost round, in seconds, at least 1.
         pool_premium: Cost of unmet demand, as a multiple of a machine's price.
-        hold_idle_s: Idle time before a machine above the target is scaled in, in seconds.
+        hold_idle_s: How long a machine above the targets must be idle before it is scaled in, in
+            seconds.
         min_lookback_s: Shortest lookback of an expert, in seconds, at least 1.
         max_lookback_s: Longest lookback of an expert, in seconds.
         boot_guess_s: Boot time of machines for which the catalog has none, in seconds.
@@ -47,12 +49,13 @@
         cost_spread: Cap on an expert's cost, as a multiple of the best expert's cost.
         share: Share of the total weight that is redistributed evenly in each cost round.
         failure_detection: Whether controllers detect each other's failures by heartbeats.
-        suspect_after: Shortest time without a heartbeat after which a peer is suspected, in
-            intervals of the exchange between controllers.
-        confirm_after: Time without a heartbeat after which a peer whose key is gone is considered
-            dead, in leases of an agent.
+        suspect_after: Shortest time without a heartbeat after which a peer is suspected, as a
+            multiple of the interval of the exchange between controllers.
+        confirm_after: Time without a heartbeat after which a peer whose key has expired may be
+            considered dead, as a multiple of the duration of an agent's lease.
         suspect_phi: The suspicion level (phi accrual) from which a peer is suspected.
-        failure_domain: Networks that are failure domains; if there are none, zones are.
+        failure_domain: Networks that are failure domains. A controller outside of them belongs to
+            the failure domain of its zone.
     """
 
     epsilon: float = 0.5
@@ -129,7 +132,7 @@
         operators.min_lookback_s < MIN_LOOKBACK_S
         or operators.max_lookback_s < operators.min_lookback_s
     ):
-        reason = f"is not at least min_lookback_s, itself at least {MIN_LOOKBACK_S}"
+        reason = f"is below min_lookback_s, or min_lookback_s is below {MIN_LOOKBACK_S}"
         raise SettingsError(file, reason, "max_lookback_s", operators.max_lookback_s)
     if operators.cost_round_s < MIN_COST_ROUND_S:
         reason = f"is not at least {MIN_COST_ROUND_S}"
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -13,12 +13,12 @@
     domains: FailureDomains,
     now: float,
 ) -> str | None:
-    """Describes for the log what confirms that a suspected peer is dead; None if unconfirmed.
+    """The evidence that a suspected peer is dead, as a text for the log; None if it is too weak.
 
     Args:
         peer: The suspected peer.
         relays: The controllers that this one can ask to probe it now.
-        key_expired: Whether the state service itself shows that the peer's key has expired.
+        key_expired: Whether the peer's key has expired, as the state service recently showed.
         domains: The failure domains of all controllers.
         now: The monotonic time, in seconds.
     """
@@ -29,7 +29,7 @@
         # than with keys alone (failure_detection/majority_lost.txt).
         return "refuses connections, and its key has expired"
     if not relays:
-        # No relay can be asked: the state service is the only evidence.
+        # No relay can be asked, so the only further evidence is that of the state service.
         if key_expired and peer.time_since_alive_s(now) >= peer.bounds.confirm_s:
             return "sends no heartbeats, and its key has expired"
         return None
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -1,4 +1,4 @@
-"""Scales the fleet out: requests machines up to the targets, and for zones with a shortage.
+"""Scales the fleet out: requests machines to reach the targets, and for tasks bound to one zone.
 
 The name of a request contains this controller's name, its incarnation and a counter, so that no
 name is ever reused, not even by another controller.
@@ -42,7 +42,7 @@
     Attributes:
         request_count: Number of requests made by this process.
         pending: {name of a request: the request}, until its outcome is known.
-        back_off_until: {capacity pool: end of its back-off, by the steady clock}.
+        back_off_until: {capacity pool: end of its back-off, by the monotonic clock}.
         previous_shortages: {machine type: {(spot, zone): machines missing in the last round}}.
     """
 
@@ -77,7 +77,7 @@
         self.previous_shortages = {}
 
     def pending_count(self, machine_type: str, spot: bool) -> int:
-        """Machines of a pool in requests whose outcome is not known yet."""
+        """Machines of a type, spot or ordinary, in requests whose outcome is not known yet."""
         return sum(
             request.number
             for request in self.pending.values()
@@ -87,8 +87,8 @@
     def fill_shortage(self, balance: TypeBalance, now: float) -> None:
         """Requests the machines that are missing to reach the targets of a type.
 
-        For demand that may use spot machines it requests these while they are cheaper; otherwise,
-        or if every zone is in back-off for spot machines, it requests ordinary ones.
+        Demand that may use spot machines gets spot machines if they are cheaper than ordinary ones
+        and not every zone is in back-off for them; otherwise it gets ordinary machines.
         """
         machine_type = balance.machine_type
         if balance.ordinary_shortage > 0:
@@ -110,13 +110,13 @@
         """Requests machines for tasks that can run in one zone only and find no capacity there.
 
         The targets alone don't suffice: with enough machines, but all in other zones, such tasks
-        wait indefinitely (combined_faults/zone_bound_jobs.txt). Tables are some seconds old, so a
-        shortage counts only if two rounds in a row see it.
+        wait indefinitely (combined_faults/zone_bound_jobs.txt). Status tables are some seconds old,
+        so only a shortage that is found in two consecutive rounds leads to requests.
 
         Args:
             machine_type: The machine type.
             shortages: {(spot, zone): machines missing there}.
-            now: The time by the steady clock.
+            now: The time by the monotonic clock.
         """
         previous = self.previous_shortages.get(machine_type.name, {})
         self.previous_shortages[machine_type.name] = shortages
@@ -152,7 +152,7 @@
         """Requests machines in the zones that have the fewest, or only in `only_zone`.
 
         Returns:
-            Whether there was a zone for requests: False if every zone is in back-off.
+            Whether there was a zone to request machines in; False if all are in back-off.
         """
         zones = [
             zone
@@ -171,7 +171,10 @@
     def _spread(
         self, machine_type: MachineType, spot: bool, zones: list[str], count: int
     ) -> dict[str, int]:
-        """{zone: machines to request}: each in the zone that has the fewest, spot or ordinary."""
+        """{zone: machines to request}; each is added to the zone that then has the fewest.
+
+        Only spot machines are counted if `spot`, else only ordinary ones.
+        """
         in_zone = dict.fromkeys(machine_type.zones, 0)
         for machine in self.machines.by_name.values():
             if machine.zone in in_zone and machine.spot == spot:
@@ -223,7 +226,7 @@
 
         Args:
             name: The request's name.
-            requested_at: When it was first sent, by the steady clock.
+            requested_at: When it was first sent, by the monotonic clock.
             retries: The number of retries so far.
             status: The answer's status.
             body: The answer's body.
@@ -233,8 +236,8 @@
             return
         machines = wire.read_scaled_out(body) if status == HTTPStatus.OK else None
         if machines is None and not wire.is_refusal(status, body):
-            # The request may have been carried out. A retry under the same name shows the outcome
-            # and adds no further machines.
+            # The cloud may have carried out the request. A retry under the same name returns the
+            # outcome and adds no further machines.
             if retries < MAX_RETRIES and self.leadership.is_leader:
                 send_after(RETRY_S, self.on_retry, name, requested_at, retries)
             else:
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -20,7 +20,7 @@
     Attributes:
         taint: A Taint, or a stored value that is unknown to this version.
         mod_revision: The store revision that wrote it.
-        seen_at: When this controller's replica first showed it, by the steady clock.
+        seen_at: When this controller's replica first showed it, by the monotonic clock.
     """
 
     taint: str
--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -24,7 +24,7 @@
         machine: The machine's name.
         agent_epoch: The machine's agent epoch for which the attempt was bound.
         stop: How the task is to be stopped, if at all.
-        since: When this controller first saw the binding, on its steady clock; not stored.
+        since: When this controller first saw the binding, on its monotonic clock; not stored.
     """
 
     attempt: int
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -82,7 +82,7 @@
         return self._owners.epoch_condition(job.stored_spec)
 
     def sweep_generations(self, rechunked_job_id: str | None) -> None:
-        """Marks the chunks of own jobs that are of another generation than their job.
+        """Marks the unattached chunks of this controller's jobs, which are of another generation.
 
         The job `rechunked_job_id` is left out, since its new chunks are being written.
         """
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -174,10 +174,10 @@
         self,
         reply: Callable[[dict[placement.Pool, float], dict[placement.ZonePool, float]], None],
     ) -> None:
-        """Handles `demand(reply)` from the agent manager: the demand of own jobs, in machines.
+        """Handles `demand(reply)` from the agent manager: the demand of owned jobs.
 
-        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, and the part of it
-        that can run in one zone only and finds no capacity there.
+        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, in machines, and the
+        part of it that can run in one zone only and finds no capacity there.
         """
         settings, cluster = self.settings, self.view.cluster
         own = [
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -21,7 +21,7 @@
 
 
 class PlacementPass:
-    """Reserves capacity for the pending tasks of all jobs, and binds the tasks of own jobs.
+    """Reserves capacity for the pending tasks of all jobs, and binds those of owned jobs.
 
     An instance serves one round. The reservations in `placement_round` are undone when the round
     ends; only bindings remain.
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -50,7 +50,7 @@
 
 
 class Rechunking(ActorPart):
-    """Rechunks own jobs, one at a time."""
+    """Rechunks the jobs that this controller owns, one at a time."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View, commits: Commits) -> None:
         super().__init__(actor)
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -28,7 +28,7 @@
 
 
 class Scheduler(ActorPart):
-    """Runs placement rounds and binds pending tasks of own jobs.
+    """Runs placement rounds and binds pending tasks of the jobs that this controller owns.
 
     The bindings are committed later.
     """
@@ -65,7 +65,7 @@
             self.on_place()
 
     def on_place(self) -> None:
-        """Handles `place`, sent to itself: runs a round, if own tasks are pending."""
+        """Handles `place`, sent to itself: runs a round if tasks of owned jobs are pending."""
         if not self._round_scheduled:
             return  # it has already run, before a commit
         self._round_scheduled = False
@@ -93,7 +93,7 @@
     def _run_round(
         self, now: float, pending: list[Job], placement_round: placement.PlacementRound
     ) -> None:
-        """Reserves capacity for the pending tasks of all jobs in order, and binds own tasks.
+        """Reserves capacity for the pending tasks of all jobs in order; binds those of owned jobs.
 
         Every owner runs the round for all jobs and in the same order, so that controllers do not
         compete for the same free capacity.
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -18,14 +18,17 @@
 log = logging.getLogger("emberglade.jobs")
 
 # Machine taints set by the leader (emberglade/fleet/taints.py).
-LEASE_EXPIRED_TAINTS = ("ended", "gone")  # it is proven that the machine runs no task any more
+LEASE_EXPIRED_TAINTS = ("ended", "gone")  # each proves that the machine runs no task
 DRAIN_TAINT = "drain"
 
 MAX_MACHINES_LOGGED = 4
 
 
 class TaskLifecycle(ActorPart):
-    """Changes the bindings of own jobs according to agents' reports and the leader's taints."""
+    """Changes the bindings of the jobs that this controller owns.
+
+    The changes follow from status updates of the agents and from the leader's taints.
+    """
 
     def __init__(
         self,
@@ -70,7 +73,7 @@
                     self.stop(job, update.task, update.mode, update.reason)
 
     def task_exited(self, job: Job, binding: Binding | None, update: TaskExited) -> None:
-        """Records the exit of an attempt, unless another attempt is bound by now."""
+        """Records the exit of an attempt; ignored if it is no longer the task's bound attempt."""
         if binding is None or not binding.is_attempt(update.attempt, update.machine):
             return
         task, chunk = update.task, job.chunk_of(update.task)
@@ -85,7 +88,7 @@
         self._schedule_placement()
 
     def release(self, job: Job, task: int, attempt: int, machine: str) -> None:
-        """Removes the binding of an attempt that will never run again, if it is still bound."""
+        """Removes the binding of an attempt that can no longer run, if that attempt is bound."""
         chunk = job.chunk_of(task)
         binding = chunk.bindings.get(task)
         if binding is not None and binding.is_attempt(attempt, machine):
@@ -104,7 +107,7 @@
         self._commits.mark_changed(job, task)
 
     def tainted_machines(self) -> list[str]:
-        """The machines with bound tasks whose taint requires these to be released or stopped."""
+        """The machines with bound tasks that must be released or stopped because of a taint."""
         return [
             machine
             for machine, taint in self._cluster.taints.items()
@@ -113,33 +116,36 @@
         ]
 
     def apply_taints(self, machines: Iterable[str]) -> None:
-        """Releases own tasks of machines with expired leases, stops those on draining machines."""
-        moved: dict[str, list[str]] = {}
+        """Releases the tasks of machines with expired leases; stops those of draining machines.
+
+        Only tasks of jobs that this controller owns are changed.
+        """
+        released: dict[str, list[str]] = {}
         for machine in machines:
             taint = self._cluster.taints.get(machine)
             for job, task, binding in list(self._cluster.tasks_on(machine).values()):
                 if not self.may_change(job):
                     continue
                 if taint in LEASE_EXPIRED_TAINTS:
-                    moved.setdefault(machine, []).append(task_name(job.id, task))
+                    released.setdefault(machine, []).append(task_name(job.id, task))
                     self.release(job, task, binding.attempt, machine)
                     self._commits.mark_if_finished(job)
                 elif taint == DRAIN_TAINT and binding.stop == StopMode.KEEP:
                     self.stop(job, task, StopMode.SAVE, "its machine is drained")
-        if moved:
-            log_moved(moved)
+        if released:
+            log_released(released)
 
 
-def log_moved(moved: dict[str, list[str]]) -> None:
-    """Logs which tasks are rescheduled; `moved` is {machine: names of its tasks}."""
+def log_released(released: dict[str, list[str]]) -> None:
+    """Logs which tasks were released to be rescheduled: {machine: names of its tasks}."""
     shown = [
         f"{machine} ({' '.join(names)})"
-        for machine, names in list(moved.items())[:MAX_MACHINES_LOGGED]
+        for machine, names in list(released.items())[:MAX_MACHINES_LOGGED]
     ]
     log.info(
         "rescheduling %d tasks of %d machines whose leases have expired: %s%s",
-        sum(map(len, moved.values())),
-        len(moved),
+        sum(map(len, released.values())),
+        len(released),
         ", ".join(shown),
-        " and more" if len(moved) > MAX_MACHINES_LOGGED else "",
+        " and more" if len(released) > MAX_MACHINES_LOGGED else "",
     )
--- a/emberglade/jobs/unattached_chunks.py
+++ b/emberglade/jobs/unattached_chunks.py
@@ -1,4 +1,8 @@
-"""Chunks in the replica that no job's record refers to: not yet used, replaced, or orphaned."""
+"""Chunks in the replica that no job's record refers to.
+
+Their job is not in the replica: its record has not been applied yet, or they are orphans. Or they
+are of a generation that the job does not use yet, or no longer uses since it was rechunked.
+"""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -14,10 +18,10 @@
 
 
 class UnattachedChunks:
-    """Further chunks without a job, or of another generation than their job.
+    """The unattached chunks; a job's first chunk, stored in the job's own key, is never one.
 
     Attributes:
-        by_job: job id -> {(generation, number): ChunkVersion}; no job has an empty entry.
+        by_job: job id -> {(generation, number): ChunkVersion}; jobs without any have no entry.
     """
 
     def __init__(self) -> None:
@@ -44,12 +48,12 @@
             for (chunk_generation, number), chunk in chunks.items()
             if chunk_generation == generation
         ]
-        others = {name: chunk for name, chunk in chunks.items() if name[0] != generation}
+        others = {key: chunk for key, chunk in chunks.items() if key[0] != generation}
         if others:
             self.by_job[job_id] = others
         return taken
 
     def keys_of(self, job_id: str) -> Iterator[tuple[str, int]]:
-        """(key, mod revision) of all unattached chunks of a job."""
+        """(key, mod revision) of all unattached chunks of a job that has an entry in `by_job`."""
         for (generation, number), chunk in self.by_job[job_id].items():
             yield wire.chunk_key(job_id, number, generation), chunk.mod_revision
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -93,7 +93,7 @@
         now = time.monotonic()
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             is_full = len(self) >= self.limits.max_connections
-            if is_full and self._find_evictable(now) is None and self._has_unserved_connection():
+            if is_full and self._find_evictable(now) is None and self._awaits_first_request():
                 # Read these first; meanwhile new connections wait in the listen backlog.
                 self.pause_accepting(now)
                 return
@@ -145,7 +145,7 @@
     # --- admission and eviction
 
     def admit(self, connection: ServerConnection, path: str) -> bool:
-        """Marks the connection as used; False if it would exceed the limit on users' ones."""
+        """Marks a connection as just used; False if the limit on users' connections forbids it."""
         if connection.is_user:
             self._users.move_to_end(connection)
         elif not self.is_user_path(path):
@@ -166,10 +166,10 @@
                     return connection
         return None
 
-    def _has_unserved_connection(self) -> bool:
-        """Whether a connection is open that has not sent a complete request yet."""
+    def _awaits_first_request(self) -> bool:
+        """Whether an open connection has not sent a complete request yet."""
         return any(
-            not connection.served and connection.exchange is None
+            not connection.had_request and connection.exchange is None
             for connection in reversed(self._others)
         )
 
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from .server import Server
 
-NEW_CONNECTION_GRACE_S = 1.0  # a connection without a request is not evicted before this
+NEW_CONNECTION_GRACE_S = 1.0  # how long a connection without a request is not evicted
 
 
 class ServerConnection:
@@ -20,7 +20,7 @@
         exchange: The request that waits for its response; None if there is none.
         active_at: When the connection was opened or the last complete request was received, in
             monotonic seconds.
-        served: Whether a request was received on it.
+        had_request: Whether a complete request was received on it.
         is_user: Whether a user's request was received on it.
         closing: Whether the connection is closed once `unsent` is sent.
         lock: Excludes closing while a thread sends, because the descriptor of a closed socket may
@@ -33,7 +33,7 @@
         "unsent",
         "exchange",
         "active_at",
-        "served",
+        "had_request",
         "is_user",
         "closing",
         "lock",
@@ -46,7 +46,7 @@
         self.unsent = b""
         self.exchange: Exchange | None = None
         self.active_at = now
-        self.served = False
+        self.had_request = False
         self.is_user = False
         self.closing = False
         self.lock = threading.Lock()
@@ -63,7 +63,7 @@
 
     def is_evictable(self, now: float) -> bool:
         """Whether the connection is idle and not too new to have sent its first request."""
-        return self.idle and (self.served or now - self.active_at > NEW_CONNECTION_GRACE_S)
+        return self.idle and (self.had_request or now - self.active_at > NEW_CONNECTION_GRACE_S)
 
 
 class Exchange:
@@ -87,6 +87,9 @@
         """Whether the response was sent or the connection was closed."""
         return self.connection.exchange is not self
 
-    def reply(self, status: int, data: Any = None, retry_after: int | None = None) -> None:
-        """Sends the response, unless one was already sent or the connection is closed."""
-        self.server.send_answer(self, status, data, retry_after)
+    def reply(self, status: int, data: Any = None, retry_after_s: int | None = None) -> None:
+        """Sends the response, unless one was already sent or the connection is closed.
+
+        `retry_after_s` is the value of the header Retry-After.
+        """
+        self.server.send_answer(self, status, data, retry_after_s)
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -105,10 +105,10 @@
     return int(value)
 
 
-def encode_response(status: int, data: Any, retry_after: int | None, close: bool) -> bytes:
+def encode_response(status: int, data: Any, retry_after_s: int | None, close: bool) -> bytes:
     """Encodes a response; `data` is encoded as JSON unless it is None."""
     payload = b"" if data is None else orjson.dumps(data)
-    retry = f"Retry-After: {retry_after}\r\n" if retry_after is not None else ""
+    retry = f"Retry-After: {retry_after_s}\r\n" if retry_after_s is not None else ""
     connection = "Connection: close\r\n" if close else ""
     head = (
         f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger("emberglade.transport")
 
-# route(method, path, body, reply) must lead to one `reply(status, data, retry_after)`.
+# route(method, path, body, reply) must lead to one `reply(status, data, retry_after_s)`.
 Route = Callable[[str, str, bytes, Callable[..., None]], None]
 
 RECEIVE_BYTES = 64 * 1024
@@ -42,8 +42,8 @@
 class Server(socketserver.TCPServer):
     """An HTTP/1.1 server that passes each request to a route on the server's thread.
 
-    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from any
-    thread and at any later time.
+    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after_s)`, from
+    any thread and at any later time.
 
     At the connection limit, the connection that has been idle longest is evicted, users'
     connections first; if none is idle, the new connection is closed at once. At most
@@ -186,7 +186,7 @@
             return
         request, connection.received = taken
         connection.active_at = now
-        connection.served = True
+        connection.had_request = True
         if not self.connections.admit(connection, request.path):
             exchange = self._open_exchange(connection, False, now)
             exchange.reply(
@@ -231,7 +231,7 @@
     # --- responses
 
     def send_answer(
-        self, exchange: Exchange, status: int, data: Any, retry_after: int | None
+        self, exchange: Exchange, status: int, data: Any, retry_after_s: int | None
     ) -> None:
         """Sends what fits into the socket's send buffer; the server's thread sends the rest.
 
@@ -239,7 +239,7 @@
         connection is closed.
         """
         connection = exchange.connection
-        response = encode_response(status, data, retry_after, not exchange.keep_alive)
+        response = encode_response(status, data, retry_after_s, not exchange.keep_alive)
         with connection.lock:
             if exchange.answered:
                 return
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -1,4 +1,7 @@
-"""Reads the outcomes of dependencies where the replica does not show them."""
+"""Reads from the state service the outcomes of dependencies that the replica does not show.
+
+The final key of a job is the key that records its final state.
+"""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
@@ -10,7 +13,7 @@
 from ..state import FINAL_PREFIX, Store
 from ..state.store import DECISIONS
 
-# A request that needs more final keys fails; its retry only reads those that are still unknown.
+# A request for more dependencies reads this many and fails; a retry reads those still unknown.
 MAX_READS_PER_REQUEST = 32
 
 
@@ -32,7 +35,10 @@
 
 
 class DependencyOutcomes(ActorPart):
-    """Reads final keys and records the outcomes in the graph; each key is read once at a time."""
+    """Reads final keys and records the outcomes in the dependency graph.
+
+    Requests for a key that is already being read wait for that read.
+    """
 
     def __init__(self, actor: Actor, store: Store, graph: DependencyGraph) -> None:
         super().__init__(actor)
@@ -45,8 +51,8 @@
     ) -> None:
         """Reads the final keys of jobs, up to MAX_READS_PER_REQUEST of them.
 
-        `then(DependencyReadRequest)` is called once they are read; the request is marked as failed
-        if there are more jobs than that.
+        `then(DependencyReadRequest)` is called once they are read. The request is marked as failed
+        if there are more jobs than the limit.
         """
         chosen = set(sorted(dependencies)[:MAX_READS_PER_REQUEST])
         request = DependencyReadRequest(set(chosen), then, failed=len(chosen) < len(dependencies))
@@ -65,7 +71,7 @@
     def on_dependency_read(
         self, dependency: str, status: int, data: Any, mod_revision: int | None
     ) -> None:
-        """Handles the store's answer for one final key, requested by `read`; 404: no such key."""
+        """Handles the store's answer to a read of one final key; 404: the key is missing."""
         final = read_final(status, data)
         if final is not None:
             self.graph.resolve(dependency, final.outcome)
