--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -21,7 +21,7 @@
 
 ACCOUNT_MARK = "account "  # precedes the JSON object in the log line
 ACCOUNT_INTERVAL_S = 60.0
-MIN_SHOWN_SHARE = 0.001  # of the interval; messages below it are added up as "other"
+MIN_SHOWN_SHARE = 0.001  # messages with a smaller share of the interval are added up as "other"
 OTHER = "other"
 MEGABYTE = 1024 * 1024
 
--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -264,7 +264,7 @@
         self._threads: dict[str, ActorThread] = {}  # actor's name -> its thread
 
     def spawn(self, actors: Iterable[tuple[Actor, str]]) -> None:
-        """Starts all of these (actor, name). All have a mailbox before any of them starts.
+        """Starts actors, given as (actor, name); all have a mailbox before the first one starts.
 
         Otherwise a process that gets its lease at once may send its identity to actors that have no
         mailbox yet, and those never receive it (actors/message_before_begin.txt).
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -132,7 +132,7 @@
     # --- changes of the replica
 
     def keep_only(self, job_ids: Iterable[str]) -> None:
-        """Drops all jobs except these."""
+        """Drops all jobs except those with the given ids."""
         kept = set(job_ids)
         for job_id in [job_id for job_id in self.jobs if job_id not in kept]:
             self.drop(job_id)
@@ -150,7 +150,7 @@
         self._put_chunk(job_id, job, 0, jobs_wire.first_chunk(record), mod_revision)
 
     def apply_chunk(self, key: str, chunk: dict | None, mod_revision: int) -> None:
-        """Applies the further chunk at a key; None: it was removed."""
+        """Applies a change of a chunk other than the first; `chunk` is None if it was removed."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
         job = self.jobs.get(job_id)
         if job is not None and generation == job.generation:
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -158,7 +158,9 @@
     def add_table(
         self, peer: str, received_at: float, age_s: float, view: MachineView | None
     ) -> None:
-        """Adds the view in a peer's table, `age_s` old by the time of day; None: malformed.
+        """Adds the view in a peer's table, `age_s` old by the time of day.
+
+        `view` is None if the table is malformed.
 
         A table names the revision of the replica that it was made from. So it was made after the
         last sync sent by this controller that still returned an older revision.
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -86,7 +86,7 @@
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks all peers without an open question about these machines; None: about all."""
+        """Asks peers without an open question about these machines, or about all if None."""
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -158,7 +158,7 @@
     def on_question_synced(
         self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
     ) -> None:
-        """Handles the store's answer to the sync that a question waits for; None: it failed."""
+        """Handles the end of a sync that a question waits for; `revision` is None if it failed."""
         now = self.now()
         reply(
             200,
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -11,7 +11,8 @@
 
 NEVER = float("-inf")
 LEADERSHIP = "leadership"  # the name of the leader's claim in its history
-SLOW_DELAY_INTERVALS = 2  # heartbeat intervals for which a slow controller lets others lead
+# Heartbeat intervals that a slow controller waits before it takes leadership if it is free.
+SLOW_DELAY_INTERVALS = 2
 
 
 class ClaimHistory:
--- a/emberglade/failure_detection/local_health.py
+++ b/emberglade/failure_detection/local_health.py
@@ -1,9 +1,10 @@
 """Local health: detects that this controller itself is slow (after Lifeguard, 2018)."""
 
-LATE_SHARE = 0.5  # of a heartbeat interval: the delay from which on a turn counts as late
+LATE_SHARE = 0.5  # a turn is late if its delay is a larger share of a heartbeat interval
 MAX_SCORE = 8
 SLOW_SCORE = 4  # from this score on, the controller reports itself as slow
-INTERVALS_PER_POINT = 4  # each so many heartbeat intervals of delay add a point to the score
+# A late turn adds one point to the score, and one more per this many heartbeat intervals of delay.
+INTERVALS_PER_POINT = 4
 ON_TIME_TURNS_PER_POINT = 4  # consecutive turns on time that take one point off the score
 PAUSED_INTERVALS = 2  # heartbeat intervals after a pause in which no peer is suspected
 
@@ -46,7 +47,7 @@
 
     @property
     def slow(self) -> bool:
-        """Whether turns are often late, so that other controllers should take over work."""
+        """Whether turns are often late, so that others should take over shards and leadership."""
         return self.score >= SLOW_SCORE
 
     def recent_pause_s(self, now: float, overdue_s: float) -> float:
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -27,7 +27,7 @@
 log = logging.getLogger("emberglade.jobs")
 
 WRITES_PER_JOB = 2  # the new key is written, the waiting job's key is removed
-MAX_CONCURRENT_READS = 16  # of final keys of dependencies
+MAX_CONCURRENT_READS = 16  # final keys of dependencies that are read at the same time
 
 
 class DependencyRelease(ActorPart):
@@ -55,7 +55,7 @@
             self._commit_some()
 
     def _owned(self, job_ids: Iterable[str]) -> list[str]:
-        """Those of these waiting jobs whose shards this controller owns."""
+        """The waiting jobs among `job_ids` whose shards this controller owns."""
         waiting = self._graph.waiting
         return [job_id for job_id in job_ids if self._owners.owns(waiting[job_id])]
 
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -51,7 +51,7 @@
         return self.spec.id
 
     def inherit_urgency(self, urgency: Urgency | None) -> None:
-        """Updates `spec` with the urgency inherited from dependents; None: no job depends on it.
+        """Updates `spec` with the urgency inherited from dependents; without one, resets it.
 
         The higher priority and the earlier due time apply.
         """
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -14,7 +14,7 @@
 
 MAX_TASKS_PER_TURN = 256  # tasks of one job that are placed at a time
 STARVING_JOB_SHARE = 1 / 8  # share of a starving job's tasks that is placed first
-MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fill so many commits
+MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fit into this many commits
 # Capacity is not reserved for another owner's task with more attempts than this, if its job has no
 # progress: the owner may have backed it off.
 MAX_ATTEMPTS_WITHOUT_PROGRESS = 3
--- a/emberglade/jobs/wire/keys.py
+++ b/emberglade/jobs/wire/keys.py
@@ -11,7 +11,10 @@
 
 
 class ChunkKey(NamedTuple):
-    """The parts of a further chunk's key; `generation` is empty unless the job was rechunked."""
+    """The parts of a further chunk's key: any but the first chunk, which is in the job's own key.
+
+    `generation` is empty unless the job was rechunked.
+    """
 
     job_id: str
     generation: str
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -27,7 +27,7 @@
 
 
 def enable_features(operators: Operators, names: Iterable[str]) -> Operators:
-    """The operators' settings with these features enabled."""
+    """The operators' settings with the named features enabled."""
     switches: dict[str, Any] = {name.replace("-", "_"): True for name in names}
     return replace(operators, **switches)
 
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -16,7 +16,7 @@
 NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease to a controller's
 MIN_TTL_S = 0.1
 RENEWALS_PER_TTL = 3
-RETRY_S = 0.5  # after a lease was not granted
+RETRY_S = 0.5  # delay before a lease that was not granted is requested again
 MS_PER_S = 1000
 
 
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -75,7 +75,7 @@
     # --- ownership
 
     def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Uses these planners to take shards and leadership after the first view of peers."""
+        """Sets the planners for shards and leadership, used from the first view of peers on."""
         self.ownership.set_planners(shard_planner, leader_planner)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -72,7 +72,7 @@
         self._is_taking_leadership = False
 
     def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Uses these planners to take shards and leadership after the first view of peers."""
+        """Sets the planners for shards and leadership, used from the first view of peers on."""
         self._shard_planner, self._leader_planner = shard_planner, leader_planner
 
     def set_view(self, view: "LivenessView") -> None:
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -12,7 +12,9 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time, as estimates are often wrong by half
+# A job is late if less than this share of its estimated run time is left until it is due: estimates
+# are often wrong by half.
+MIN_ESTIMATE_SHARE = 0.6
 
 
 def placement_order(
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -40,7 +40,7 @@
 DECISIONS = Priority.DECISIONS
 SUBMISSIONS = Priority.SUBMISSIONS
 
-MIN_RECENT_CHANGES = 64  # kept for peers
+MIN_RECENT_CHANGES = 64  # minimum number of changes that are kept for peers
 
 # reply(status, revision, failed); `failed`: the keys whose conditions failed, or the error
 CommitReply = Callable[[int, int | None, Any], None]
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -12,7 +12,7 @@
 from .dependent_submissions import DependentSubmissions
 from .lookup import JobLookup
 
-QUOTA_TOLERANCE = 1e-9  # above the rounding errors of floating-point sums
+QUOTA_TOLERANCE = 1e-9  # larger than the rounding errors of floating-point sums
 
 CATALOG_NOT_READ = service_unavailable("the machine types are not known yet")
 LOW_MEMORY = service_unavailable("this controller is short of memory")
