--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -115,6 +115,7 @@
         self.direct_views: dict[str, PeerMachineView] = {}
         self.partial_views: dict[str, tuple[frozenset[str], PeerMachineView]] = {}
         self.table_views: dict[str, PeerMachineView] = {}
+        # syncs that returned a higher revision than all before, the oldest first
         self.syncs: deque[Sync] = deque(maxlen=MAX_REMEMBERED_SYNCS)
         self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
         # peer -> when it was last asked a question and stated a replica that is not newer than ours
--- a/emberglade/jobs/failure_backoff.py
+++ b/emberglade/jobs/failure_backoff.py
@@ -41,7 +41,7 @@
 
     def __init__(self, settings: "Settings") -> None:
         self._settings = settings
-        self._machines: dict[str, MachineBackoff] = {}
+        self._machines: dict[str, MachineBackoff] = {}  # by machine
 
     def machines(self, now: float) -> list[str]:
         """The machines that are backed off at the time `now`."""
--- a/emberglade/state/replica.py
+++ b/emberglade/state/replica.py
@@ -18,7 +18,7 @@
     def __init__(self, recent_limit: int) -> None:
         """Creates an empty replica that keeps the newest `recent_limit` changes for peers."""
         self.revision = NOT_LOADED
-        self._rows: dict[str, Change] = {}
+        self._rows: dict[str, Change] = {}  # key -> its newest change
         # A peer without access to the state service can request these changes from this controller.
         self._recent: deque[Change] = deque(maxlen=recent_limit)
         self._recent_after = NOT_LOADED  # `_recent` holds all changes after this revision
