--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -18,8 +18,8 @@
         contact_at: When this controller last received a message from the machine or answered it,
             and so may have renewed its lease.
         settled: Its last heartbeat needed no action and none is pending.
-        unreachable: Our answers do not seem to reach it.
-        probe_token: A fencing token that its heartbeats will show once it receives our answers.
+        unreachable: This controller's answers do not seem to reach it.
+        probe_token: A fencing token that its heartbeats will show once answers reach it.
     """
 
     __slots__ = (
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -26,7 +26,8 @@
     """A machine as the newest message that any controller received from it shows it.
 
     Attributes:
-        contact_at: When a controller last received a message from it or answered it, by our clock.
+        contact_at: When a controller last received a message from it or answered it, by the clock
+            of this controller.
     """
 
     status: MachineStatus
@@ -42,8 +43,8 @@
 class PeerMachineView:
     """A peer's view of all machines.
 
-    It was made after `asked_at` and before `received_at`, by our clock. The other fields are
-    those of MachineView.
+    It was made after `asked_at` and before `received_at`, by the clock of this controller. The
+    other fields are those of MachineView.
 
     Attributes:
         active_machines: How many machines had recently been in contact with that peer.
@@ -118,7 +119,8 @@
         # syncs that returned a higher revision than all before, the oldest first
         self.syncs: deque[Sync] = deque(maxlen=MAX_REMEMBERED_SYNCS)
         self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
-        # peer -> when it was last asked a question and stated a replica that is not newer than ours
+        # peer -> when it was asked the last question to which it stated a replica that is not newer
+        # than the one here
         self.caught_up_at: dict[str, float] = {}
 
     # --- information from the sources
@@ -195,10 +197,10 @@
                 self.key_missing_since.setdefault(name, now)
 
     def compare_replicas(self, revision: int) -> None:
-        """Records which peers' replicas were not newer than ours, which is at `revision` now.
+        """Records which peers' replicas were not newer than the one here, now at `revision`.
 
         A peer without a replica is skipped: its previous process may have confirmed changes that
-        our replica does not show.
+        the replica here does not show.
         """
         for peer, view in self.direct_views.items():
             if 0 <= view.replica_revision <= revision:
@@ -214,7 +216,7 @@
     # --- conclusions
 
     def caught_up_since(self) -> float:
-        """A moment up to which no peer had confirmed to users what our replica does not show."""
+        """A moment up to which no peer had confirmed to users what the replica here lacks."""
         return min(
             (self.caught_up_at.get(peer.name, NEVER) for peer in self.settings.peers),
             default=NEVER,
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -1,4 +1,4 @@
-"""Detects machines whose heartbeats arrive here while our answers do not reach them."""
+"""Detects machines whose heartbeats arrive here while the answers do not reach them."""
 
 from typing import Any
 
@@ -10,11 +10,11 @@
 
 
 class Reachability:
-    """Detects unreachable machines, and when they receive our answers again (docs/safety.md, 12).
+    """Detects unreachable machines, and when they receive answers again (docs/safety.md, 12).
 
     The lease of such a machine expires although all its heartbeats were answered. No new tasks are
     started on it. It is offered a fencing token that it has not seen; once its heartbeats show that
-    token, it receives our answers again.
+    token, it receives answers again.
     """
 
     def __init__(
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -13,7 +13,7 @@
 from .taint_writer import TaintWriter
 
 REQUEST_TIMEOUT_S = 3.0
-# A list can be older than the previous one, so a machine has to be missing in several in a row.
+# A list can be older than the previous one, so a machine has to be missing in consecutive lists.
 MAX_MISSED_LISTS = 3
 # In multiples of `list_lag_s`: how long lists may lack a machine that was scaled out, and how long
 # they may still show one that was scaled in.
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -79,7 +79,7 @@
         self._mark(wire.key_of_chunk(job, task // job.chunk_size), immediate)
 
     def mark_if_finished(self, job: Job) -> None:
-        """Marks an own job for writing if it is finished: its final state is written."""
+        """Marks the key of a finished job to be written, if this controller owns the job."""
         if job.is_finished() and self._owners.owns(job):
             self._mark(wire.job_key(job.id), immediate=True)
 
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -97,7 +97,7 @@
         return spec.priority <= LOWEST_PRIORITY_PREEMPTING_BY_AGE and age > lease_s
 
     def _find_preemptors(self, now: float, pending: list[Job], guaranteed: set[str]) -> list[Job]:
-        """Own pending jobs that may preempt now and for which a running job may be preempted."""
+        """Owned pending jobs that may preempt now and for which a running job may be stopped."""
         preemptors = [
             job
             for job in pending
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -69,7 +69,7 @@
         zone: Its zone.
         spot: Whether the cloud may reclaim it.
         agent_epoch: The incarnation of its agent, for which new bindings are valid.
-        schedulable: Whether it was recently in contact, receives our answers, and has no spot
+        schedulable: Whether it was recently in contact, receives answers, and has no spot
             notice.
     """
 
