--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -105,9 +105,10 @@
         before = row_bytes(machine, old) if old is not None else 0
         after = row_bytes(machine, taint) if taint is not None else 0
         growth = after - before
-        # Without these limits, taints of 4,000 machines that are lost together make a transaction
-        # above the size limit, and later, each a byte longer, values above the value limit. The
-        # state service rejects these at every retry (fleet/nearly_all_machines_fail.txt).
+        # Without these limits, the taints of 4,000 machines that are lost together exceed the size
+        # limit of a transaction. When they change from `lost` to `ended`, each grows by a byte, and
+        # values exceed their own limit. The state service rejects these writes at every retry
+        # (fleet/nearly_all_machines_fail.txt).
         if growth > 0 and sum(self.sizes.values()) + growth > MAX_CHANGE_BYTES:
             return False
         target: str | None = key
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -169,8 +169,8 @@
     def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
         """Whether a task has recently been bound after a long wait, and is protected for a while.
 
-        Without this a starving job's tasks are preempted by a higher priority before they start,
-        are placed first again, and so on, and neither job runs
+        Without this protection, a job of a higher priority preempts a starving job's tasks before
+        they start. The starving job is then placed first again, this repeats, and neither job runs
         (combined_faults/aging_and_preemption.txt).
         """
         bound_s = now - binding.since
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -182,7 +182,8 @@
         # in.
         other_kind = capacity.machines[name].spot != spec.spot
         if spec.service:
-            # Replicas run long: on few machines, they keep only few from being scaled in.
+            # Replicas run long and keep their machines from being scaled in, so they are placed on
+            # as few machines as possible.
             return missing, -capacity.replicas[name], other_kind, name
         # Machines with replicas have the services' images cached, so their free capacity is left
         # for further replicas, which can't wait for an image to be fetched.
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -56,8 +56,8 @@
 
     def __init__(self, settings: "Settings", client: "Client") -> None:
         self.settings = settings
-        # A peer without access to the state service polls for changes about every second; the
-        # changes of a whole lease at the full write rate are far more than arrive in between.
+        # A peer without access to the state service polls for changes about every second. The
+        # changes of a whole lease at the full write rate are far more than those between two polls.
         changes_a_lease = int(settings.state_write_rps * settings.lease_s)
         self.replica = Replica(max(MIN_RECENT_CHANGES, changes_a_lease))
         self.subscribers = Subscribers()
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("emberglade.transport")
 
-MAX_ACCEPTS_PER_EVENT = 64  # so that open connections are served in between
+MAX_ACCEPTS_PER_EVENT = 64  # open connections are served before more are accepted
 EVICTION_CANDIDATES = 16  # least recently used connections that are checked for eviction
 ACCEPT_PAUSE_S = 0.02
 # Above this share of the connection limit, connections are closed after each response.
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -73,7 +73,7 @@
         self.view = view
         self.dependency_outcomes = dependency_outcomes
         self.final_states = FinalStates()
-        # Open look-ups share a sync; more of them than a few syncs serve would time out.
+        # Open look-ups share syncs. If more were open than a few syncs serve, some would time out.
         self.open_lookups = 0
         self.max_open_lookups = int(OPEN_LOOKUPS_S * settings.state_rps)
 
