--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -13,7 +13,7 @@
 from .taint_writer import TaintWriter
 
 REQUEST_TIMEOUT_S = 3.0
-# A list can be older than the previous one, so a machine has to be missing in several in a row.
+# A list can be older than the previous one, so a machine has to be missing in consecutive lists.
 MAX_MISSED_LISTS = 3
 # In multiples of `list_lag_s`: how long lists may lack a machine that was scaled out, and how long
 # they may still show one that was scaled in.
@@ -28,7 +28,7 @@
 
     Attributes:
         has_complete_list: Whether a complete list has been read since this leadership began.
-        last_request_at: When the last read of the list began, by the steady clock.
+        last_request_at: When the last read of the list began, by the monotonic clock.
         is_reading: Whether a read is in progress.
         rows: The rows received by the read in progress.
         pages: Number of pages of the read in progress, or else of the last one.
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -21,8 +21,10 @@
 MIN_COUNTED_RUN_S = 30
 
 MAX_ROUNDS_PER_HEARTBEAT = 5  # preemption rounds per agent heartbeat
-STOP_REQUEST_TIMEOUT_HEARTBEATS = 2  # after which a stop request to another owner is repeated
-LATE_START_PROTECTION_LEASES = 4  # for which a task bound after a long wait is not preempted
+# Agent heartbeats until a stop request to another owner is repeated.
+STOP_REQUEST_TIMEOUT_HEARTBEATS = 2
+# Agent leases for which a task that was bound after a long wait is not preempted.
+LATE_START_PROTECTION_LEASES = 4
 # Index into PRIORITIES; jobs of lower priorities do not preempt because of their age.
 LOWEST_PRIORITY_PREEMPTING_BY_AGE = 1
 
@@ -95,7 +97,7 @@
         return spec.priority <= LOWEST_PRIORITY_PREEMPTING_BY_AGE and age > lease_s
 
     def _find_preemptors(self, now: float, pending: list[Job], guaranteed: set[str]) -> list[Job]:
-        """Own pending jobs that may preempt now and for which a running job may be preempted."""
+        """Owned pending jobs that may preempt now and for which a running job may be stopped."""
         preemptors = [
             job
             for job in pending
@@ -167,8 +169,8 @@
     def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
         """Whether a task has recently been bound after a long wait, and is protected for a while.
 
-        Without this a starving job's tasks are preempted by a higher priority before they start,
-        are placed first again, and so on, and neither job runs
+        Without this protection, a job of a higher priority preempts a starving job's tasks before
+        they start. The starving job is then placed first again, this repeats, and neither job runs
         (combined_faults/aging_and_preemption.txt).
         """
         bound_s = now - binding.since
