--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,7 +1,8 @@
 """Answers agents' heartbeats.
 
-Every controller may answer any agent. Commands are derived from the replica alone. A start is sent
-only from a replica that was synced after the heartbeat arrived; docs/safety.md gives the reasons.
+An agent may send its heartbeats to any controller. The commands in an answer are derived only from
+the replica. A start is sent only if the replica was synced after the heartbeat arrived;
+docs/safety.md gives the reasons.
 """
 
 import itertools
@@ -60,7 +61,7 @@
         self.pending_numbers = itertools.count(1)
 
     def handle(self, data: Any, reply: Reply) -> None:
-        """Answers one unparsed heartbeat by `reply(status, body[, retry_after_s])`."""
+        """Parses a heartbeat and answers it with `reply(status, body[, retry_after_s])`."""
         try:
             heartbeat = agent_wire.read_heartbeat(data)
         except agent_wire.HeartbeatError as error:
@@ -72,36 +73,41 @@
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
         if self._is_outdated(heartbeat, last_seen):
-            # Harmless: the answer can only renew a lease that the newer message already renewed.
+            # Answering is safe: it can only renew a lease that the newer message already renewed.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record = self._get_or_add_record(heartbeat, now)
         self.reachability.track(record, heartbeat, last_seen, now)
-        before = record.heartbeat
+        previous = record.heartbeat
         record.heartbeat = heartbeat
         record.heartbeat_at = now
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
-        if self._is_unchanged(record, before):
-            # The fast path: most heartbeats end here, and they use most of the processor time.
+        if self._is_unchanged(record, previous):
+            # The fast path: most heartbeats end here, and together they use most of the CPU time.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
-        self._handle_change(record, before, connected_peer, reply)
+        self._handle_change(record, previous, connected_peer, reply)
 
     # --- checks on a heartbeat
 
     def _reject_or_redirect(
         self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
     ) -> bool:
-        """Answers an agent that this controller must not or should not serve; True if it did."""
+        """Rejects or redirects a heartbeat that this controller must not or should not process.
+
+        Returns:
+            Whether the heartbeat was answered here.
+        """
         if connected_peer is not None and not self._is_caught_up(now):
             reply(421, agent_wire.write_redirect(connected_peer))
             return True
         tainted = heartbeat.machine in self.committed.taints
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
-            # This controller's commands could be older than a cancellation, or the proof that this
-            # machine's leases have expired relies on this controller not answering.
+            # If `may_answer` is false, this controller's commands could be older than a confirmed
+            # cancellation. If its key is missing, peers rely on it not answering tainted machines
+            # when they conclude that the leases of these machines have expired.
             reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
@@ -111,16 +117,17 @@
         return False
 
     def _is_caught_up(self, now: float) -> bool:
-        """Whether this controller's replica was recently as new as those of all peers.
+        """Whether this controller's replica was recently at least as new as those of all peers.
 
-        Peers that have lost contact with the store themselves answer questions with a delay of up
-        to a sync's timeout (combined_faults/cancel_before_outage_timeouts.txt, 2).
+        The limit allows for the timeout of a sync, because a peer that loses contact with the state
+        service may answer questions late by that time
+        (combined_faults/cancel_before_outage_timeouts.txt, seed 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
     def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether this is a delayed duplicate, or comes from a machine that was already returned.
+        """Whether this is a delayed duplicate, or its machine was already returned to the cloud.
 
         Such a message is no evidence that the machine is alive (docs/safety.md, 11).
         """
@@ -137,15 +144,15 @@
             self.inventory.schedule_update()
         return record
 
-    def _is_unchanged(self, record: AgentRecord, before: AgentHeartbeat) -> bool:
-        """Whether nothing changed since `before` that could lead to commands or task updates."""
+    def _is_unchanged(self, record: AgentRecord, previous: AgentHeartbeat) -> bool:
+        """Whether nothing that could lead to commands or task updates changed since `previous`."""
         heartbeat = record.heartbeat
         return (
             record.settled
             and record.tasks is not None
             and heartbeat.machine not in self.committed.bindings.changed_machines
-            and heartbeat.raw_tasks == before.raw_tasks
-            and heartbeat.agent_epoch == before.agent_epoch
+            and heartbeat.raw_tasks == previous.raw_tasks
+            and heartbeat.agent_epoch == previous.agent_epoch
             and heartbeat.spot_notice_s is None
             and not record.unreachable
         )
@@ -155,7 +162,7 @@
     def _handle_change(
         self,
         record: AgentRecord,
-        before: AgentHeartbeat,
+        previous: AgentHeartbeat,
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
@@ -167,7 +174,7 @@
             record.tasks = None
             reply(400, agent_wire.write_error(error))
             return
-        if (before.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
+        if (previous.spot_notice_s is None) != (heartbeat.spot_notice_s is None):
             self.inventory.schedule_update()
         self.committed.bindings.changed_machines.discard(heartbeat.machine)
         updated = self.updates.notify_owners(heartbeat, tasks)
@@ -194,12 +201,13 @@
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Answers according to a reconciliation that was done without a sync."""
+        """Answers a changed heartbeat, given the result of reconciling it without a sync."""
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
-            # This controller's replica is as new as the others', but a start needs a sync. Agents
-            # are not redirected for other reasons: the lease of an agent that can't reach the other
-            # controller expires meanwhile (combined_faults/cancel_before_outage_timeouts.txt).
+            # This controller's replica is as new as those of its peers, but a start needs a sync,
+            # which needs contact with the state service. For anything less than a start the agent
+            # is not redirected: if it can't reach the peer, its lease expires while it tries
+            # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
             self._answer_after_sync(record, reply)
@@ -212,16 +220,17 @@
         send(self.store.on_sync, callback(self.on_heartbeat_synced, number))
 
     def on_heartbeat_synced(self, number: int, revision: int | None) -> None:
-        """Handles the store's answer to the sync that a heartbeat waits for; None: it failed."""
+        """Handles the end of a sync that a heartbeat waits for; `revision` is None if it failed."""
         pending = self.pending.pop(number, None)
         if pending is not None:
             synced = revision is not None
             self._answer(pending.record, pending.heartbeat, synced, pending.reply)
 
     def answer_overdue(self) -> None:
-        """Answers heartbeats whose sync takes too long, without the commands that need a sync.
+        """Answers heartbeats that have waited for a sync for more than a heartbeat interval.
 
-        An agent stops waiting for an answer after some seconds.
+        The answers omit the commands that need a sync. An agent waits only a few seconds for an
+        answer.
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -12,9 +12,9 @@
 class Reachability:
     """Detects unreachable machines, and when they receive our answers again (docs/safety.md, 12).
 
-    The lease of such a machine expires although all its heartbeats were answered. No new tasks are
-    started on it. It is offered a fencing token that it has not seen; once its heartbeats show that
-    token, it receives our answers again.
+    The lease of such a machine expires although its heartbeats are answered. No new tasks are
+    started on it. Our answers offer it a fencing token that it has not seen; once its heartbeats
+    show that token, it is known to receive our answers again.
     """
 
     def __init__(
@@ -31,15 +31,20 @@
         last_seen: LastSeen | None,
         now: float,
     ) -> None:
-        """Evaluates a new heartbeat; `last_seen` is the machine as known before it."""
+        """Evaluates a new heartbeat; `last_seen` is what was known of the machine before it."""
         if last_seen is not None and not record.unreachable:
-            self._find_unreachable(record, heartbeat, last_seen, now)
+            self._mark_if_unreachable(record, heartbeat, last_seen, now)
         if record.unreachable:
             self._probe(record, heartbeat)
 
-    def _find_unreachable(
+    def _mark_if_unreachable(
         self, record: AgentRecord, heartbeat: AgentHeartbeat, last_seen: LastSeen, now: float
     ) -> None:
+        """Marks a machine whose lease ended too early, or that was already known as unreachable.
+
+        A lease has ended if the agent epoch rose. It ended too early if the last contact is so
+        recent that a machine that received our answers would still have its lease.
+        """
         lease_ended_early = (
             heartbeat.agent_epoch > last_seen.status.agent_epoch
             and now - last_seen.contact_at
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -8,8 +8,9 @@
 from .lease_evidence import NEVER, LeaseEvidence, PeerMachineView
 from .wire.agents import AgentHeartbeat
 
-REDIRECT_INTERVAL_LEASES = 4  # minimum time between redirects of a machine to its own zone
-MAX_SHARE_FACTOR = 3  # times an even share of all machines; a controller with more gets no others
+REDIRECT_INTERVAL_LEASES = 4  # agent leases between redirects of one machine to its own zone
+# A controller with more than this multiple of an even share of all machines receives no others.
+MAX_SHARE_FACTOR = 3
 
 
 class Routing:
@@ -27,10 +28,10 @@
     def may_answer(self, now: float) -> bool:
         """Whether this controller is allowed to answer agents (docs/safety.md, 8).
 
-        It is allowed if no cancellation that its replica lacks can have been confirmed to a user
-        longer than `max_staleness_s` ago. That holds if a sync was answered since then, or if every
-        peer has stated since then that its replica is no newer than this one: a controller confirms
-        to users only what its own replica shows.
+        Its replica must show every cancellation that was confirmed to a user more than
+        `max_staleness_s` ago. It does so if a sync sent within that time was answered. It also does
+        so if every peer was asked within that time and stated that its replica is no newer than
+        this one, because a controller confirms to users only what its own replica shows.
         """
         if self.committed.revision < 0:
             return False
@@ -41,7 +42,7 @@
         )
 
     def connected_peer(self, now: float) -> str | None:
-        """A controller that is in contact with the store while this one is not, or None."""
+        """A peer that is in contact with the store; None if there is none or this controller is."""
         quarter_lease_s = self.settings.lease_s / 4
         if now - self.evidence.last_sync_sent_at < quarter_lease_s:
             return None
@@ -51,14 +52,14 @@
         return None
 
     def peer_in_zone_of(self, heartbeat: AgentHeartbeat, now: float) -> str | None:
-        """A controller in the machine's zone that can take it, unless this one is in that zone.
+        """A controller in the machine's zone to redirect it to; None if it should stay here.
 
-        If a zone is partitioned off, its machines need a controller inside it to renew their
-        leases. Without this redirect most of them used controllers outside, and with five
-        controllers the search for the one inside took longer than a lease
-        (agents/zone_partitioned_of_five.txt). A machine is redirected only once in
-        REDIRECT_INTERVAL_LEASES, so that one that can't reach the controller in its zone keeps
-        sending heartbeats here.
+        While a zone is partitioned from the others, only a controller in that zone can renew the
+        leases of its machines. Without this redirect, most machines would use controllers in other
+        zones when the partition begins, and with five controllers their search for the one in
+        their own zone takes longer than a lease (agents/zone_partitioned_of_five.txt). A machine is
+        redirected at most once in REDIRECT_INTERVAL_LEASES, so that a machine that can't reach the
+        controller in its zone can send its heartbeats here meanwhile.
         """
         machine = heartbeat.machine
         if (
@@ -82,13 +83,13 @@
 
     def forget_old(self, now: float) -> None:
         """Drops machines that may be redirected to their own zone again."""
-        after_s = REDIRECT_INTERVAL_LEASES * self.settings.lease_s
+        interval_s = REDIRECT_INTERVAL_LEASES * self.settings.lease_s
         self.redirected_at = {
-            name: sent_at for name, sent_at in self.redirected_at.items() if now - sent_at < after_s
+            machine: at for machine, at in self.redirected_at.items() if now - at < interval_s
         }
 
     def _has_contact(self, view: PeerMachineView, now: float) -> bool:
-        """Whether a peer has answered recently and was recently in contact with the store."""
+        """Whether a peer recently answered a question and was then in contact with the store."""
         return (
             now - view.received_at < 2 * self.settings.agent_heartbeat_s
             and view.contact_age_at(now) < self.settings.lease_s / 4
@@ -102,7 +103,8 @@
             and peer not in self.suspected
             and view is not None
             and self._has_contact(view, now)
-            # Machines reach it, or one is redirected to it now and then to find out.
+            # Machines reach it, or no machine was recently redirected to it to find out whether
+            # they do.
             and bool(
                 view.active_machines
                 or now - self.redirected_to_at.get(peer, NEVER) > self.settings.lease_s / 4
--- a/emberglade/failure_detection/peer.py
+++ b/emberglade/failure_detection/peer.py
@@ -9,7 +9,7 @@
 from .messages import HeartbeatVersion, Opinion, PeerState, PingOutcome
 
 NEVER = float("-inf")
-MAX_OUTAGES = 16  # recorded per peer
+MAX_OUTAGES = 16  # the newest outages of a peer that are recorded
 
 
 class FailedProbe(NamedTuple):
@@ -22,11 +22,12 @@
 class Peer:
     """What heartbeats, keys, calls and probes show of one controller.
 
-    All times are in seconds of this controller's monotonic clock; NEVER if there is none.
+    All times are in seconds of this controller's monotonic clock, and NEVER if there was no such
+    event.
 
     Attributes:
-        version: Of the newest heartbeat that any controller received.
-        direct_version: Of the newest heartbeat that this controller received itself.
+        version: The version of the newest heartbeat that any controller received.
+        direct_version: The version of the newest heartbeat that this controller received itself.
         direct_sent_at: When that heartbeat was sent.
         direct_store_contact_at: The peer's last contact with the state service, as that heartbeat
             states it.
@@ -66,7 +67,7 @@
     # --- evidence that it is alive
 
     def begin_incarnation(self) -> None:
-        """Resets what is known of the previous process only."""
+        """Resets the state that was true only of the peer's previous process."""
         self.arrivals = ArrivalWindow(self.bounds.heartbeat_s)
         self.arrived_at = NEVER
         self.direct_sent_at = NEVER
@@ -81,7 +82,7 @@
         self.probed_at = NEVER
 
     def note_version(self, version: HeartbeatVersion) -> bool:
-        """Notes a heartbeat that any controller received; False if a previous process sent it."""
+        """Notes a heartbeat that any controller received; False if its incarnation is outdated."""
         if self.version is None:
             self.version = version
             return True
@@ -163,11 +164,11 @@
             return True
         if self.state is PeerState.UNKNOWN:
             return not startup_complete
-        # The key has expired, so the age that counts is that of its contact with the state service
-        # at the time of its last heartbeat. Measured against the current time, a pause of two
-        # seconds makes the contact of a peer look old that is not even suspected
+        # Without a key, the peer serves if it had recent contact with the state service when it was
+        # last known to be alive. If the age of that contact were measured now instead, a pause of
+        # two seconds would exceed the limit for a peer that is not even suspected
         # (failure_detection/short_pause.txt). A suspected peer counts as serving for a limited
-        # time, until relays have been asked.
+        # time, so that relays can be asked first.
         return (
             self.last_alive_at - self.store_contact_at < self.bounds.serves_without_key_s
             and self.time_since_alive_s(now) < 2 * self.bounds.confirm_s
@@ -184,7 +185,7 @@
     def failback_delay_s(self, now: float) -> float:
         """How long the peer must still serve before it takes its shards back.
 
-        The delay doubles with each recent outage.
+        The delay doubles with each recent outage, up to `max_failback_delay_s`.
         """
         oldest_s = 2 * self.bounds.max_failback_delay_s
         outages = sum(now - at < oldest_s for at in self._outages)
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -1,8 +1,8 @@
 """The leader's taints on machines, as the replica shows them.
 
-Many machines can fail together, and the state service limits the keys written, so the taints of all
-machines are stored in a few keys. A change of any number of them takes few writes
-(`taint_change.py`).
+Many machines can fail at once, and the state service limits the number of keys written. So the
+taints of all machines are stored in a few keys, and a change of any number of taints takes few
+writes (`taint_change.py`).
 """
 
 from collections.abc import Iterator
@@ -19,8 +19,8 @@
 
     Attributes:
         taint: A Taint, or a stored value that is unknown to this version.
-        mod_revision: The store revision that wrote it.
-        seen_at: When this controller's replica first showed it, by the steady clock.
+        mod_revision: The mod revision of the key whose change set it.
+        seen_at: When this controller's replica first showed it, by the monotonic clock.
     """
 
     taint: str
@@ -39,11 +39,11 @@
 
 
 class Taints:
-    """The taints as committed.
+    """All committed taints.
 
     Attributes:
-        by_machine: {machine: MachineTaint}.
-        by_key: {key: KeyTaints}.
+        by_machine: {machine: MachineTaint} of all tainted machines.
+        by_key: {key: KeyTaints}; a removed key stays, without taints.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self.by_key: dict[str, KeyTaints] = {}
 
     def apply(self, key: str, data: dict | None, mod_revision: int, now: float) -> list[str]:
-        """Applies the new value of one key; None if the key was removed.
+        """Applies the new value of one key; `data` is None if the key was removed.
 
         Returns:
             The machines whose taints changed.
@@ -61,14 +61,14 @@
         changed += [machine for machine in new if machine not in old]
         self.by_key[key] = KeyTaints(mod_revision if data is not None else 0, new)
         # Machines with the same new taint share one object, as thousands may change at once.
-        rows = {
+        taint_by_value = {
             value: MachineTaint(read_taint(value), mod_revision, now) for value in set(new.values())
         }
         for machine in changed:
             if machine in new:
-                self.by_machine[machine] = rows[new[machine]]
+                self.by_machine[machine] = taint_by_value[new[machine]]
             elif self.key_containing(machine) is None:
-                # Otherwise the taint was moved to another key, whose change was applied first.
+                # Otherwise the taint has moved to another key, whose change is already applied.
                 self.by_machine.pop(machine, None)
         return changed
 
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -43,16 +43,17 @@
         self._being_read: set[str] = set()  # dependencies whose final key is being read
 
     def advance(self) -> None:
-        """Reads missing outcomes; releases or cancels jobs unless a transaction is in flight.
+        """Reads unknown outcomes of dependencies; releases or cancels jobs that are due.
 
-        Does nothing until this process's incarnation is known.
+        At most one transaction is in flight. Does nothing until the incarnation of this process is
+        known.
         """
         if self._owners.incarnation is None:
             return
         if self._graph.unresolved:
             self._read_unresolved()
         if not self._transaction_in_flight and (self._graph.ready or self._graph.cancelled):
-            self._commit_some()
+            self._commit_batch()
 
     def _owned(self, job_ids: Iterable[str]) -> list[str]:
         """Those of these waiting jobs whose shards this controller owns."""
@@ -84,8 +85,8 @@
 
     # --- releases and cancellations
 
-    def _commit_some(self) -> None:
-        """Commits as many as one transaction may hold: releases by urgency, then cancellations."""
+    def _commit_batch(self) -> None:
+        """Commits as many as one transaction may hold: releases by priority, then cancellations."""
         graph = self._graph
         ready = sorted(
             self._owned(graph.ready),
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -1,4 +1,8 @@
-"""Removes chunks of job records that are no longer used."""
+"""Removes chunks of jobs that are no longer used.
+
+The first chunk of a job is stored in the job's own key and removed with it; this module removes the
+further chunks, which have keys of their own.
+"""
 
 from typing import TYPE_CHECKING, Any
 
@@ -18,7 +22,7 @@
 
 
 class GarbageCollection(ActorPart):
-    """Removes chunks of finished jobs and of replaced generations."""
+    """Removes chunks of finished jobs, of replaced generations, and without a job."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
@@ -26,7 +30,8 @@
         self._jobs, self._owners = view.jobs, view.owners
         self._unattached = view.unattached
         self._garbage: dict[str, int] = {}  # key of a chunk to remove -> its mod revision
-        self._orphaned_since: dict[str, float] = {}  # job id -> when orphans were first seen
+        # job id -> when its chunks were first seen without a job
+        self._orphaned_since: dict[str, float] = {}
 
     def add_chunks_of(self, job: Job) -> None:
         """Marks the further chunks of a finished job for removal."""
@@ -41,10 +46,10 @@
         self._garbage.pop(key, None)
 
     def collect(self) -> None:
-        """Removes unused chunks, as many as one commit may write."""
+        """Removes marked chunks that are unused, as many as one commit may write."""
         keys = list(self._garbage)[: self._budget.max_writes]
-        taken = {key: self._garbage.pop(key) for key in keys}
-        unused = {key: revision for key, revision in taken.items() if self._is_unused(key)}
+        candidates = {key: self._garbage.pop(key) for key in keys}
+        unused = {key: revision for key, revision in candidates.items() if self._is_unused(key)}
         if not unused:
             return
         removal_conditions = {self._removal_condition(wire.job_id_of(key)) for key in unused}
@@ -60,21 +65,25 @@
     def on_collected(
         self, unused: dict[str, int], status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to a removal; `unused` is {key: mod revision}."""
+        """Handles the store's answer to a removal; `unused` is {key: mod revision}.
+
+        The chunks are marked again unless they were removed (200) or a condition failed (409).
+        """
         if status not in (200, 409):
             self._garbage.update(unused)
 
     def _is_unused(self, key: str) -> bool:
-        """Whether a chunk has no live job, or another generation than a job owned here."""
+        """Whether a chunk has no live job, or is not of the current generation of an own job."""
         chunk = wire.read_chunk_key(key)
         job = self._jobs.get(chunk.job_id)
         return job is None or (self._owners.owns(job) and chunk.generation != job.generation)
 
     def _removal_condition(self, job_id: str) -> tuple[str, int]:
-        """The condition of a removal of a job's chunks.
+        """The condition for removing unused chunks of a job.
 
-        A live job's own key always exists, so without that key its chunks are unused. Chunks of
-        another generation can only be in use by the owner, who alone may rechunk the job.
+        Without a live job: the job's own key does not exist. Every live job has that key, so the
+        chunks are unused. With a live job: this controller still owns its shard. Only the owner may
+        rechunk a job, so no other controller can be using a generation that is not the current one.
         """
         job = self._jobs.get(job_id)
         if job is None:
@@ -82,9 +91,9 @@
         return self._owners.epoch_condition(job.stored_spec)
 
     def sweep_generations(self, rechunked_job_id: str | None) -> None:
-        """Marks the chunks of own jobs that are of another generation than their job.
+        """Marks the chunks of own jobs that do not belong to the job's current generation.
 
-        The job `rechunked_job_id` is left out, since its new chunks are being written.
+        The job `rechunked_job_id` is skipped: chunks of its next generation are being written.
         """
         for job_id in self._unattached.by_job:
             job = self._jobs.get(job_id)
@@ -92,9 +101,9 @@
                 self._garbage.update(self._unattached.keys_of(job_id))
 
     def sweep_orphans(self) -> None:
-        """Marks chunks that a crashed controller left without a job.
+        """Marks chunks without a job, as a crashed controller leaves them.
 
-        Only the owner of the first shard does this.
+        Only the owner of the first shard does this, after ORPHAN_RETENTION_LEASES.
         """
         if not self._owners.owns_first_shard():
             return
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -17,7 +17,7 @@
 
 
 class SegmentCollection(ActorPart):
-    """Removes lists of failed submissions and of jobs that are no longer waiting."""
+    """Removes the dependency lists of failed submissions and of jobs that are no longer waiting."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
@@ -26,17 +26,18 @@
         self._unused_since: dict[tuple[str, str], float] = {}  # (job id, list id) -> first seen
 
     def sweep(self) -> None:
-        """Removes the segments of lists that have been unused for long, one list at a time.
+        """Removes the segments of one list that was unused for UNUSED_LIST_RETENTION_LEASES.
 
-        Only the owner of the first shard does this. The first segment is removed first, because the
-        write of a waiting job's key is conditional on it.
+        Only the owner of the first shard does this. The first segment is removed first: the write
+        of a waiting job's key is conditional on it, so no job can refer to a list that is being
+        removed. A later sweep repeats what fails and removes what is left.
         """
         if not self._owners.owns_first_shard():
             self._unused_since = {}
             return
         now = self.now()
         self._unused_since = {
-            name: self._unused_since.get(name, now) for name in self._unused_lists()
+            unused: self._unused_since.get(unused, now) for unused in self._unused_lists()
         }
         for (job_id, list_id), since in self._unused_since.items():
             if now - since > UNUSED_LIST_RETENTION_LEASES * self._settings.lease_s:
--- a/emberglade/jobs/wire/__init__.py
+++ b/emberglade/jobs/wire/__init__.py
@@ -1,12 +1,13 @@
-"""The jobs' keys and records in the store; only this package knows their names and fields.
+"""The jobs' keys and records in the store; only this package depends on their format.
 
 Keys are given without LIVE_PREFIX (or FINAL_PREFIX), as in the replica:
 
     j/JOB                   a live job: its description and its first chunk of tasks
     t/JOB/N                 a further chunk of its tasks
-    t/JOB/GENERATION/N      the same of a job that was rechunked
+    t/JOB/GENERATION/N      a further chunk of a job that was divided into new chunks (rechunked)
     w/JOB                   a waiting job
-    x/JOB/LIST/N            a segment of a waiting job's list of dependencies, if that is long
+    x/JOB/LIST/N            a segment of a waiting job's list of dependencies, if the list does not
+                            fit into the job's record
     JOB                     (under FINAL_PREFIX) the final state of a job
 
 Records are JSON objects; a segment is a list of job ids.
--- a/emberglade/state/full_read.py
+++ b/emberglade/state/full_read.py
@@ -1,4 +1,4 @@
-"""Reads all live keys in pages: at the start, and after changes were missed."""
+"""Reads all live keys in pages: when the process starts, and after it missed changes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,8 +16,8 @@
     """The part of the store that reads all live keys.
 
     `on_complete(rows, revision)` receives all live keys and the revision of the first page. Later
-    pages may have newer revisions; applying the changes after the first one makes the rows
-    consistent.
+    pages may be of newer revisions. The rows become consistent when all changes since the revision
+    of the first page are applied to them.
     """
 
     def __init__(
@@ -32,9 +32,9 @@
 
     def start(self) -> None:
         """Requests the first page."""
-        self._ask_for_page("", [], None)
+        self._request_page("", [], None)
 
-    def _ask_for_page(self, after: str, found: list[Change], first_revision: int | None) -> None:
+    def _request_page(self, after: str, found: list[Change], first_revision: int | None) -> None:
         """Requests the keys after `after` (a key without LIVE_PREFIX; empty for the first page).
 
         `found` collects the rows of all pages.
@@ -46,10 +46,10 @@
     def on_page(
         self, found: list[Change], first_revision: int | None, status: int, body: Any
     ) -> None:
-        """Handles the response to the request for a page, from the state service.
+        """Handles the state service's response to the request for a page.
 
         Requests the next page while there is one. After an error or an invalid response, the read
-        starts again from the first page in RETRY_S.
+        starts again from the first page after RETRY_S.
         """
         page = wire.read_page(body, LIVE_PREFIX) if status == 200 else None
         if page is None:
@@ -59,7 +59,7 @@
         if first_revision is None:
             first_revision = page.revision
         if page.has_more and page.rows:
-            self._ask_for_page(page.rows[-1].key, found, first_revision)
+            self._request_page(page.rows[-1].key, found, first_revision)
         else:
             self.on_complete(found, first_revision)
 
