--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -21,7 +21,7 @@
 
 ACCOUNT_MARK = "account "  # precedes the JSON object in the log line
 ACCOUNT_INTERVAL_S = 60.0
-MIN_SHOWN_SHARE = 0.001  # of the interval; messages below it are added up as "other"
+MIN_SHOWN_SHARE = 0.001  # share of the interval; messages below it are added up as "other"
 OTHER = "other"
 MEGABYTE = 1024 * 1024
 
@@ -125,7 +125,7 @@
         }
 
     def _state_counts(self) -> dict[str, Any]:
-        """The size of the controller's state, and how it judges its peers."""
+        """The size of the controller's state, and the states that it assigns to its peers."""
         controller = self.controller
         return {
             "live_keys": len(controller.store.replica),
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -150,7 +150,7 @@
         self._put_chunk(job_id, job, 0, jobs_wire.first_chunk(record), mod_revision)
 
     def apply_chunk(self, key: str, chunk: dict | None, mod_revision: int) -> None:
-        """Applies the further chunk at a key; None: it was removed."""
+        """Applies the further chunk at a key; None if it was removed."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
         job = self.jobs.get(job_id)
         if job is not None and generation == job.generation:
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -1,10 +1,10 @@
 """Halts of cancelled jobs' tasks, sent directly to their machines.
 
 A cancellation reaches a task in the next answer to its machine's heartbeat, if the controller that
-answers has seen it. A controller without contact with the store has not, and its machines go on
-using it. So the controller that confirms a cancellation to a user halts the tasks itself and
-notifies its peers, and every other controller that knows of the cancellation halts them a little
-later if the record still shows them (docs/safety.md, 8).
+answers has seen it. A controller without contact with the store has not, and agents continue to
+send their heartbeats to it. So the controller that confirms a cancellation to a user halts the
+tasks itself and notifies its peers, and every other controller that knows of the cancellation halts
+them after a delay if the record still shows them (docs/safety.md, 8).
 """
 
 from typing import Any, NamedTuple
@@ -55,7 +55,7 @@
         self.halts_deferred = False  # halts are pending because too many are unanswered
 
     def confirm(self, job_id: str) -> None:
-        """Halts a job and notifies the peers: a user is being told that it is cancelled."""
+        """Halts a job and notifies the peers, as its cancellation is being confirmed to a user."""
         cancellation = self.committed.cancelled.by_job.get(job_id)
         if cancellation is None:
             return
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -13,7 +13,7 @@
 log = logging.getLogger("emberglade.agents")
 
 MAX_LOGGED_NAMES = 8  # machine names in one log line
-MAX_UPDATES_PER_HEARTBEAT = 8  # changes in between are sent together
+MAX_UPDATES_PER_HEARTBEAT = 8  # changes that occur in between are sent together
 
 
 def log_machines(message: str, names: list[str]) -> None:
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -158,7 +158,7 @@
     def add_table(
         self, peer: str, received_at: float, age_s: float, view: MachineView | None
     ) -> None:
-        """Adds the view in a peer's table, `age_s` old by the time of day; None: malformed.
+        """Adds the view in a peer's table, `age_s` old by the wall clock; None if malformed.
 
         A table names the revision of the replica that it was made from. So it was made after the
         last sync sent by this controller that still returned an older revision.
@@ -237,9 +237,9 @@
         """Whether every lease that a controller may have renewed for this machine has expired.
 
         Each controller states, from a replica that shows the taint, when it was last in contact
-        with the machine. A controller that can't be asked is judged by its own key: without the
-        key, and with the taint in its replica, it does not answer this machine; with an older
-        replica it answers no agent for longer than `max_staleness_s` (docs/safety.md, 7).
+        with the machine. For a controller that can't be asked, it suffices that its own key is
+        missing: if its replica shows this and the taint, it does not answer this machine; if its
+        replica is older, it answers no agent for longer than `max_staleness_s` (docs/safety.md, 7).
         """
         lease_s = self.settings.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         last_answered, known_until = own_contact_at, now
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -136,8 +136,8 @@
     def on_hear_cancellation(self, job_id: str, revision: int) -> None:
         """Handles `hear_cancellation(job, revision)`: a peer has seen a job cancelled.
 
-        The peer's notice is enough to halt the job's tasks. Users are told that the job is
-        cancelled only once this controller's own replica shows it.
+        The peer's notice is enough to halt the job's tasks. The cancellation is confirmed to users
+        only once this controller's own replica shows it.
         """
         self.committed.note_announced(job_id, revision)
 
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -57,8 +57,8 @@
     def on_ask_peers(self) -> None:
         """Handles `ask_peers`, a timer: asks peers for their views of machines.
 
-        All machines at the regular interval; more often, those that tasks wait for until their
-        leases are proven to have expired.
+        Asks about all machines at the regular interval. In between, asks more often about the lost
+        machines with bound tasks, until their leases are proven to have expired.
         """
         now = self.now()
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
@@ -86,7 +86,7 @@
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks all peers without an open question about these machines; None: about all."""
+        """Asks all peers without an open question about these machines, or about all if None."""
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -158,7 +158,7 @@
     def on_question_synced(
         self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
     ) -> None:
-        """Handles the store's answer to the sync that a question waits for; None: it failed."""
+        """Handles the store's answer to the sync that a question waits for; None if it failed."""
         now = self.now()
         reply(
             200,
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -14,7 +14,7 @@
 
 TABLE_INTERVAL_S = 5.0  # required by the DESIGN page
 TABLE_OVERHEAD_BYTES = 96  # the node's incarnation, the table's number and field names
-ENTRY_OVERHEAD_BYTES = 4  # of a machine in a table, besides its name and values
+ENTRY_OVERHEAD_BYTES = 4  # per machine in a table, besides its name and values
 # Limit for a table's value even if the store accepts larger ones: transactions are limited too.
 MAX_VALUE_BYTES = 32 * 1024
 
@@ -59,8 +59,9 @@
     def on_demand_counted(self, demand: dict, shortage: dict) -> None:
         """Handles the job manager's counts for a table: sends the table to the member.
 
-        Machines are the largest part of a table, and tables were most of the data that an idle
-        cluster wrote. So a table contains machines only while a peer gets them no other way.
+        Machines are the largest part of a table, and with them tables are most of the data that an
+        idle cluster writes. So a table contains machines only while a peer can't get them in
+        another way.
         """
         now = self.now()
         header = self._header(demand, shortage, now)
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -19,7 +19,7 @@
 
 MAX_UPDATES_PER_MESSAGE = 200
 VALUE_OVERHEAD_BYTES = 256  # field and controller names in the value with undelivered updates
-MAX_BATCHES_PER_HEARTBEAT = 20  # updates in between are sent together
+MAX_BATCHES_PER_HEARTBEAT = 20  # updates that arrive in between are sent together
 
 
 class UpdateForwarding(AgentPart):
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -26,7 +26,7 @@
 
 
 def read_task_updates(data: Any) -> list[TaskUpdate]:
-    """The updates in such a body; malformed ones are skipped."""
+    """The updates in the body of a peer's request; malformed ones are skipped."""
     updates: list[TaskUpdate] = []
     for row in data if isinstance(data, list) else ():
         if isinstance(row, list) and len(row) > 3 and row[0] in UPDATE_TYPES:
@@ -162,7 +162,7 @@
 
 
 def read_cancellation(data: Any) -> CancellationNotice | None:
-    """The cancellation in such a body, or None if it is malformed."""
+    """The cancellation in the body of a peer's notice, or None if it is malformed."""
     if (
         not isinstance(data, dict)
         or not isinstance(data.get("job"), str)
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -30,10 +30,10 @@
 
 
 def write_undelivered(rows: dict[str, list]) -> dict:
-    """The record of such a key: {owner: rows of `peers.write_task_updates`}."""
+    """The record of an undelivered key: {owner: rows of `peers.write_task_updates`}."""
     return {"to": rows}
 
 
 def read_undelivered(record: Any, node: str) -> list:
-    """The updates in such a record that are for this controller."""
+    """The updates for the controller `node` in the record of an undelivered key."""
     return read_task_updates(((record or {}).get("to") or {}).get(node))
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -21,7 +21,7 @@
         number: Unique among the tables of a controller.
         demand: {(machine type, spot): machines needed}.
         shortage: {(machine type, spot, zone): machines missing in that zone}.
-        wall_time: Time of day at which it was made, in seconds.
+        wall_time: Wall-clock time at which it was made, in seconds since 1970.
         up_s: Seconds since the controller's process began.
         contact_age_s: Seconds since it sent its last answered sync.
         revision: The revision of the replica that the table was made from.
--- a/emberglade/config/quota.py
+++ b/emberglade/config/quota.py
@@ -9,7 +9,7 @@
 MIN_DESCRIPTORS = 64
 MIN_CONNECTIONS = 2
 MIN_MEMORY_MB = 2 * START_MEMORY_MB
-MAX_START_LEASE_SHARE = 1 / 2  # of an agent's lease; a start that takes longer is slow
+MAX_START_LEASE_SHARE = 1 / 2  # share of an agent's lease; a start that takes longer is slow
 
 
 def small_quota_warnings(settings: Settings) -> list[str]:
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -138,7 +138,7 @@
         state: Host and port of the state service.
         cluster_size: Number of controllers in the cluster.
         zones: The zones in which machines can be rented.
-        skew_s: Maximum deviation of any machine's time of day from true time, in seconds.
+        skew_s: Maximum deviation of any machine's wall clock from the true time, in seconds.
         teams: The teams, by name.
         objectives: The service-level objectives.
         agent_heartbeat_s: Interval of an agent's heartbeats, in seconds.
--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -68,7 +68,7 @@
     member: Member,
     peer_clients: Mapping[str, Any],
 ) -> "PeerMonitor":
-    """Creates the monitor of the other controllers, and has the member follow its view."""
+    """Creates the monitor of the other controllers, and subscribes the member to its view."""
     from .failure_detection import (  # a start without failure detection saves this import
         LeaderPlanner,
         PeerMonitor,
--- a/emberglade/failure_detection/__init__.py
+++ b/emberglade/failure_detection/__init__.py
@@ -1,6 +1,6 @@
 """Failure detection of controllers: suspicion, confirmation by peers, and failover plans.
 
-Nothing here proves that a task ended or that a worker's lease expired (docs/failure-detection.md).
+Nothing here proves that a task ended or that an agent's lease expired (docs/failure-detection.md).
 """
 
 from .bounds import DetectionBounds, describe_detection, detection_bounds, failure_domains
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -11,10 +11,10 @@
     from ..config import Operators, Settings
 
 MAX_PHI = 16.0
-# A controller's lease at the state service is a third of a worker's and is renewed every third of
+# A controller's lease at the state service is a third of an agent's and is renewed every third of
 # its length: when it expires, the last renewal is at least two thirds of that length ago.
 SERVES_WITHOUT_KEY_LEASES = 2 / 9
-FAILBACK_DOUBLINGS = 6  # repeated outages of a controller double its failback delay up to so often
+FAILBACK_DOUBLINGS = 6  # how often repeated outages may double a controller's failback delay
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -203,7 +203,7 @@
         return TurnResult(transitions, tuple(probes), view)
 
     def _allow_for_pause(self, pause_s: float, now: float) -> None:
-        """Leaves a pause of this process out of the time since each peer was last alive."""
+        """Excludes a pause of this process from the time since each peer was last alive."""
         for peer in self.peers.values():
             if peer.state in (PeerState.ALIVE, PeerState.SUSPECTED):
                 peer.last_alive_at = min(now, peer.last_alive_at + pause_s)
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -11,7 +11,8 @@
 
 NEVER = float("-inf")
 LEADERSHIP = "leadership"  # the name of the leader's claim in its history
-SLOW_DELAY_INTERVALS = 2  # heartbeat intervals for which a slow controller lets others lead
+# Heartbeat intervals for which a slow controller lets others become leader.
+SLOW_DELAY_INTERVALS = 2
 
 
 class ClaimHistory:
@@ -199,7 +200,7 @@
         return successors.index(self.node)
 
     def _takeover_delay_s(self, view: LivenessView) -> float:
-        """How long this controller leaves a missing leader's key to others."""
+        """How long this controller waits for others to take a missing leader's key."""
         # If only the previous leader's lease expired, its process takes leadership again by itself.
         left_to_previous = (
             self._previous_leader.node != self.node and self._previous_leader.node in view.serving
--- a/emberglade/failure_detection/heartbeats.py
+++ b/emberglade/failure_detection/heartbeats.py
@@ -39,7 +39,7 @@
             return None
         now = self.now()
         self._sequence += 1
-        # A pause of this process is left out of the age: contact resumes as soon as it runs again.
+        # The age excludes a pause of this process: contact resumes as soon as it runs again.
         pause_s = self.detector.health.recent_pause_s(now, now - self.turn_due)
         contact_age_s = max(0.0, now - self.detector.store_contact_at - pause_s)
         return Heartbeat(
--- a/emberglade/failure_detection/local_health.py
+++ b/emberglade/failure_detection/local_health.py
@@ -1,9 +1,9 @@
 """Local health: detects that this controller itself is slow (after Lifeguard, 2018)."""
 
-LATE_SHARE = 0.5  # of a heartbeat interval: the delay from which on a turn counts as late
+LATE_SHARE = 0.5  # share of a heartbeat interval above which a turn counts as late
 MAX_SCORE = 8
 SLOW_SCORE = 4  # from this score on, the controller reports itself as slow
-INTERVALS_PER_POINT = 4  # each so many heartbeat intervals of delay add a point to the score
+INTERVALS_PER_POINT = 4  # heartbeat intervals of delay that add one more point to the score
 ON_TIME_TURNS_PER_POINT = 4  # consecutive turns on time that take one point off the score
 PAUSED_INTERVALS = 2  # heartbeat intervals after a pause in which no peer is suspected
 
@@ -46,7 +46,7 @@
 
     @property
     def slow(self) -> bool:
-        """Whether turns are often late, so that other controllers should take over work."""
+        """Whether turns are so often late that this controller reports itself as slow."""
         return self.score >= SLOW_SCORE
 
     def recent_pause_s(self, now: float, overdue_s: float) -> float:
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -47,9 +47,8 @@
     # Of the newest heartbeat that the sender received directly; None if there is none.
     version: HeartbeatVersion | None
     age_s: float  # since that heartbeat was sent
-    store_contact_age_s: (
-        float  # age of the peer's contact with the state service when that heartbeat was sent
-    )
+    # Age of the peer's contact with the state service when that heartbeat was sent.
+    store_contact_age_s: float
     failback_delay_s: float  # how long the peer must still serve before it takes shards back
 
 
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -21,14 +21,14 @@
 
 Member = TypeVar("Member", bound=enum.Enum)
 
-HEARTBEAT_FIELD = "heartbeat"  # of a request or a response; the previous version ignores it
+HEARTBEAT_FIELD = "heartbeat"  # in requests and responses; the previous version ignores it
 
 # A heartbeat has one row per controller; a message with more rows than this is invalid.
 MAX_OPINIONS = 1000
 OPINION_FIELDS = 6
 MAX_COUNT = 2**64
 MAX_NAME_LENGTH = 200
-MAX_VALUE_TEXT_LENGTH = 80  # of a rejected value in an error message
+MAX_VALUE_TEXT_LENGTH = 80  # length of a rejected value in an error message
 
 
 # --- to the wire
--- a/emberglade/fleet/catalog.py
+++ b/emberglade/fleet/catalog.py
@@ -22,7 +22,7 @@
 
     Attributes:
         machine_types: {name: MachineType}; empty until a leader has stored a catalog.
-        last_request_at: When the cloud was last asked, by the steady clock.
+        last_request_at: When the cloud was last asked, by the monotonic clock.
     """
 
     def __init__(self, actor: Actor, cloud: Client, leadership: Leadership) -> None:
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -60,10 +60,11 @@
         self.move_budget = 0.0
 
     def consolidate(self, machine_type: str) -> None:
-        """Looks for a machine of a type to empty, if there are more than its targets.
+        """Requests a candidate to empty from the job manager, if a type has surplus machines.
 
         Idle machines are removed first, as that moves no replica. No machine is emptied before this
-        controller has been leader for a boot time, so that requested machines could come up.
+        controller has been leader for a boot time, so that requested machines have had time to
+        boot.
         """
         machines = self.machines.counted(machine_type)
         spot = sum(machine.spot for machine in machines)
--- a/emberglade/fleet/cost_round.py
+++ b/emberglade/fleet/cost_round.py
@@ -74,7 +74,7 @@
 
         Args:
             total: The current demand for each pool, in machines.
-            now: The time by the steady clock.
+            now: The time by the monotonic clock.
         """
         machine_types = self.catalog.machine_types
         self.demand.draw(total, machine_types, now - self.leadership.since)
--- a/emberglade/fleet/demand.py
+++ b/emberglade/fleet/demand.py
@@ -13,7 +13,7 @@
 
 # A new leader starts without weights and history, so its targets are bounded for some time.
 NEW_LEADER_LIMIT_S = 300
-NEW_LEADER_MAX_DEMAND_RATIO = 2  # of the target to the demand
+NEW_LEADER_MAX_DEMAND_RATIO = 2  # maximum ratio of the target to the demand
 
 
 class DemandTargets:
--- a/emberglade/fleet/leadership.py
+++ b/emberglade/fleet/leadership.py
@@ -18,7 +18,7 @@
         owner: The owner of the leader's key; None if there is no owner.
         is_leader: Whether this controller acts as leader, according to its replica. A process whose
             lease has expired acts until the replica shows it; its writes fail meanwhile.
-        since: When this controller became leader, by its steady clock.
+        since: When this controller became leader, by its monotonic clock.
     """
 
     def __init__(self, store: Store) -> None:
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -28,7 +28,7 @@
 
     Attributes:
         has_complete_list: Whether a complete list has been read since this leadership began.
-        last_request_at: When the last read of the list began, by the steady clock.
+        last_request_at: When the last read of the list began, by the monotonic clock.
         is_reading: Whether a read is in progress.
         rows: The rows received by the read in progress.
         pages: Number of pages of the read in progress, or else of the last one.
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class FleetMachine:
-    """The leader's record of one machine; times are by this controller's steady clock."""
+    """The leader's record of one machine; times are by this controller's monotonic clock."""
 
     name: str
     type: str
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -42,7 +42,7 @@
     Attributes:
         request_count: Number of requests made by this process.
         pending: {name of a request: the request}, until its outcome is known.
-        back_off_until: {capacity pool: end of its back-off, by the steady clock}.
+        back_off_until: {capacity pool: end of its back-off, by the monotonic clock}.
         previous_shortages: {machine type: {(spot, zone): machines missing in the last round}}.
     """
 
@@ -116,7 +116,7 @@
         Args:
             machine_type: The machine type.
             shortages: {(spot, zone): machines missing there}.
-            now: The time by the steady clock.
+            now: The time by the monotonic clock.
         """
         previous = self.previous_shortages.get(machine_type.name, {})
         self.previous_shortages[machine_type.name] = shortages
@@ -223,7 +223,7 @@
 
         Args:
             name: The request's name.
-            requested_at: When it was first sent, by the steady clock.
+            requested_at: When it was first sent, by the monotonic clock.
             retries: The number of retries so far.
             status: The answer's status.
             body: The answer's body.
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -105,9 +105,10 @@
         before = row_bytes(machine, old) if old is not None else 0
         after = row_bytes(machine, taint) if taint is not None else 0
         growth = after - before
-        # Without these limits, taints of 4,000 machines that are lost together make a transaction
-        # above the size limit, and later, each a byte longer, values above the value limit. The
-        # state service rejects these at every retry (fleet/nearly_all_machines_fail.txt).
+        # Without these limits, the taints of 4,000 machines that are lost together make a
+        # transaction too large. When these taints later change from `lost` to `ended`, each a byte
+        # longer, they make values too large. The state service rejects both at every retry
+        # (fleet/nearly_all_machines_fail.txt).
         if growth > 0 and sum(self.sizes.values()) + growth > MAX_CHANGE_BYTES:
             return False
         target: str | None = key
--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -17,14 +17,14 @@
     """A task that is bound to a machine and may run there.
 
     An attempt belongs to one agent epoch. If it were started again in a later epoch, a delayed
-    heartbeat of the earlier epoch would be taken for its exit while it runs.
+    heartbeat of the earlier epoch would be treated as its exit while it runs.
 
     Attributes:
         attempt: The number of the attempt.
         machine: The machine's name.
         agent_epoch: The machine's agent epoch for which the attempt was bound.
         stop: How the task is to be stopped, if at all.
-        since: When this controller first saw the binding, on its steady clock; not stored.
+        since: When this controller first saw the binding, on its monotonic clock; not stored.
     """
 
     attempt: int
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -1,7 +1,7 @@
 """Determines the outcome of a commit that got no answer or was refused.
 
-First it is made certain that the commit has been executed or never will be; then its keys are read
-from an up-to-date replica.
+It first ensures that the commit either has been executed or never will be, and then reads the
+commit's keys from an up-to-date replica.
 """
 
 from collections.abc import Callable
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -27,7 +27,7 @@
 log = logging.getLogger("emberglade.jobs")
 
 WRITES_PER_JOB = 2  # the new key is written, the waiting job's key is removed
-MAX_CONCURRENT_READS = 16  # of final keys of dependencies
+MAX_CONCURRENT_READS = 16  # reads of dependencies' final keys
 
 
 class DependencyRelease(ActorPart):
--- a/emberglade/jobs/failure_backoff.py
+++ b/emberglade/jobs/failure_backoff.py
@@ -14,8 +14,8 @@
 # Maximum backoff in agent leases, of a machine after errors or of a job that fails everywhere: no
 # task may wait for much longer than a minute while there is free capacity.
 MAX_BACKOFF_LEASES = 4
-# If a job's tasks ended in error on so many machines, the job is considered faulty, not the
-# machines.
+# If a job's tasks ended in error on at least this many machines, the job is considered faulty, not
+# the machines.
 MIN_FAILED_MACHINES_OF_FAULTY_JOB = 3
 
 # Exit reasons reported by agents.
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -1,4 +1,4 @@
-"""A live job, that is one that is not finished, and its tasks."""
+"""A live job (one that is not finished) and its tasks."""
 
 import zlib
 from collections.abc import Iterator, Mapping
@@ -25,9 +25,9 @@
         fitting_chunk_size: Tasks per chunk that fit a value; None until computed.
         cancelled: Whether its user has cancelled it.
         chunks: number -> Chunk; all tasks of a missing chunk are pending and were never attempted.
-        last_bound_at: When this controller last saw a task of the job bound, on the steady clock;
-            not stored.
-        retry_at: task -> when it may be placed again, on the steady clock; not stored.
+        last_bound_at: When this controller last saw a task of the job bound, on the monotonic
+            clock; not stored.
+        retry_at: task -> when it may be placed again, on the monotonic clock; not stored.
         failed_machines: Machines on which a task of the job ended in error; not stored.
     """
 
--- a/emberglade/jobs/job_spec.py
+++ b/emberglade/jobs/job_spec.py
@@ -18,7 +18,7 @@
         zone_spread: Whether no zone may run more than half of its tasks.
         spot: Whether it may run on spot machines.
         deadline_s: Seconds from `submitted_at` within which it should be done; None: no deadline.
-        submitted_at: Time of day in seconds.
+        submitted_at: Wall-clock time, in seconds since 1970.
         gang: Whether its tasks may only run all at once.
     """
 
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -130,7 +130,7 @@
             self.commits.mark_if_finished(job)
         # Taints are applied again because the commit with a drained machine's stops may have
         # failed; without a retry its tasks neither run nor move
-        # (protocol_rules/random_combined_faults_small_values.txt, 39).
+        # (protocol_rules/random_combined_faults_small_values.txt, seed 39).
         self.tasks.apply_taints(self.tasks.tainted_machines())
         self.garbage.sweep_orphans()
         self.garbage.sweep_generations(self.rechunking.job_id)
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -11,7 +11,7 @@
     """Keys whose records have changed.
 
     Attributes:
-        due: key -> when it should be written, on the steady clock.
+        due: key -> when it should be written, on the monotonic clock.
     """
 
     def __init__(self, view: View) -> None:
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -14,7 +14,7 @@
 
 MAX_TASKS_PER_TURN = 256  # tasks of one job that are placed at a time
 STARVING_JOB_SHARE = 1 / 8  # share of a starving job's tasks that is placed first
-MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fill so many commits
+MAX_COMMITS_PER_ROUND = 4  # a round binds no more tasks than fit in this many commits
 # Capacity is not reserved for another owner's task with more attempts than this, if its job has no
 # progress: the owner may have backed it off.
 MAX_ATTEMPTS_WITHOUT_PROGRESS = 3
@@ -44,9 +44,10 @@
         self._buffer = placement.capacity_buffer(
             view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall_time
         )
+        # How many tasks may still be bound in this round.
         self._tasks_left = (
             settings.txn_ops * MAX_COMMITS_PER_ROUND * chunk_size(settings.value_bytes)
-        )  # tasks that may still be bound in this round
+        )
         self._reserved: dict[str, int] = {}  # id of another owner's job -> reserved tasks
 
     def run(self, pending: list[Job]) -> None:
@@ -92,10 +93,10 @@
     def _reserve(self, job: Job, limit: int) -> None:
         """Reserves the capacity that another controller is expected to use for its job.
 
-        Tasks with many attempts are left out if their job has no progress: its owner has probably
+        Tasks with many attempts are skipped if their job has no progress: its owner has probably
         backed them off. Tasks of a job with progress may reach as many attempts when many machines
         fail; without a reservation their capacity goes to other jobs, and tasks are preempted for
-        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, 39).
+        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, seed 39).
         """
         reserved = self._reserved.get(job.id, 0)
         has_progress = job.has_progress()
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -21,8 +21,10 @@
 MIN_COUNTED_RUN_S = 30
 
 MAX_ROUNDS_PER_HEARTBEAT = 5  # preemption rounds per agent heartbeat
-STOP_REQUEST_TIMEOUT_HEARTBEATS = 2  # after which a stop request to another owner is repeated
-LATE_START_PROTECTION_LEASES = 4  # for which a task bound after a long wait is not preempted
+# Agent heartbeats after which a stop request to another owner is repeated.
+STOP_REQUEST_TIMEOUT_HEARTBEATS = 2
+# Agent leases during which a task that was bound after a long wait is not preempted.
+LATE_START_PROTECTION_LEASES = 4
 # Index into PRIORITIES; jobs of lower priorities do not preempt because of their age.
 LOWEST_PRIORITY_PREEMPTING_BY_AGE = 1
 
--- a/emberglade/jobs/unattached_chunks.py
+++ b/emberglade/jobs/unattached_chunks.py
@@ -14,7 +14,7 @@
 
 
 class UnattachedChunks:
-    """Further chunks without a job, or of another generation than their job.
+    """Further chunks without a job, or not of the current generation of their job.
 
     Attributes:
         by_job: job id -> {(generation, number): ChunkVersion}; no job has an empty entry.
--- a/emberglade/jobs/urgency.py
+++ b/emberglade/jobs/urgency.py
@@ -17,7 +17,7 @@
 
     Attributes:
         priority: Index into PRIORITIES; 0 is the most urgent.
-        due: The time of day by which the job has to be done; infinity: no due time.
+        due: The wall-clock time by which the job has to be done; infinity: no due time.
     """
 
     priority: int
--- a/emberglade/jobs/waiting_job.py
+++ b/emberglade/jobs/waiting_job.py
@@ -67,7 +67,7 @@
 
 
 def released_spec(spec: JobSpec, now: float) -> JobSpec:
-    """The description of a waiting job that is released at `now` (time of day).
+    """The description of a waiting job that is released at `now` (wall-clock time).
 
     It counts as submitted at `now`; its due time does not change.
     """
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -46,8 +46,8 @@
         self.on_identified, self.on_granted = on_identified, on_granted
         self.id: int | None = None
         self.incarnation: int | None = None
-        # A crashed controller fails over within a third of an agent's lease. In most cases it has
-        # restarted before.
+        # The key of a crashed controller expires within a third of an agent's lease. In most cases
+        # the controller has restarted before that.
         self.ttl_s = max(MIN_TTL_S, settings.lease_s / NODE_LEASES_PER_AGENT_LEASE)
 
     def start(self) -> None:
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -123,7 +123,7 @@
     # --- what to take
 
     def desired_owner(self, shard: int) -> str | None:
-        """The controller that should own the shard: its home, or a live one while that is down."""
+        """The controller that should own the shard: its home, or else one of the live ones."""
         names = self.settings.names
         home = names[shard % len(names)]
         if home in self.nodes:
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -1,8 +1,8 @@
 """Reduces memory use when memory is low, before the platform kills the process.
 
 The cache of final states is cleared, since the store has them, and new submissions get 503. Polls
-and cancellations are still served: a kill and a restart would interrupt their users for less time
-than minutes of refused requests.
+and cancellations are still served: even if the process is killed and restarted as a result, this
+interrupts their users for less time than refusing their requests for minutes.
 """
 
 import logging
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -1,7 +1,7 @@
 """Capacity reserved for job classes whose tasks must start sooner than a machine boots.
 
-Cackle sends such tasks to its elastic pool; without such a pool, the tasks expected within a boot
-time are counted as demand in advance.
+In the Cackle paper, such tasks run in an elastic pool. Without such a pool, the tasks expected
+within a boot time are counted as demand in advance.
 """
 
 from collections.abc import Iterable
@@ -36,14 +36,14 @@
 ) -> list[ExpectedTasks]:
     """The tasks expected within a boot time, for classes with a `wait` objective below it.
 
-    Counted by image, since free capacity on a machine that would have to fetch the image first does
-    not help.
+    Tasks are counted by image, since free capacity on a machine that would have to fetch the image
+    first does not help.
 
     Args:
         jobs: All live jobs; those submitted recently give the expected rate.
         objectives: All objectives.
         machine_types: The catalog, by name; the longest boot time counts.
-        wall_time: The time of day, in seconds.
+        wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
         One row for each class and image of which tasks were submitted recently.
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -12,7 +12,7 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time, as estimates are often wrong by half
+MIN_ESTIMATE_SHARE = 0.6  # share of the estimated run time, as estimates are often wrong by half
 
 
 def placement_order(
@@ -26,11 +26,11 @@
     Args:
         spec: The job.
         objectives: All objectives; those for the finish time of the job's class apply.
-        wall_time: The time of day, in seconds.
+        wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
         The priority, whether the job will be late, when it is due, when it was submitted (both
-        times of day, in seconds), and its id.
+        wall-clock times, in seconds since 1970), and its id.
     """
     due = _due_at(spec, objectives)
     late = due - wall_time < spec.estimated_run_s * MIN_ESTIMATE_SHARE
@@ -180,7 +180,7 @@
         # in.
         other_kind = capacity.machines[name].spot != spec.spot
         if spec.service:
-            # Replicas run long: on few machines, they keep only few from being scaled in.
+            # Replicas run for a long time; on few machines, they prevent the scale-in of only few.
             return missing, -capacity.replicas[name], other_kind, name
         # Machines with replicas have the services' images cached, so their free capacity is left
         # for further replicas, which can't wait for an image to be fetched.
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -81,7 +81,7 @@
 def has_fit(job: "Job", victims: list[BoundTask], placement_round: PlacementRound) -> bool:
     """Whether one task of a job fits on a machine once the victims have ended.
 
-    Without this check, other tasks of the team were stopped for a task that fitted no machine, were
+    Without this check, other tasks of the team are stopped for a task that fits no machine, are
     placed again, and stopped again (placement/preempts_only_what_fits.txt).
     """
     spec = job.spec
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -16,7 +16,7 @@
 
 THREAD_STACK_BYTES = 256 * 1024
 # Records and heartbeats form hardly any reference cycles; with Python's default thresholds, garbage
-# collection took a tenth of the processor time at 600 machines.
+# collection takes a tenth of the processor time at 600 machines.
 GC_THRESHOLDS = (50_000, 20, 50)
 
 MAX_ANSWER_TIMEOUT_S = 3.0
--- a/emberglade/sizing/experts.py
+++ b/emberglade/sizing/experts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 PERCENTILES = range(1, 101)  # each with the multiplier 1
-MULTIPLIED_PERCENTILE = 80  # with each of the multipliers below
+MULTIPLIED_PERCENTILE = 80  # combined with each of the multipliers below
 MULTIPLIERS = (1.1, 1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0, 5.0, 7.0, 10.0, 15.0, 20.0)
 ROUNDING_TOLERANCE = 1e-9  # floating-point sums are not exact
 
--- a/emberglade/sizing/sizer.py
+++ b/emberglade/sizing/sizer.py
@@ -12,7 +12,8 @@
 
 from .experts import Expert, whole_machines
 
-# The machines of a round were requested by a target one boot time earlier, so old targets are kept.
+# The machines of a round were requested for a target drawn a boot time earlier, so old targets are
+# kept.
 MAX_TARGET_ROUNDS = 64
 
 
@@ -86,7 +87,7 @@
         """Runs one cost round: updates the weights, records all targets, and draws an expert.
 
         Args:
-            boot_s: The time from a rental until the machine runs tasks, in seconds.
+            boot_s: The time from the request of a machine until it can run tasks, in seconds.
         """
         costs = self.costs(boot_s)
         if costs is not None and max(costs) > 0:
@@ -113,7 +114,7 @@
         """The cost of each expert's target in the last round, or None without enough history.
 
         Args:
-            boot_s: The time from a rental until the machine runs tasks, in seconds.
+            boot_s: The time from the request of a machine until it can run tasks, in seconds.
         """
         # The machines allocated in the last round were requested a boot time earlier.
         rounds_back = max(1, math.ceil(boot_s / self.cost_round_s))
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -12,7 +12,7 @@
     from ..config import Settings
     from ..transport import Client, Reply
 
-TOO_MANY_REQUESTS = 429  # from the service, or for a request that was never sent
+TOO_MANY_REQUESTS = 429  # answered by the service, or here for a request that was never sent
 MAX_QUEUED_PER_PRIORITY = 200
 MAX_IN_FLIGHT = 6  # requests without a response; the client has as many threads
 MAX_TIMEOUT_S = 3.0
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -40,7 +40,7 @@
 DECISIONS = Priority.DECISIONS
 SUBMISSIONS = Priority.SUBMISSIONS
 
-MIN_RECENT_CHANGES = 64  # kept for peers
+MIN_RECENT_CHANGES = 64  # newest changes that are kept for peers, at least
 
 # reply(status, revision, failed); `failed`: the keys whose conditions failed, or the error
 CommitReply = Callable[[int, int | None, Any], None]
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -2,7 +2,7 @@
 
 GROWTH_PER_S = 1.1  # factor by which the rate grows per second
 MAX_GROWTH_S = 60.0  # growth is limited to this time between two calls
-MAX_SHARE = 0.8  # of the service's total rate; the rest is left to the other controllers
+MAX_SHARE = 0.8  # share of the service's total rate; the rest is for other controllers
 TOKEN_TOLERANCE = 1e-9  # rounding error, in tokens
 
 
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -21,7 +21,7 @@
 MAX_ACCEPTS_PER_EVENT = 64  # so that open connections are served in between
 EVICTION_CANDIDATES = 16  # least recently used connections that are checked for eviction
 ACCEPT_PAUSE_S = 0.02
-NEAR_LIMIT_SHARE = 7 / 8  # of the limit; above it, connections are closed after each response
+NEAR_LIMIT_SHARE = 7 / 8  # share of the limit above which responses close connections
 
 
 @dataclass(frozen=True)
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -48,7 +48,7 @@
     At the connection limit, the connection that has been idle longest is evicted, users'
     connections first; if none is idle, the new connection is closed at once. At most
     `max_user_connections` may send requests to paths that `is_user_path` accepts; further ones get
-    503 and are closed, so that users do not take the connections of workers.
+    503 and are closed, so that users do not take the connections of agents.
 
     Attributes:
         connections: The open connections.
@@ -65,7 +65,7 @@
         is_user_path: Callable[[str], bool] = lambda path: False,
     ) -> None:
         self.route, self.limits = route, limits
-        # When another controller stops, all its workers connect here at once.
+        # When another controller stops, all its agents connect here at once.
         self.request_queue_size = max(MIN_LISTEN_BACKLOG, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-MAX_RETRIES = 8  # of a cancellation that conflicts with writes of the job's owner
+MAX_RETRIES = 8  # retries of a cancellation that conflicts with writes of the job's owner
 
 
 class CancellationRequests(ActorPart):
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -1,7 +1,7 @@
 """The user API's view of the store's live keys: committed jobs and their dependencies.
 
 It is built from the replica and not from the job manager, whose view is ahead of the committed
-state while a write is under way.
+state while a write is in flight.
 """
 
 from collections.abc import Iterable
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-TRANSACTION_BYTES = 40 * 1024  # of segments in a transaction; PROTOCOL allows 64 KiB in total
+TRANSACTION_BYTES = 40 * 1024  # segments in a transaction; PROTOCOL allows 64 KiB in total
 MAX_LOGGED_DEPENDENCIES = 8
 MAX_DEPENDENCIES_IN_REASON = 4
 DEPENDENCIES_UNREAD = service_unavailable(
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -16,8 +16,8 @@
 from .dependency_outcomes import DependencyOutcomes, DependencyReadRequest
 from .job_state import JobState, JobStatus, LookupFailure, LookupResult
 
-MAX_FINAL_STATES = 20_000  # in the cache; others are read from the store
-# The limit of open look-ups is the number of requests that the store serves in so many seconds.
+MAX_FINAL_STATES = 20_000  # states in the cache; others are read from the store
+# The limit of open look-ups is the number of requests that the store serves in this time.
 OPEN_LOOKUPS_S = 2.0
 
 
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -64,7 +64,7 @@
 
         A repeat of an accepted submission is answered with its job's state even if its body is
         malformed. Otherwise a malformed repeat for a finished job gets 400 while the state service
-        does not answer (dependencies/random_faults.txt, 730).
+        does not answer (dependencies/random_faults.txt, seed 730).
         """
         job_id = wire.read_id(data)
         if job_id is None:
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -102,7 +102,7 @@
 
 
 def read_submission(data: object, submitted_at: float) -> Submission:
-    """The Submission in a body; `submitted_at` is the time of day, in seconds.
+    """The Submission in a body; `submitted_at` is the wall-clock time in seconds.
 
     Raises:
         MalformedSubmissionError: A field is missing or invalid; the message names the first one.
