--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -58,7 +58,7 @@
     def on_update_inventory(self) -> None:
         """Handles `update_inventory`, from `schedule_update`: logs the changes and sends them."""
         self.update_due = False
-        self._log_news()
+        self._log_changes()
         self.notify_job_manager()
 
     def update_if_due(self) -> None:
@@ -66,7 +66,7 @@
         if self.now() - self.notified_at >= self.settings.peer_exchange_s:
             self.notify_job_manager()
 
-    def _log_news(self) -> None:
+    def _log_changes(self) -> None:
         for message, names in (
             ("%d machines now send heartbeats to this controller: %s%s", self.new_machines),
             (
--- a/emberglade/jobs/urgency.py
+++ b/emberglade/jobs/urgency.py
@@ -72,7 +72,7 @@
                 after = passed_on.combined_with(before)
                 if after == before:
                     continue
-                self._set(dependency, after)
+                self._set_urgency(dependency, after)
                 if dependency in self._waiting:
                     stack.append(dependency)
 
@@ -87,7 +87,7 @@
                     urgency = self._propagated_urgency(dependent).combined_with(urgency)
             if urgency == self.get(dependency):
                 continue
-            self._set(dependency, urgency)
+            self._set_urgency(dependency, urgency)
             if dependency in self._waiting:
                 stack.extend(self._waiting[dependency].dependencies)
 
@@ -96,7 +96,7 @@
         urgency = self.of_waiting(job_id)
         return Urgency(urgency.priority, urgency.due - self._waiting[job_id].spec.estimated_run_s)
 
-    def _set(self, job_id: str, urgency: Urgency | None) -> None:
+    def _set_urgency(self, job_id: str, urgency: Urgency | None) -> None:
         if urgency is None:
             self._urgency.pop(job_id, None)
         else:
