--- a/emberglade/accounting.py
+++ b/emberglade/accounting.py
@@ -125,7 +125,7 @@
         }
 
     def _state_counts(self) -> dict[str, Any]:
-        """The size of the controller's state, and how it judges its peers."""
+        """The size of the controller's state, and the states that it assigns to its peers."""
         controller = self.controller
         return {
             "live_keys": len(controller.store.replica),
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,8 +1,8 @@
 """Answers agents' heartbeats.
 
-Every controller may answer any agent. Commands are derived from the replica alone. A command to
-start a task is sent only if the replica was synced after the heartbeat arrived; docs/safety.md
-gives the reasons.
+An agent may send its heartbeats to any controller. The commands in an answer are derived only from
+the replica. A start is sent only if the replica was synced after the heartbeat arrived;
+docs/safety.md gives the reasons.
 """
 
 import itertools
@@ -62,7 +62,7 @@
         self.pending_numbers = itertools.count(1)
 
     def handle(self, data: Any, reply: Reply) -> None:
-        """Answers one unparsed heartbeat by `reply(status, body[, retry_after_s])`."""
+        """Parses a heartbeat and answers it with `reply(status, body[, retry_after_s])`."""
         try:
             heartbeat = agent_wire.read_heartbeat(data)
         except agent_wire.HeartbeatError as error:
@@ -74,7 +74,7 @@
             return
         last_seen = self.evidence.last_seen.get(heartbeat.machine)
         if self._is_outdated(heartbeat, last_seen):
-            # An answer is safe: it only renews a lease that the newer message already renewed.
+            # Answering is safe: it can only renew a lease that the newer message already renewed.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         record = self._get_or_add_record(heartbeat, now)
@@ -85,7 +85,7 @@
         record.contact_at = now
         self.evidence.last_seen[heartbeat.machine] = record.last_seen()
         if self._is_unchanged(record, previous):
-            # Fast path for most heartbeats, which use most of this process's processor time.
+            # The fast path: most heartbeats end here, and together they use most of the CPU time.
             reply(200, agent_wire.write_answer(heartbeat.fencing_token))
             return
         self._handle_change(record, previous, connected_peer, reply)
@@ -95,15 +95,20 @@
     def _reject_or_redirect(
         self, heartbeat: AgentHeartbeat, connected_peer: str | None, now: float, reply: Reply
     ) -> bool:
-        """Answers an agent that this controller must not or should not serve; True if it did."""
+        """Rejects or redirects a heartbeat that this controller must not or should not process.
+
+        Returns:
+            Whether the heartbeat was answered here.
+        """
         if connected_peer is not None and not self._is_caught_up(now):
             reply(421, agent_wire.write_redirect(connected_peer))
             return True
         tainted = heartbeat.machine in self.committed.taints
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
-            # This controller's commands could be older than a cancellation, or the proof that this
-            # machine's leases have expired relies on this controller not answering.
+            # If `may_answer` is false, this controller's commands could be older than a confirmed
+            # cancellation. If its key is missing, peers rely on it not answering tainted machines
+            # when they conclude that the leases of these machines have expired.
             reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
@@ -113,17 +118,17 @@
         return False
 
     def _is_caught_up(self, now: float) -> bool:
-        """Whether this controller's replica was recently as new as those of all peers.
+        """Whether this controller's replica was recently at least as new as those of all peers.
 
-        The limit allows for peers that have just lost contact with the store too: they delay their
-        answers by up to the timeout of a sync
+        The limit allows for the timeout of a sync, because a peer that loses contact with the state
+        service may answer questions late by that time
         (combined_faults/cancel_before_outage_timeouts.txt, seed 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
     def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether a heartbeat is a delayed duplicate, or its machine was returned to the cloud.
+        """Whether this is a delayed duplicate, or its machine was already returned to the cloud.
 
         Such a heartbeat is no evidence that the machine is alive (docs/safety.md, 11).
         """
@@ -141,7 +146,7 @@
         return record
 
     def _is_unchanged(self, record: AgentRecord, previous: AgentHeartbeat) -> bool:
-        """Whether nothing changed since `previous` that could lead to commands or task updates."""
+        """Whether nothing that could lead to commands or task updates changed since `previous`."""
         heartbeat = record.heartbeat
         return (
             record.settled
@@ -197,12 +202,12 @@
         connected_peer: str | None,
         reply: Reply,
     ) -> None:
-        """Answers according to a reconciliation that was done without a sync."""
+        """Answers a changed heartbeat, given the result of reconciling it without a sync."""
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
-            # This controller's replica is as new as the others', but a start needs a sync, which
-            # the peer can do. In all other cases this controller answers, because the lease of an
-            # agent that can't reach the peer expires while it tries
+            # This controller's replica is as new as those of its peers, but a start needs a sync,
+            # which needs contact with the state service. For anything less than a start the agent
+            # is not redirected: if it can't reach the peer, its lease expires while it tries
             # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
@@ -223,9 +228,10 @@
             self._answer(pending.record, pending.heartbeat, synced, pending.reply)
 
     def answer_overdue(self) -> None:
-        """Answers heartbeats whose sync takes too long, without the commands that need a sync.
+        """Answers heartbeats that have waited for a sync for more than a heartbeat interval.
 
-        This keeps the agent from timing out before it receives an answer.
+        The answers omit the commands that need a sync. An agent waits only a few seconds for an
+        answer.
         """
         now = self.now()
         for number, pending in list(self.pending.items()):
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -57,8 +57,8 @@
     def on_ask_peers(self) -> None:
         """Handles `ask_peers`, a timer: asks peers for their views of machines.
 
-        All machines at the regular interval; more often, those that tasks wait for until their
-        leases are proven to have expired.
+        Asks about all machines at the regular interval. In between, asks more often about the lost
+        machines with bound tasks, until their leases are proven to have expired.
         """
         now = self.now()
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -45,7 +45,7 @@
         )
 
     def connected_peer(self, now: float) -> str | None:
-        """A controller that is in contact with the store while this one is not, or None."""
+        """A peer that is in contact with the store; None if there is none or this controller is."""
         quarter_lease_s = self.settings.lease_s / 4
         if now - self.evidence.last_sync_sent_at < quarter_lease_s:
             return None
@@ -94,7 +94,7 @@
         }
 
     def _has_contact(self, view: PeerMachineView, now: float) -> bool:
-        """Whether a peer has answered recently and was recently in contact with the store."""
+        """Whether a peer recently answered a question and was then in contact with the store."""
         return (
             now - view.received_at < 2 * self.settings.agent_heartbeat_s
             and view.contact_age_at(now) < self.settings.lease_s / 4
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -200,7 +200,7 @@
         return successors.index(self.node)
 
     def _takeover_delay_s(self, view: LivenessView) -> float:
-        """How long this controller leaves a missing leader's key to others."""
+        """How long this controller waits for others to take a missing leader's key."""
         # If only the previous leader's lease expired, its process takes leadership again by itself.
         left_to_previous = (
             self._previous_leader.node != self.node and self._previous_leader.node in view.serving
--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -17,7 +17,7 @@
     """A task that is bound to a machine and may run there.
 
     An attempt belongs to one agent epoch. If it were started again in a later epoch, a delayed
-    heartbeat of the earlier epoch would be taken for its exit while it runs.
+    heartbeat of the earlier epoch would be treated as its exit while it runs.
 
     Attributes:
         attempt: The number of the attempt.
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -1,4 +1,4 @@
-"""A live job, that is one that is not finished, and its tasks."""
+"""A live job (one that is not finished) and its tasks."""
 
 import zlib
 from collections.abc import Iterator, Mapping
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -28,11 +28,11 @@
     Args:
         spec: The job.
         objectives: All objectives; those for the finish time of the job's class apply.
-        wall_time: The time of day, in seconds.
+        wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
         The priority, whether the job will be late, when it is due, when it was submitted (both
-        times of day, in seconds), and its id.
+        wall-clock times, in seconds since 1970), and its id.
     """
     due = _due_at(spec, objectives)
     late = due - wall_time < spec.estimated_run_s * MIN_ESTIMATE_SHARE
