--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -7,9 +7,9 @@
 class StopMode(enum.IntEnum):
     """How a bound task is to be stopped. The values are stored and sent to agents and peers."""
 
-    KEEP = 0  # not at all
-    STOP = 1  # at once
-    SAVE = 2  # after it has saved a checkpoint
+    KEEP = 0  # it is not stopped
+    STOP = 1  # it is stopped at once
+    SAVE = 2  # it is stopped after it has saved a checkpoint
 
 
 @dataclass
--- a/emberglade/jobs/cluster_view.py
+++ b/emberglade/jobs/cluster_view.py
@@ -19,7 +19,7 @@
         machines: name -> placement.Machine, as last received from the agent manager.
         schedulable_machines: The names of the schedulable machines, regardless of taints.
         taints: The leader's taints on machines.
-        machine_types: name -> MachineType, as committed.
+        machine_types: name -> MachineType, according to the replica.
         capacity: The capacity that bound tasks use, per machine and per team.
         images: The images that machines are expected to have cached.
     """
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -42,7 +42,8 @@
     def settle(self, in_flight: CommitInFlight, outcome_final: bool) -> None:
         """Starts settling a commit.
 
-        `outcome_final`: whether the commit is known to have been executed or never to be executed.
+        `outcome_final`: whether it is certain already that the commit either has been executed or
+        never will be.
         """
         if outcome_final:
             self.on_sync(in_flight)
@@ -53,8 +54,9 @@
         """Handles `fence`, sent to itself: makes sure that the commit is not executed later.
 
         The commit is conditional on the epochs of its shards, so the shards' keys are written
-        again. Without this the commit may be executed late, when the capacity and the quota that it
-        relies on have been given to other jobs (protocol_rules/late_commit.txt).
+        again, which changes the epochs. Without this the commit may be executed late, when the
+        capacity and the quota that it relies on have been given to other jobs
+        (protocol_rules/late_commit.txt).
         """
         epochs = sorted(self._owners.owned_among(in_flight.shards))
         if not epochs:
@@ -74,8 +76,8 @@
     ) -> None:
         """Handles the store's answer to the write of new epochs."""
         if status in (200, 409):
-            # 409: the epochs have changed already, by another owner or by an earlier attempt of
-            # this controller that got no answer.
+            # 409: the epochs have changed already. Another owner has written the shards' keys, or
+            # an earlier attempt of this controller that got no answer has been executed.
             self.on_sync(in_flight)
         else:
             send_after(self._settings.agent_heartbeat_s / 3, self.on_fence, in_flight)
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -170,7 +170,7 @@
             chunk.mod_revision = revision
         for finished in finished_jobs:
             self._remove_finished_job(finished)
-        # Tasks are started when the replica shows their bindings, so it is updated at once.
+        # The replica is updated at once, because tasks are started when it shows their bindings.
         send(self._store.on_sync, lambda revision: None)
         self._apply_deferred(in_flight, revision)
         self._garbage.collect()
@@ -217,10 +217,10 @@
                 " ".join(sorted(keys)[:MAX_KEYS_LOGGED]),
             )
 
-    # --- commits sent by other parts that write a job's own key: nothing else is written meanwhile
+    # --- commits of other parts, which write a job's own key
 
     def set_in_flight(self, in_flight: CommitInFlight) -> None:
-        """Registers a commit sent by another part; nothing else is written until its outcome."""
+        """Registers a commit of another part; nothing is written until its outcome is known."""
         self.in_flight = in_flight
 
     def discard_in_flight(self) -> None:
@@ -242,7 +242,7 @@
             self._listener.apply_event(*event)
 
     def defer(self, event: Change) -> bool:
-        """Defers a change of a key that the commit in flight writes; False for other keys."""
+        """Defers a change of a key that the commit in flight writes; returns False for others."""
         return self.in_flight is not None and self.in_flight.defer(event)
 
     # --- commits that failed or whose outcome is unknown
@@ -250,7 +250,8 @@
     def settle(self, outcome_final: bool) -> None:
         """Determines the outcome of the commit in flight and resets the view to it.
 
-        `outcome_final`: whether the commit is known to have been executed or never to be executed.
+        `outcome_final`: whether it is certain already that the commit either has been executed or
+        never will be.
         """
         self._settlement.settle(self._require_in_flight(), outcome_final)
 
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -41,7 +41,7 @@
         return machines
 
     def apply(self, key: str, record: Any, mod_revision: int) -> None:
-        """Applies one change: the key's record, None if it was removed."""
+        """Applies one change; `record` is None if the key was removed."""
         if wire.is_job_key(key):
             self._apply_job(key, record, mod_revision)
         elif wire.is_chunk_key(key):
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -43,7 +43,7 @@
         self._being_read: set[str] = set()  # dependencies whose final key is being read
 
     def advance(self) -> None:
-        """Reads unknown outcomes of dependencies; releases or cancels jobs that are due.
+        """Reads unknown outcomes of dependencies; releases ready jobs and finishes cancelled ones.
 
         At most one transaction is in flight. Does nothing until the incarnation of this process is
         known.
@@ -86,7 +86,7 @@
     # --- releases and cancellations
 
     def _commit_batch(self) -> None:
-        """Commits as many as one transaction may hold: releases by priority, then cancellations."""
+        """Commits releases by priority, then cancellations, as many as one transaction may hold."""
         graph = self._graph
         ready = sorted(
             self._owned(graph.ready),
--- a/emberglade/jobs/failure_backoff.py
+++ b/emberglade/jobs/failure_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff after a task has failed, of the machine or of the task."""
+"""Backs off machines and tasks after a task has failed."""
 
 import logging
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,8 +11,8 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-# Maximum backoff in agent leases, of a machine after errors or of a job that fails everywhere: no
-# task may wait for much longer than a minute while there is free capacity.
+# Maximum backoff after errors, in lease durations (`lease_s`), for a machine or for a task of a
+# faulty job: no task may wait for much longer than a minute while there is free capacity.
 MAX_BACKOFF_LEASES = 4
 # If a job's tasks ended in error on this many machines, the job is considered faulty, not the
 # machines.
@@ -37,18 +37,21 @@
 
 
 class FailureBackoff:
-    """Exponential backoff of machines on which tasks fail, and of jobs that fail everywhere."""
+    """Backs off machines on which tasks fail, and tasks of jobs that fail on several machines.
+
+    The backoff of a machine grows exponentially with its errors.
+    """
 
     def __init__(self, settings: "Settings") -> None:
         self._settings = settings
-        self._machines: dict[str, MachineBackoff] = {}  # by machine
+        self._machines: dict[str, MachineBackoff] = {}  # machine -> its backoff
 
     def machines(self, now: float) -> list[str]:
         """The machines that are backed off at the time `now`."""
         return [name for name, backoff in self._machines.items() if backoff.until > now]
 
     def record_exit(self, job: Job, update: TaskExited, now: float) -> None:
-        """Records the exit of an attempt whose task is not done, and backs off what caused it."""
+        """Records the exit of an attempt whose task is not done; backs off the machine or task."""
         task, machine, reason = update.task, update.machine, update.reason
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
         if reason == ERROR:
@@ -68,7 +71,7 @@
         failed_on = len(job.failed_machines)
         if failed_on >= MIN_FAILED_MACHINES_OF_FAULTY_JOB:
             job.retry_at[task] = now + lease_s * min(failed_on, MAX_BACKOFF_LEASES)
-            consequence = "the job fails on every machine, so the task is backed off"
+            consequence = "the job has failed on several machines, so the task is backed off"
         else:
             errors = self._machines.get(machine, NO_BACKOFF).errors
             until = now + lease_s * min(2**errors, MAX_BACKOFF_LEASES)
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -18,11 +18,12 @@
     from ..state import Store
     from .manager import JobManager
 
-ORPHAN_RETENTION_LEASES = 2  # agent leases after which a chunk without a job is removed
+# Lease durations (`lease_s`) after which a chunk without a job is removed.
+ORPHAN_RETENTION_LEASES = 2
 
 
 class GarbageCollection(ActorPart):
-    """Removes chunks of finished jobs, of replaced generations, and without a job."""
+    """Removes chunks of finished jobs, of unused generations, and those that belong to no job."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
@@ -73,7 +74,11 @@
             self._garbage.update(unused)
 
     def _is_unused(self, key: str) -> bool:
-        """Whether a chunk has no live job, or is not of the current generation of an own job."""
+        """Whether a chunk is unused.
+
+        It is if its job is not live, or if this controller owns the job and the job uses another
+        generation.
+        """
         chunk = wire.read_chunk_key(key)
         job = self._jobs.get(chunk.job_id)
         return job is None or (self._owners.owns(job) and chunk.generation != job.generation)
@@ -81,9 +86,10 @@
     def _removal_condition(self, job_id: str) -> tuple[str, int]:
         """The condition for removing unused chunks of a job.
 
-        Without a live job: the job's own key does not exist. Every live job has that key, so the
-        chunks are unused. With a live job: this controller still owns its shard. Only the owner may
-        rechunk a job, so no other controller can be using a generation that is not the current one.
+        If the job is not live, the condition is that the job's own key does not exist: every live
+        job has that key, so the chunks are unused. If the job is live, the condition is that this
+        controller still owns its shard: only the owner may rechunk a job, so no other controller
+        can be using a generation that is not the current one.
         """
         job = self._jobs.get(job_id)
         if job is None:
@@ -91,7 +97,7 @@
         return self._owners.epoch_condition(job.stored_spec)
 
     def sweep_generations(self, rechunked_job_id: str | None) -> None:
-        """Marks the unattached chunks of this controller's jobs, which are of another generation.
+        """Marks unattached chunks of owned jobs for removal: the jobs do not use their generation.
 
         The job `rechunked_job_id` is skipped: chunks of its next generation are being written.
         """
@@ -101,7 +107,7 @@
                 self._garbage.update(self._unattached.keys_of(job_id))
 
     def sweep_orphans(self) -> None:
-        """Marks chunks without a job, as a crashed controller leaves them.
+        """Marks chunks without a job for removal; a crashed controller may leave such chunks.
 
         Only the owner of the first shard does this, after ORPHAN_RETENTION_LEASES.
         """
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -22,11 +22,12 @@
         spec: The same with the priority and the deadline inherited from dependents.
         chunk_size: Tasks per chunk.
         generation: Part of its chunks' keys; changes when the job is rechunked.
-        fitting_chunk_size: Tasks per chunk that fit a value; None until computed.
+        fitting_chunk_size: Tasks per chunk with which the records fit the store's limit on the size
+            of a value; None until computed.
         cancelled: Whether its user has cancelled it.
         chunks: number -> Chunk; all tasks of a missing chunk are pending and were never attempted.
-        last_bound_at: When this controller last saw a task of the job bound, on the monotonic
-            clock; not stored.
+        last_bound_at: When a binding of the job was last added to this controller's view, on the
+            monotonic clock; not stored.
         retry_at: task -> when it may be placed again, on the monotonic clock; not stored.
         failed_machines: Machines on which a task of the job ended in error; not stored.
     """
--- a/emberglade/jobs/job_spec.py
+++ b/emberglade/jobs/job_spec.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-PRIORITIES = ("critical", "urgent", "normal", "idle")  # a JobSpec's priority is an index
+PRIORITIES = ("critical", "urgent", "normal", "idle")  # JobSpec.priority is an index
 
 
 @dataclass(frozen=True)
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -94,7 +94,7 @@
         self.schedule_placement()
 
     def on_task_update(self, update: TaskUpdate) -> None:
-        """Handles `task_update(update)` from the agent manager, or from that of a peer."""
+        """Handles `task_update(update)` from this controller's or a peer's agent manager."""
         self.tasks.apply(update)
 
     def on_changed(self, events: list[Change], revision: int, is_snapshot: bool) -> None:
@@ -128,8 +128,8 @@
         send_after(TICK_S, self.on_tick)
         for job in list(self.jobs.values()):
             self.commits.mark_if_finished(job)
-        # Taints are applied again because the commit with a drained machine's stops may have
-        # failed; without a retry its tasks neither run nor move
+        # Taints are applied again because the commit that stops the tasks of a drained machine may
+        # have failed; without a retry these tasks neither run nor move to another machine
         # (protocol_rules/random_combined_faults_small_values.txt, seed 39).
         self.tasks.apply_taints(self.tasks.tainted_machines())
         self.garbage.sweep_orphans()
@@ -196,12 +196,15 @@
     def on_occupied(self, reply: Callable[[set[str]], None]) -> None:
         """Handles `occupied(reply)` from the autoscaler.
 
-        `reply(machines)`: those with at least one bound task.
+        `reply(machines)`: the names of the machines with at least one bound task.
         """
         reply(set(self.view.cluster.bound_machines()))
 
     def on_replicas(self, reply: Callable[[int], None]) -> None:
-        """Handles `replicas(reply)` from the autoscaler: `reply(number of bound replicas)`."""
+        """Handles `replicas(reply)` from the autoscaler.
+
+        `reply(count)`: the number of bound service replicas.
+        """
         reply(sum(self.view.cluster.capacity.replicas.values()))
 
     def on_underused_machine(
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -4,7 +4,8 @@
 from .view import View
 
 WRITE_DELAY_S = 0.02  # changes that follow closely on each other are written together
-MIN_DELAY_HEARTBEATS = 0.1  # minimum time in agent heartbeats that a batched change waits
+# Minimum time that a batched change waits, in agent heartbeat intervals.
+MIN_DELAY_HEARTBEATS = 0.1
 
 
 class PendingWrites:
@@ -58,8 +59,9 @@
     def _write_order(self, key: str) -> tuple[float, str]:
         """The sort key that determines when a key is written.
 
-        When a third of the machines is lost, nearly every job has to be written. Each step of
-        priority counts as a quarter of a heartbeat, so that no key is postponed indefinitely.
+        When a third of the machines is lost, nearly every job has to be written, so the keys of
+        urgent jobs go first. Each step of priority counts as a quarter of a heartbeat interval, so
+        that no key is postponed indefinitely.
         """
         job = self._jobs.get(wire.job_id_of(key))
         priority = job.spec.priority if job is not None else 0
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-MAX_TASKS_PER_TURN = 256  # tasks of one job that are placed at a time
+MAX_TASKS_PER_JOB_PASS = 256  # tasks of one job that are placed in one pass over the jobs
 STARVING_JOB_SHARE = 1 / 8  # share of a starving job's tasks that is placed first
 MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fit into this many commits
 # Capacity is not reserved for another owner's task with more attempts than this, if its job has no
@@ -81,12 +81,12 @@
             self._round.place(expected, math.ceil(tasks))
 
     def _task_limit(self, job: Job, within_guarantee: bool) -> int:
-        """The maximum number of a job's tasks to place in this turn."""
-        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_PER_TURN)
+        """The maximum number of a job's tasks to place in this pass over the jobs."""
+        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_PER_JOB_PASS)
         if within_guarantee and job.spec.priority:
             limit = min(limit, self._cluster.capacity.tasks_within_guarantee(job.spec))
         if job.id in self._starving:
-            # Enough for the job to begin; its other tasks are placed in the usual order.
+            # Enough for the job to start; its other tasks are placed in the usual order.
             limit = min(limit, math.ceil(job.spec.tasks * STARVING_JOB_SHARE))
         return limit
 
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -14,16 +14,18 @@
 if TYPE_CHECKING:
     from .manager import JobManager
 
-MAX_STOPS_PER_ROUND = 16  # choosing victims checks all machines; the next round follows soon
-MAX_STOPS_FOR_JOB = 64
-# A task stopped sooner than this does not count as started for its user (PROTOCOL, "How aims are
-# counted").
+# Pending tasks for which victims are stopped in one round. Choosing victims checks all machines,
+# and the next round follows soon.
+MAX_PREEMPTING_TASKS_PER_ROUND = 16
+MAX_TASKS_TRIED_PER_JOB = 64  # pending tasks of one job for which victims are sought in one round
+# A task that is stopped after a shorter run does not count as started for its user (PROTOCOL, "How
+# aims are counted").
 MIN_COUNTED_RUN_S = 30
 
-MAX_ROUNDS_PER_HEARTBEAT = 5  # preemption rounds per agent heartbeat
-# Agent heartbeats until a stop request to another owner is repeated.
+MAX_ROUNDS_PER_HEARTBEAT = 5  # preemption rounds per agent heartbeat interval
+# Agent heartbeat intervals after which a stop request to another owner may be repeated.
 STOP_REQUEST_TIMEOUT_HEARTBEATS = 2
-# Agent leases for which a task that was bound after a long wait is not preempted.
+# Lease durations (`lease_s`) for which a task that was bound after a long wait is not preempted.
 LATE_START_PROTECTION_LEASES = 4
 # Index into PRIORITIES; jobs of lower priorities do not preempt because of their age.
 LOWEST_PRIORITY_PREEMPTING_BY_AGE = 1
@@ -83,7 +85,8 @@
     def _may_preempt_now(self, job: Job, guaranteed: set[str]) -> bool:
         """Whether a pending job is urgent enough to preempt others now.
 
-        A job with a deadline preempts only when little time is left until then.
+        A job with a deadline that is not within its team's guarantee preempts only when little time
+        is left until the deadline.
         """
         spec = job.spec
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
@@ -191,10 +194,10 @@
         stoppable: dict[str, list[placement.BoundTask]],
         placement_round: placement.PlacementRound,
     ) -> None:
-        """Selects and stops victims, for one pending task after the other."""
-        stops_left = MAX_STOPS_PER_ROUND
+        """Selects and stops victims for one pending task at a time."""
+        tasks_left = MAX_PREEMPTING_TASKS_PER_ROUND
         for job in preemptors:
-            for _ in range(min(job.pending_count(), MAX_STOPS_FOR_JOB)):
+            for _ in range(min(job.pending_count(), MAX_TASKS_TRIED_PER_JOB)):
                 victims = self._victims_for(now, job, stoppable, placement_round)
                 if victims is None:
                     break
@@ -206,8 +209,8 @@
                     placement_round.release(victim_job.spec, binding.machine)
                     self._stop(now, victim, STOP_REASON + job.id)
                 placement_round.place(job, 1)
-                stops_left -= 1
-                if stops_left <= 0:
+                tasks_left -= 1
+                if tasks_left <= 0:
                     return
 
     def _victims_for(
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -88,7 +88,7 @@
         send(self._store.on_read_replica, keys, callback(self.on_chunks_read, self._current))
 
     def _next_job(self) -> Job | None:
-        urgent = self._commits.pending.job_ids()
+        jobs_with_pending_writes = self._commits.pending.job_ids()
         in_flight = self._commits.in_flight
         busy = {wire.job_id_of(key) for key in in_flight.chunks} if in_flight is not None else ()
         candidates = [
@@ -100,12 +100,12 @@
         ]
         return max(
             candidates,
-            key=lambda job: (job.id in urgent, job.binding_count(), job.id),
+            key=lambda job: (job.id in jobs_with_pending_writes, job.binding_count(), job.id),
             default=None,
         )
 
     def on_chunks_read(self, operation: RechunkOperation, found: dict[str, Any]) -> None:
-        """Handles the replica's state of the job's chunks, and splits the job from it."""
+        """Handles the replica's state of the job's chunks: derives the new chunks from it."""
         job = self._jobs.get(operation.job_id)
         if job is None or not self._owners.owns(job) or found.get(wire.job_key(job.id)) is None:
             self._current = None
@@ -174,7 +174,7 @@
     def _switch(self, job: Job, operation: RechunkOperation) -> None:
         """Switches the job's record to the new chunks.
 
-        Like for any other commit, nothing else is written until the outcome is known.
+        As with any other commit of decisions, nothing else is written until its outcome is known.
         """
         if self._commits.in_flight is not None:
             send_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, operation)
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -14,17 +14,19 @@
 if TYPE_CHECKING:
     from .manager import JobManager
 
-# The minimum delay before a round, as a fraction (1/N) of an agent heartbeat: tasks that become
-# pending at nearly the same time are placed in one round.
-MIN_DELAYS_PER_HEARTBEAT = 50
-# The minimum pause between rounds, as a fraction (1/N) of an agent heartbeat.
-MIN_PAUSES_PER_HEARTBEAT = 10
-# How often the jobs within their team's guarantee are recomputed, at most.
+# Agent heartbeat interval, relative to the minimum delay before a round: the delay lets tasks that
+# become pending at nearly the same time be placed in one round.
+HEARTBEAT_TO_MIN_DELAY_RATIO = 50
+# Agent heartbeat interval, relative to the minimum pause between rounds.
+HEARTBEAT_TO_MIN_PAUSE_RATIO = 10
+# How often, at most, the jobs within their team's guarantee are recomputed per agent heartbeat
+# interval.
 GUARANTEE_UPDATES_PER_HEARTBEAT = 5
 
 MIN_PAUSE_TO_ROUND_RATIO = 3  # minimum pause after a round, relative to the round's duration
 
-STARVATION_LEASES = 8  # agent leases after which a job without progress is placed first
+# Lease durations (`lease_s`) after which a job without progress is placed first.
+STARVATION_LEASES = 8
 
 
 class Scheduler(ActorPart):
@@ -55,7 +57,7 @@
         """Schedules a round, unless one is scheduled already."""
         if not self._round_scheduled:
             self._round_scheduled = True
-            min_delay_s = self._settings.agent_heartbeat_s / MIN_DELAYS_PER_HEARTBEAT
+            min_delay_s = self._settings.agent_heartbeat_s / HEARTBEAT_TO_MIN_DELAY_RATIO
             delay_s = max(min_delay_s, self._next_round_at - self.now())
             send_after(delay_s, self.on_place)
 
@@ -111,7 +113,7 @@
         # its duration leaves the actor time to handle heartbeats.
         self._next_round_at = self.now() + max(
             MIN_PAUSE_TO_ROUND_RATIO * (self.now() - now),
-            self._settings.agent_heartbeat_s / MIN_PAUSES_PER_HEARTBEAT,
+            self._settings.agent_heartbeat_s / HEARTBEAT_TO_MIN_PAUSE_RATIO,
         )
 
     def _sort(self, pending: list[Job], starving: set[str], wall_time: float) -> None:
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -13,7 +13,8 @@
     from ..state import Store
     from .manager import JobManager
 
-UNUSED_LIST_RETENTION_LEASES = 2  # agent leases after which an unused list is removed
+# Lease durations (`lease_s`) after which an unused list is removed.
+UNUSED_LIST_RETENTION_LEASES = 2
 
 
 class SegmentCollection(ActorPart):
@@ -23,7 +24,8 @@
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._graph, self._owners = view.graph, view.owners
-        self._unused_since: dict[tuple[str, str], float] = {}  # (job id, list id) -> first seen
+        # (job id, list id) -> when the list was first seen unused
+        self._unused_since: dict[tuple[str, str], float] = {}
 
     def sweep(self) -> None:
         """Removes the segments of one list that was unused for UNUSED_LIST_RETENTION_LEASES.
--- a/emberglade/jobs/shard_owners.py
+++ b/emberglade/jobs/shard_owners.py
@@ -36,7 +36,7 @@
             self.owners[shard] = membership_wire.read_owner(record, mod_revision)
 
     def is_own(self, owner: Owner) -> bool:
-        """Whether this process is the owner."""
+        """Whether `owner` is this process."""
         return (
             self.incarnation is not None
             and owner.node == self._settings.node
@@ -52,15 +52,15 @@
         return self.is_own(self.owners.get(self.shard_of(job.spec), NO_OWNER))
 
     def owns_first_shard(self) -> bool:
-        """Whether this process owns the first shard, and so removes orphaned records."""
+        """Whether this process owns the first shard; that owner removes orphaned records."""
         return self.is_own(self.owners.get(0, NO_OWNER))
 
     def own_record(self) -> membership_wire.Record:
-        """The record of the key of a shard that this process owns."""
+        """The record that this process writes to the keys of the shards that it owns."""
         return membership_wire.owner_record(self._settings.node, self.incarnation)
 
     def owned_among(self, shards: set[int]) -> set[tuple[int, int]]:
-        """{(shard, epoch)} of those of the given shards that this process owns."""
+        """{(shard, epoch)} of the shards in `shards` that this process owns."""
         return {
             (shard, owner.mod_revision)
             for shard, owner in self.owners.items()
@@ -68,7 +68,7 @@
         }
 
     def epoch_condition(self, spec: JobSpec) -> tuple[str, int]:
-        """The condition of a write that this process still owns a job's shard.
+        """The condition that makes a write fail unless this process still owns a job's shard.
 
         It is (full key of the shard, its mod revision); the mod revision is the shard's epoch.
         """
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -73,7 +73,7 @@
                     self.stop(job, update.task, update.mode, update.reason)
 
     def task_exited(self, job: Job, binding: Binding | None, update: TaskExited) -> None:
-        """Records the exit of an attempt; ignored if it is no longer the task's bound attempt."""
+        """Records the exit of an attempt; does nothing if that attempt is no longer bound."""
         if binding is None or not binding.is_attempt(update.attempt, update.machine):
             return
         task, chunk = update.task, job.chunk_of(update.task)
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskExited:
-    """The attempt has ended on its machine; `reason` is the agent's, for example `done`."""
+    """The attempt has ended on its machine; the agent reported `reason`, for example `done`."""
 
     job_id: str
     task: int
@@ -29,7 +29,7 @@
 
     @property
     def key(self) -> UpdateKey:
-        """The UpdateKey."""
+        """The key with which a later update replaces this one."""
         return UpdateKey("exited", self.job_id, self.task)
 
 
@@ -44,7 +44,7 @@
 
     @property
     def key(self) -> UpdateKey:
-        """The UpdateKey."""
+        """The key with which a later update replaces this one."""
         return UpdateKey("gone", self.job_id, self.task)
 
 
@@ -60,7 +60,7 @@
 
     @property
     def key(self) -> UpdateKey:
-        """The UpdateKey."""
+        """The key with which a later update replaces this one."""
         return UpdateKey("stop", self.job_id, self.task)
 
 
--- a/emberglade/jobs/transaction.py
+++ b/emberglade/jobs/transaction.py
@@ -12,8 +12,8 @@
 
 Condition = tuple[str, int]  # (full key, its mod revision)
 
-# PROTOCOL allows 64 KiB per transaction. The size of a record is estimated, to avoid
-# encoding it only for that.
+# PROTOCOL allows 64 KiB per transaction. Sizes of records are estimated, because measuring them
+# would take an additional encoding.
 MAX_TRANSACTION_BYTES = 40_000
 RECORD_ESTIMATE_BYTES = 400
 BINDING_ESTIMATE_BYTES = 48
@@ -47,7 +47,7 @@
         self.deferred = {key: [] for key in self.chunks}
 
     def defer(self, event: Change) -> bool:
-        """Keeps a change of one of the commit's keys for later; False for other keys."""
+        """Keeps a change of one of the commit's keys for later; returns False for other keys."""
         events = self.deferred.get(event[0])
         if events is None:
             return False
--- a/emberglade/jobs/unattached_chunks.py
+++ b/emberglade/jobs/unattached_chunks.py
@@ -1,7 +1,7 @@
 """Chunks in the replica that no job's record refers to.
 
-Their job is not in the replica: its record has not been applied yet, or they are orphans. Or they
-are of a generation that the job does not use yet, or no longer uses since it was rechunked.
+Either no record of their job has been applied, because they arrived before it or are orphans; or
+the job does not use their generation, because it is being rechunked or has been rechunked.
 """
 
 from collections.abc import Iterator
--- a/emberglade/jobs/underused_machine.py
+++ b/emberglade/jobs/underused_machine.py
@@ -20,7 +20,7 @@
 ) -> UnderusedMachine | None:
     """A machine that runs at most `limit` replicas, all of which fit on other machines in use.
 
-    These machines must have the replicas' images cached already.
+    The other machines must have the replicas' images cached already.
     """
     usable = {
         name
--- a/emberglade/jobs/waiting_job.py
+++ b/emberglade/jobs/waiting_job.py
@@ -12,7 +12,7 @@
 from .job_spec import JobSpec
 from .urgency import Urgency
 
-JOB_ID_BYTES = 4  # quotes, comma and brackets around an id in a list
+JOB_ID_OVERHEAD_BYTES = 4  # quotes, comma and brackets around an id in a list
 
 
 @dataclass(frozen=True)
@@ -57,7 +57,7 @@
     segments: list[list[str]] = []
     free = 0
     for job_id in ids:
-        size = len(job_id) + JOB_ID_BYTES
+        size = len(job_id) + JOB_ID_OVERHEAD_BYTES
         if not segments or size > free:
             segments.append([])
             free = limit_bytes
--- a/emberglade/jobs/wire/keys.py
+++ b/emberglade/jobs/wire/keys.py
@@ -84,5 +84,5 @@
 
 
 def job_id_of(key: str) -> str:
-    """The id of the job to which a key under any of the prefixes belongs."""
+    """The id of the job to which a key with any of these prefixes belongs."""
     return key.split("/")[1]
--- a/emberglade/jobs/wire/records.py
+++ b/emberglade/jobs/wire/records.py
@@ -176,7 +176,7 @@
 
 
 def update_chunk(chunk: Chunk, record: Record, mod_revision: int) -> None:
-    """Updates a chunk to its committed record, except for its bindings: the caller does that."""
+    """Updates a chunk to its committed record; the caller updates its bindings."""
     chunk.done = read_ranges(record.get("d", ()))
     chunk.last_attempts = {int(task): attempt for task, attempt in record.get("t", {}).items()}
     chunk.mod_revision = mod_revision
--- a/emberglade/jobs/write_budget.py
+++ b/emberglade/jobs/write_budget.py
@@ -6,7 +6,8 @@
 if TYPE_CHECKING:
     from ..config import Settings
 
-RATE_WINDOW_HEARTBEATS = 3  # time constant of the exponential moving average of the rate
+# Time constant of the exponential moving average of the rate, in agent heartbeat intervals.
+RATE_WINDOW_HEARTBEATS = 3
 
 
 class WriteBudget:
@@ -26,8 +27,8 @@
     def count_writes(self, now: float, count: int) -> float:
         """Counts keys written at `now`; returns the recent rate in keys per second."""
         window_s = RATE_WINDOW_HEARTBEATS * self._settings.agent_heartbeat_s
-        fade = math.exp((self._counted_at - now) / window_s)
-        self._recent_writes = self._recent_writes * fade + count
+        decay = math.exp((self._counted_at - now) / window_s)
+        self._recent_writes = self._recent_writes * decay + count
         self._counted_at = now
         return self._recent_writes / window_s
 
