--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -9,11 +9,11 @@
 
 
 class AgentRecord:
-    """A machine as its agent's newest message to this controller shows it.
+    """The status of a machine in its agent's newest message to this controller.
 
     Attributes:
-        heartbeat: That message.
-        tasks: Its tasks; None until they have been parsed.
+        heartbeat: The newest message.
+        tasks: The tasks in it; None until they have been parsed.
         heartbeat_at: When it arrived.
         contact_at: When this controller last received a message from the machine or answered it,
             and so may have renewed its lease.
@@ -65,7 +65,8 @@
     ) -> dict[str, tuple]:
         """{machine: its `machine_values`} for the machines that this controller reports to peers.
 
-        These are the machines that sent a heartbeat here within `within_s`, and older ones of which
+        These are the machines that sent a heartbeat here within `within_s`. A machine whose last
+        heartbeat here is older, but younger than FORGET_AFTER_LEASES leases, is included only if
         no controller has a newer message: agents move from controller to controller, and without
         this limit each controller would soon report all machines. `machines` restricts the result
         to these names.
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -56,7 +56,7 @@
 
 
 class EarlyChunks:
-    """Chunks received before their job's record, or of a layout that it does not name yet."""
+    """Chunks received before their job's record, or before the record names their layout."""
 
     def __init__(self) -> None:
         # job -> {(generation, number): (chunk, mod revision)}
@@ -207,7 +207,7 @@
     def _rebind(
         self, job_id: str, old: dict[int, list], new: dict[int, list], mod_revision: int
     ) -> None:
-        """Replaces a job's bound tasks `old` by `new`; the cost is that of the differences."""
+        """Replaces a job's bound tasks `old` by `new`; updates only the bindings that differ."""
         for task, row in old.items():
             new_row = new.get(task)
             if new_row != row:
--- a/emberglade/agents/cancelled_jobs.py
+++ b/emberglade/agents/cancelled_jobs.py
@@ -4,7 +4,8 @@
 
 from ..actors import Actor, ActorPart
 
-# After this delay, controllers that did not confirm the cancellation themselves halt the job too.
+# After this many heartbeat intervals, controllers that did not confirm the cancellation themselves
+# halt the job too.
 HALT_DELAY_HEARTBEATS = 3
 
 
--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -37,7 +37,7 @@
 
     Attributes:
         bindings: The bindings of all live jobs.
-        cancelled: The cancelled jobs among them.
+        cancelled: The cancelled jobs among the live ones.
         taints: The taints of machines.
         owners: {shard: controller}.
         machine_types: {name: MachineType}, from the catalog.
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -14,17 +14,18 @@
 
 log = logging.getLogger("emberglade.agents")
 
-# Answers that contain a heartbeat: the commands were executed, or rejected as outdated.
+# Statuses of answers that contain a heartbeat: the commands were executed, or rejected as outdated.
 ANSWERS_WITH_HEARTBEAT = (200, 409)
 
 
 class DirectCommands(AgentPart):
     """Starts newly bound tasks and stops preempted ones, for jobs that this controller owns.
 
-    The fencing token is the revision of the replica that shows the binding. Whatever ends the
-    binding is committed later and fenced with that later revision, or ends the agent epoch named
-    here; so however late a start arrives, it has no effect after either (docs/safety.md, 6). A stop
-    names an attempt that is never started again, so it does no harm at any time.
+    The fencing token is the revision of the replica that shows the binding. The binding ends either
+    by a later commit, which is fenced with its own, higher revision, or with the agent epoch that
+    the message names. After either, a delayed start has no effect, however late it arrives
+    (docs/safety.md, 6). A stop names an attempt that is never started again, so it does no harm at
+    any time.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         return halt_command(bindings, key, desired.attempt, desired.stop)
 
     def _send_to(self, machine: str, agent_epoch: int, commands: list[Command], now: float) -> None:
-        """Sends an agent those of the commands that it may receive now."""
+        """Sends an agent the commands that it may receive now, and drops the others."""
         last_seen = self.evidence.last_seen.get(machine)
         if last_seen is None:
             return
@@ -104,10 +105,12 @@
     def apply_answer(
         self, machine: str, status: int, body: Any
     ) -> tuple[AgentHeartbeat, dict[TaskKey, TaskStatus]] | None:
-        """Applies the heartbeat in an agent's answer if it is newer than the last one.
+        """Processes the heartbeat in an agent's answer.
+
+        Updates the machine's record if the heartbeat is newer, and notifies the owners of its jobs.
 
         Returns:
-            The heartbeat and its tasks; None if the answer contains none.
+            The heartbeat and its tasks; None if the answer contains no valid heartbeat.
         """
         if status not in ANSWERS_WITH_HEARTBEAT:
             return None
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -1,10 +1,10 @@
 """Halts of cancelled jobs' tasks, sent directly to their machines.
 
 A cancellation reaches a task in the next answer to its machine's heartbeat, if the controller that
-answers has seen it. A controller without contact with the store has not, and its machines keep
-using it. So the controller that confirms a cancellation to a user halts the tasks itself and
-notifies its peers, and every other controller that knows of the cancellation halts them some
-heartbeats later if the record still shows them (docs/safety.md, 8).
+answers has seen it. A controller without contact with the store may not have seen it while agents
+still send it their heartbeats. So the controller that confirms a cancellation to a user halts the
+tasks itself and notifies its peers. Every other controller that knows of the cancellation halts
+them HALT_DELAY_HEARTBEATS later if the job's record still shows them (docs/safety.md, 8).
 """
 
 from typing import Any, NamedTuple
@@ -19,7 +19,8 @@
 from .wire import peers as peer_wire
 from .wire.agents import EXITED, AgentHeartbeat, HaltTask, TaskKey, TaskStatus
 
-COMMANDS_REFUSED = 409  # the agent has seen a higher fencing token, or is in another agent epoch
+# HTTP status: the agent has seen a higher fencing token, or is in another agent epoch.
+COMMANDS_REFUSED = 409
 DESCRIPTORS_PER_HALT = 128  # one unanswered halt per this many file descriptors of the limit
 
 
@@ -132,8 +133,8 @@
     def _send_halts(self, machine: str, agent_epoch: int, addr: str, fencing_token: int) -> None:
         """Halts all of a machine's cancelled tasks in one message.
 
-        Its fencing token is at least the revision of the cancellation, so that no start from before
-        the cancellation is accepted afterwards, however late it arrives.
+        The message's fencing token is at least the revision of the cancellation, so that no start
+        from before the cancellation is accepted afterwards, however late it arrives.
         """
         commands = []
         for key, desired in self.committed.bindings.of_machine(machine).items():
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -121,7 +121,7 @@
         """Whether this controller's replica was recently at least as new as those of all peers.
 
         The limit allows for the timeout of a sync, because a peer that loses contact with the state
-        service may answer questions late by that time
+        service may answer questions late by that timeout
         (combined_faults/cancel_before_outage_timeouts.txt, seed 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
@@ -206,8 +206,8 @@
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
             # This controller's replica is as new as those of its peers, but a start needs a sync,
-            # which needs contact with the state service. For anything less than a start the agent
-            # is not redirected: if it can't reach the peer, its lease expires while it tries
+            # which needs contact with the state service. In all other cases here the agent is not
+            # redirected: if it can't reach the peer, its lease expires while it tries
             # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -1,4 +1,4 @@
-"""The machines that the job manager may place tasks on."""
+"""The machines that this controller knows, as it sends them to the job manager."""
 
 import logging
 from typing import Any
@@ -41,15 +41,15 @@
         self.routing = routing
         self.machines: dict[str, Machine] = {}
         self.notified_at = float("-inf")
-        self.update_due = False
+        self.update_scheduled = False
         self.new_machines: list[str] = []
         self.newly_unreachable: list[str] = []
         self.newly_reachable: list[str] = []
 
     def schedule_update(self) -> None:
         """Schedules an update for the job manager; changes until then are sent with it."""
-        if not self.update_due:
-            self.update_due = True
+        if not self.update_scheduled:
+            self.update_scheduled = True
             send_after(
                 self.settings.agent_heartbeat_s / MAX_UPDATES_PER_HEARTBEAT,
                 self.on_update_inventory,
@@ -57,7 +57,7 @@
 
     def on_update_inventory(self) -> None:
         """Handles `update_inventory`, from `schedule_update`: logs the changes and sends them."""
-        self.update_due = False
+        self.update_scheduled = False
         self._log_changes()
         self.notify_job_manager()
 
@@ -102,11 +102,11 @@
         self.notified_at = now
         send(self.job_manager.on_inventory, self.machines)
 
-    def _machine(self, name: str, last_seen: LastSeen, heard_recently: bool) -> Machine:
+    def _machine(self, name: str, last_seen: LastSeen, recently_in_contact: bool) -> Machine:
         """A machine as placement sees it: the same object as long as none of its fields change."""
         status = last_seen.status
         machine_type = self.committed.machine_types[status.type]
-        schedulable = heard_recently and not status.spot_notice and not status.unreachable
+        schedulable = recently_in_contact and not status.spot_notice and not status.unreachable
         previous = self.machines.get(name)
         if (
             previous is not None
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class LastSeen:
-    """A machine as the newest message that any controller received from it shows it.
+    """The status of a machine in the newest message that any controller received from it.
 
     Attributes:
         contact_at: When a controller last received a message from it or answered it, by the clock
@@ -35,13 +35,13 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """(agent epoch, sequence) of that message."""
+        """(agent epoch, sequence) of the newest message."""
         return self.status.agent_epoch, self.status.sequence
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMachineView:
-    """A peer's view of all machines.
+    """A peer's view of all machines, or of those that it was asked about.
 
     It was made after `asked_at` and before `received_at`, by the clock of this controller. The
     other fields are those of MachineView.
@@ -119,8 +119,8 @@
         # syncs that returned a higher revision than all before, the oldest first
         self.syncs: deque[Sync] = deque(maxlen=MAX_REMEMBERED_SYNCS)
         self.key_missing_since: dict[str, float] = {}  # peer -> since when its key is missing
-        # peer -> when it was asked the last question to which it stated a replica that is not newer
-        # than the one here
+        # peer -> when this controller asked the last question whose answer stated a replica that is
+        # not newer than the one here
         self.caught_up_at: dict[str, float] = {}
 
     # --- information from the sources
@@ -142,7 +142,11 @@
         body: Any,
         asked_about: frozenset[str] | None = None,
     ) -> bool:
-        """Adds a peer's answer about all machines or those asked about; False if malformed."""
+        """Adds a peer's answer about all machines, or about `asked_about` only.
+
+        Returns:
+            Whether the answer is well-formed.
+        """
         view = peer_wire.read_machine_view(body)
         if view is None:
             return False
@@ -161,12 +165,12 @@
     def add_table(
         self, peer: str, received_at: float, age_s: float, view: MachineView | None
     ) -> None:
-        """Adds the view in a peer's table, `age_s` old by the time of day.
+        """Adds the view in a peer's table, which is `age_s` old by the wall clocks.
 
         `view` is None if the table is malformed.
 
-        A table names the revision of the replica that it was made from. So it was made after the
-        last sync sent by this controller that still returned an older revision.
+        A table names the revision of the replica that it was made from. So it was made after this
+        controller sent its last sync that still returned an older revision.
         """
         if view is None or view.revision is None:
             return
@@ -184,7 +188,7 @@
     def last_sync_before(self, revision: int) -> float:
         """A moment before which no controller can have known this revision.
 
-        A sync sent at that moment still returned an older one.
+        A sync sent at that moment still returned an older revision.
         """
         return max((sync.sent_at for sync in self.syncs if sync.revision < revision), default=NEVER)
 
@@ -216,7 +220,7 @@
     # --- conclusions
 
     def caught_up_since(self) -> float:
-        """A moment up to which no peer had confirmed to users what the replica here lacks."""
+        """A moment up to which peers had confirmed to users only what the replica here shows."""
         return min(
             (self.caught_up_at.get(peer.name, NEVER) for peer in self.settings.peers),
             default=NEVER,
@@ -244,7 +248,7 @@
         Each controller states, from a replica that shows the taint, when it was last in contact
         with the machine. For a controller that can't be asked, it suffices that its own key is
         missing: if its replica shows this and the taint, it does not answer this machine; if its
-        replica is older, it answers no agent for longer than `max_staleness_s` (docs/safety.md, 7).
+        replica is older, it stops answering agents within `max_staleness_s` (docs/safety.md, 7).
         """
         lease_s = self.settings.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         last_answered, known_until = own_contact_at, now
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -39,7 +39,7 @@
         routing: Which controller an agent should send its heartbeats to.
         updates: Forwards task status updates to the owners of jobs.
         direct_commands, direct_halts: Commands sent without waiting for a heartbeat.
-        inventory: The machines that the job manager may place tasks on.
+        inventory: Sends the job manager the machines that this controller knows.
         peer_exchange, tables: Information about machines exchanged between controllers.
         liveness: Reports the machines' liveness to the leader.
         heartbeats: Answers agents' heartbeats.
@@ -96,7 +96,7 @@
         self.inventory.update_if_due()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: it is part of the tables' numbers."""
+        """Handles `identity(incarnation)` from the member; tables' numbers contain it."""
         super().on_identity(incarnation)
         self.tables.incarnation = incarnation
 
@@ -105,7 +105,10 @@
         self.evidence.note_sync(sent_at, revision)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
-        """Handles `changed(changes, revision, is_snapshot)` from the store: sends new commands."""
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
+
+        Applies the changes, delivers task updates, reads changed tables and sends new commands.
+        """
         committed = self.committed
         change = committed.apply(changes, revision, is_snapshot)
         for update in change.task_updates:
@@ -130,7 +133,7 @@
     def on_machine_question(
         self, question: MachineQuestion, reply: Callable[[int, dict], Any]
     ) -> None:
-        """Handles `machine_question(question, reply)`: a peer asks for its view of machines."""
+        """Handles `machine_question(question, reply)`: a peer's question about machines."""
         self.peer_exchange.answer_question(question, reply)
 
     def on_hear_cancellation(self, job_id: str, revision: int) -> None:
@@ -144,9 +147,9 @@
     # --- messages from other actors of this controller
 
     def on_confirm_cancellation(self, job_id: str) -> None:
-        """Handles `confirm_cancellation(job)` from the user API, which confirms it to a user.
+        """Handles `confirm_cancellation(job)` from the user API.
 
-        This controller's replica shows the cancellation.
+        The user API is confirming the cancellation to a user; this controller's replica shows it.
         """
         self.direct_halts.confirm(job_id)
 
@@ -168,7 +171,7 @@
         reply(self.committed.revision >= 0 and connected_peer is None)
 
     def on_ask_stop(self, update: TaskUpdate) -> None:
-        """Handles `ask_stop(update)` from the job manager: another controller owns the job."""
+        """Handles `ask_stop(update)` from the job manager: forwards it to the job's owner."""
         self.updates.forward(update)
 
     def on_ask_liveness(self, reply: Callable[..., Any], tainted_only: bool = False) -> None:
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -15,7 +15,9 @@
 log = logging.getLogger("emberglade.agents")
 
 MAX_MACHINES_PER_QUESTION = 1000  # keeps a question well below 64 KiB
-MAX_PROOF_INTERVAL_S = 1.0  # lost machines are asked about four times in this interval
+# Peers are asked about lost machines four times per heartbeat interval, or four times in this time
+# if that is shorter.
+MAX_PROOF_INTERVAL_S = 1.0
 
 
 class PeerExchange(AgentPart):
@@ -86,7 +88,10 @@
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks peers without an open question about these machines, or about all if None."""
+        """Asks peers about these machines, or about all if None.
+
+        Skips peers that have not answered a recent question yet.
+        """
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -122,7 +127,7 @@
             self._fetch_changes(name)
 
     def _fetch_changes(self, peer: str) -> None:
-        """Fetches committed changes from a peer that has more, if the store does not answer."""
+        """Fetches changes from a peer with a newer replica if no recent sync was answered."""
         revision = self.committed.revision
         contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -13,8 +13,8 @@
     """Detects unreachable machines, and when they receive answers again (docs/safety.md, 12).
 
     The lease of such a machine expires although its heartbeats are answered. No new tasks are
-    started on it. Our answers offer it a fencing token that it has not seen; once its heartbeats
-    show that token, it is known to receive our answers again.
+    started on it. The answers offer it a fencing token that it has not seen; once its heartbeats
+    show that token, it is known to receive answers again.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         """Marks a machine whose lease ended too early, or that was already known as unreachable.
 
         A lease has ended if the agent epoch rose. It ended too early if the last contact is so
-        recent that a machine that received our answers would still have its lease.
+        recent that a machine that received the answers would still have its lease.
         """
         lease_ended_early = (
             heartbeat.agent_epoch > last_seen.status.agent_epoch
--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -107,7 +107,7 @@
     def _stop_if_committed(
         self, result: Reconciliation, key: TaskKey, status: TaskStatus, desired: DesiredTask
     ) -> None:
-        """Handles a task that is bound to the machine and has not ended."""
+        """Halts a bound task that has not ended, if a stop of it is committed."""
         stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop == StopMode.KEEP:
             return
@@ -155,7 +155,10 @@
         may_start: bool,
         synced: bool,
     ) -> None:
-        """Handles a bound attempt that is not on the machine; `found` is another one there."""
+        """Handles a bound attempt that is not on the machine.
+
+        `found` is another attempt of the task on the machine, if there is one.
+        """
         stop, stop_revision = self.bindings.stop_of(key, desired)
         if stop != StopMode.KEEP:
             # Once the agent has this fencing token, it rejects a delayed start of the task.
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -9,7 +9,7 @@
 from .wire.agents import AgentHeartbeat
 
 REDIRECT_INTERVAL_LEASES = 4  # minimum time between redirects of a machine to its own zone
-# A controller with more than this multiple of an even share of all machines is sent no others.
+# No machine is redirected to a controller that has more than this multiple of an even share.
 MAX_SHARE_FACTOR = 3
 
 
@@ -45,7 +45,10 @@
         )
 
     def connected_peer(self, now: float) -> str | None:
-        """A peer that is in contact with the store; None if there is none or this controller is."""
+        """A peer in contact with the store.
+
+        None if there is none, or if this controller is itself in contact with the store.
+        """
         quarter_lease_s = self.settings.lease_s / 4
         if now - self.evidence.last_sync_sent_at < quarter_lease_s:
             return None
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -38,13 +38,13 @@
         self.job_manager = job_manager
         self.peers = peers
         self.outbox: dict[str, dict[UpdateKey, TaskUpdate]] = {}  # by controller
-        self.outbox_due = False
+        self.sending_scheduled = False
         # By controller: updates that could not be sent to it directly.
         self.undelivered: dict[str, dict[UpdateKey, TaskUpdate]] = {}
         self.wrote_updates = False
 
     def notify_owners(self, heartbeat: AgentHeartbeat, tasks: dict[TaskKey, TaskStatus]) -> bool:
-        """Forwards the updates that follow from a heartbeat; True if there are any."""
+        """Forwards the updates that follow from a heartbeat; returns whether there are any."""
         updates = [
             update
             for key, desired in self.committed.bindings.of_machine(heartbeat.machine).items()
@@ -93,14 +93,14 @@
             send(self.job_manager.on_task_update, update)
         elif node in self.peers:
             self.outbox.setdefault(node, {})[update.key] = update
-            if not self.outbox_due:
-                self.outbox_due = True
+            if not self.sending_scheduled:
+                self.sending_scheduled = True
                 delay_s = self.settings.agent_heartbeat_s / MAX_BATCHES_PER_HEARTBEAT
                 send_after(delay_s, self.on_send_updates)
 
     def on_send_updates(self) -> None:
         """Handles `send_updates`, from `forward`: sends each owner its updates in batches."""
-        self.outbox_due = False
+        self.sending_scheduled = False
         outbox, self.outbox = self.outbox, {}
         for node, by_key in outbox.items():
             updates = list(by_key.values())
@@ -119,12 +119,12 @@
         if status == 200:
             self.undelivered.pop(node, None)
             return
-        # Later heartbeats repeat updates that were not recorded, so only the latest are kept.
+        # Later heartbeats repeat updates that were not recorded, so the latest of each key suffice.
         undelivered = self.undelivered.setdefault(node, {})
         undelivered.update((update.key, update) for update in updates)
 
     def write_undelivered(self) -> None:
-        """Stores updates that could not be sent to their owners, up to the size of a value."""
+        """Stores the updates that could not be sent to jobs' owners, as many as fit one value."""
         undelivered, self.undelivered = self.undelivered, {}
         bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -64,8 +64,8 @@
     """One machine, as a controller's answer or table shows it.
 
     Attributes:
-        age_s: How long before making the answer or table that controller was last in contact with
-            the machine, in seconds.
+        age_s: Seconds from that controller's last contact with the machine until it made the answer
+            or table.
         unreachable: Its heartbeats arrive, but answers do not reach it.
     """
 
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -11,7 +11,7 @@
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
 OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
-UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not send to their owners
+UNDELIVERED_PREFIX = "f/"  # f/NODE: task updates that NODE could not send to the jobs' owners
 
 
 def overflow_owner(key: str) -> str:
@@ -25,7 +25,7 @@
 
 
 def undelivered_key(node: str) -> str:
-    """The key for a controller's updates that it could not send to their owners."""
+    """The key for the task updates that a controller could not send to the jobs' owners."""
     return UNDELIVERED_PREFIX + node
 
 
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -9,8 +9,8 @@
 
 from . import peers, records
 
-# The number of further values in a table without machines: as they never arrive, neither this
-# version nor the previous one considers the table a complete list of machines.
+# The number of further values stated in a table without machines. That many never arrive, so
+# neither this version nor the previous one considers the table a complete list of machines.
 NEVER_COMPLETE = 9999
 
 
@@ -144,7 +144,7 @@
         ),
     ]
     if len(values) != table["parts"] + 1:
-        # Other values have not arrived; their machines must not be treated as unknown to the node.
+        # Some values have not arrived; machines in them must not be treated as unknown to the node.
         return None
     view = peers.read_machine_view(
         {
--- a/emberglade/placement/__init__.py
+++ b/emberglade/placement/__init__.py
@@ -1,7 +1,7 @@
 """Placement: bin packing on free capacity, quotas, guarantees, preemption, demand.
 
-Pure functions and tables without messages: the job manager owns the tables and runs its placement
-rounds on them. They read a job's requirements from its `JobSpec` (`emberglade/jobs/job_spec.py`).
+Functions and data structures that send no messages: the job manager owns the data and runs its
+placement rounds on it. A job's requirements are in its `JobSpec` (`emberglade/jobs/job_spec.py`).
 """
 
 from .capacity import BoundTask, ClusterCapacity
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -1,4 +1,4 @@
-"""The cluster's capacity: what all bound tasks use, of machines and of teams' quotas.
+"""The cluster's capacity: what all bound tasks use of the machines and of the teams' quotas.
 
 It is updated task by task and never recomputed.
 """
@@ -38,7 +38,8 @@
     """What every bound task uses: per machine, per team.
 
     Bound tasks are counted only by `add` and `remove`. `reserve` and `release` change the same
-    amounts temporarily: whoever calls one must call the other with the same arguments later.
+    amounts temporarily: the caller must later undo each by calling the other with the same
+    arguments.
 
     Attributes:
         teams: The teams with their quotas and guarantees, by name.
@@ -77,24 +78,24 @@
         machine_type = machine.type
         free = Resources(machine_type.cpus, machine_type.gpus, machine_type.ram_gb)
         replicas = 0
-        for row in self.bound_tasks.get(name, {}).values():
-            free.reserve(row.job.spec)
-            replicas += row.job.spec.service
+        for bound_task in self.bound_tasks.get(name, {}).values():
+            free.reserve(bound_task.job.spec)
+            replicas += bound_task.job.spec.service
         self.zones[name] = machine.zone
         self.free[name] = free
         self.replicas[name] = replicas
 
     def add(self, job: "Job", task: int, binding: "Binding") -> None:
         """Counts a newly bound task."""
-        rows = self.bound_tasks.setdefault(binding.machine, {})
-        rows[(job.id, task)] = BoundTask(job, task, binding)
+        bound_tasks = self.bound_tasks.setdefault(binding.machine, {})
+        bound_tasks[(job.id, task)] = BoundTask(job, task, binding)
         self.reserve(job.spec, binding.machine)
 
     def remove(self, job: "Job", task: int, binding: "Binding") -> None:
         """Stops counting a task that was bound."""
-        rows = self.bound_tasks[binding.machine]
-        del rows[(job.id, task)]
-        if not rows:
+        bound_tasks = self.bound_tasks[binding.machine]
+        del bound_tasks[(job.id, task)]
+        if not bound_tasks:
             del self.bound_tasks[binding.machine]
             if binding.machine not in self.machines:
                 self.zones.pop(binding.machine, None)
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -1,7 +1,7 @@
 """Capacity reserved for job classes whose tasks must start sooner than a machine boots.
 
-In the Cackle paper, such tasks run in an elastic pool. Without such a pool, the tasks expected
-within a boot time are counted as demand in advance.
+In the Cackle paper, such tasks run in an elastic pool. This service has no such pool, so the tasks
+expected within a boot time are counted as demand in advance.
 """
 
 from collections.abc import Iterable
@@ -34,7 +34,7 @@
     machine_types: dict[str, MachineType],
     wall_time: float,
 ) -> list[ExpectedTasks]:
-    """The tasks expected within a boot time, for classes with a `wait` objective below it.
+    """The tasks expected within a boot time, for classes with a `wait` objective below that time.
 
     Tasks are counted by image, since free capacity on a machine that would have to fetch the image
     first does not help.
@@ -46,7 +46,7 @@
         wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
-        One row for each class and image of which tasks were submitted recently.
+        One entry for each class and image with recently submitted tasks.
     """
     boot_s = max((machine_type.boot_s for machine_type in machine_types.values()), default=0.0)
     urgent_classes = _urgent_classes(objectives, boot_s)
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -106,8 +106,8 @@
 ) -> dict[ZonePool, float]:
     """How many machines are missing for tasks that can run in one zone only.
 
-    `demand` does not distinguish zones: as long as machines were idle in other zones, the fleet
-    would never be scaled out for these tasks.
+    `demand` does not distinguish zones: without this count, the fleet would not be scaled out for
+    these tasks as long as machines are idle in other zones.
 
     Args:
         jobs: The jobs that are counted.
@@ -126,7 +126,9 @@
         if zone is None:
             continue
         missing = _tasks_without_capacity(spec, waiting, zone, capacity, usable)
-        of_zone = [row for row in machine_types.values() if zone in row.zones]
+        of_zone = [
+            machine_type for machine_type in machine_types.values() if zone in machine_type.zones
+        ]
         chosen = cheapest_type(spec, of_zone) if missing > 0 else None
         if chosen is not None:
             pool = ZonePool(chosen.name, spec.spot, zone)
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -81,7 +81,10 @@
     schedulable: bool
 
     def is_allowed_for(self, spec: "JobSpec") -> bool:
-        """Whether a job may use a machine of this kind, type and zone, ignoring its other tasks."""
+        """Whether a job may use a machine of this kind, type and zone.
+
+        Does not check rules that depend on the zones of the job's other tasks.
+        """
         return (
             (spec.spot or not self.spot)
             and (spec.allowed_types is None or self.type.name in spec.allowed_types)
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -67,8 +67,8 @@
 class PlacementRound:
     """One placement round on the cluster's capacity.
 
-    Its reservations and releases are undone when the round ends; tasks that really were bound are
-    counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
+    Its reservations and releases are undone when the round ends; tasks that were actually bound
+    are counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
 
     Attributes:
         capacity: What all bound tasks use, and this round's reservations.
@@ -177,9 +177,9 @@
         """The key by which the machines that fit are sorted, the best first."""
         capacity = self.capacity
         missing = spec.image_gb > 0 and not self.images.has(name, spec.image)
-        # Spot machines first for jobs that may use them, so that on-demand capacity stays free;
-        # and always the same order of machines, so that the last ones become idle and are scaled
-        # in.
+        # Jobs that may use spot machines prefer them, so that on-demand capacity stays free. The
+        # name comes last in the key: the order of machines is then always the same, so the last
+        # ones become idle and are scaled in.
         other_kind = capacity.machines[name].spot != spec.spot
         if spec.service:
             # Replicas run long and keep their machines from being scaled in, so they are placed on
--- a/emberglade/placement/preemption_rules.py
+++ b/emberglade/placement/preemption_rules.py
@@ -1,7 +1,8 @@
 """Guarantees, and which tasks may be preempted for which, under PROTOCOL's rules.
 
-A task may be stopped for one of a higher priority; a task of a team that exceeds its guarantee, of
-any priority, for a team within its own. No other task is stopped to free capacity.
+A task may be stopped for a task of a higher priority. Whatever its priority, a task of a team that
+exceeds its guarantee may also be stopped for a task of another team that stays within its own
+guarantee. No other task is stopped to free capacity.
 """
 
 from collections.abc import Iterable
@@ -17,7 +18,7 @@
 
 
 def guaranteed_jobs(jobs: "Iterable[Job]", teams: dict[str, "Team"]) -> set[str]:
-    """The ids of the jobs that fit into their team's guarantee together with its earlier jobs."""
+    """The ids of the jobs that fit into their team's guarantee with the team's earlier jobs."""
     usages: dict[str, TeamUsage] = {}
     guaranteed = set()
     for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
@@ -80,7 +81,7 @@
 class PreemptionRules:
     """Caches the results of `may_preempt` within one round, by the preemption classes of both jobs.
 
-    They are valid as long as no task is bound or unbound.
+    The results are valid as long as no task is bound or unbound.
     """
 
     def __init__(self, capacity: ClusterCapacity, teams: dict[str, "Team"]) -> None:
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -19,7 +19,7 @@
     from ..jobs.job_spec import JobSpec
 
 Victims = dict[str, list[BoundTask]]
-# Whether a task was bound so recently that its start does not count if it is stopped now.
+# Whether a task was bound so recently that it would not count as started if it were stopped now.
 IsRecentlyBound = Callable[[BoundTask], bool]
 
 
--- a/emberglade/placement/wire.py
+++ b/emberglade/placement/wire.py
@@ -17,7 +17,7 @@
 
 def write_machine_types(machine_types: dict[str, MachineType]) -> dict[str, Any]:
     """The value of the catalog's key."""
-    return {"types": [_write_machine_type(row) for row in machine_types.values()]}
+    return {"types": [_write_machine_type(machine_type) for machine_type in machine_types.values()]}
 
 
 def _read_machine_type(row: list[Any]) -> MachineType:
--- a/emberglade/placement/zones.py
+++ b/emberglade/placement/zones.py
@@ -28,7 +28,7 @@
 
     Args:
         spec: The job.
-        counts: How many of its tasks are in which zone.
+        counts: The number of its tasks in each zone, by zone.
         zone: The zone of the further task.
     """
     if spec.single_zone and counts and zone not in counts:
