--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -57,7 +57,7 @@
         self.updates = updates
         self.inventory = inventory
         self.reachability = Reachability(self.settings, self.committed, inventory)
-        # number of the wait for a sync -> the heartbeat that waits
+        # number, as passed to on_heartbeat_synced -> the heartbeat whose answer waits for that sync
         self.pending: dict[int, PendingAnswer] = {}
         self.pending_numbers = itertools.count(1)
 
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -2,8 +2,8 @@
 
 Part of the agent manager; receives no messages of its own. Information about a machine comes from
 three sources: its heartbeats to this controller, peers' answers to questions, and the tables that
-every controller writes to the store. The newest version (agent epoch, sequence) wins; anything that
-is not newer is a delayed duplicate and no evidence that the machine is alive.
+every controller writes to the store. The newest version (agent epoch, sequence) is kept; a
+heartbeat that is not newer is a delayed duplicate and no evidence that the machine is alive.
 """
 
 from collections import deque
--- a/emberglade/placement/zones.py
+++ b/emberglade/placement/zones.py
@@ -28,7 +28,7 @@
 
     Args:
         spec: The job.
-        counts: The number of its tasks in each zone, by zone.
+        counts: The number of its tasks by zone.
         zone: The zone of the further task.
     """
     if spec.single_zone and counts and zone not in counts:
