--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -68,8 +68,8 @@
     member: Member,
     peer_clients: Mapping[str, Any],
 ) -> "PeerMonitor":
-    """Creates the monitor of the other controllers, and subscribes the member to its view."""
-    from .failure_detection import (  # a start without failure detection saves this import
+    """Creates the monitor of the other controllers, and sets the planners of the member."""
+    from .failure_detection import (  # imported only if failure detection is on
         LeaderPlanner,
         PeerMonitor,
         ShardPlanner,
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -34,7 +34,8 @@
 
 START_DELAY_S = 0.5
 TICK_S = 1.0
-# The first cost round is early: at a start or after a failover no request for machines is pending.
+# Ticks until a new leader's first cost round is due, if rounds are longer. The leader does not wait
+# for a whole round: at a start or after a failover no request for machines is pending.
 FIRST_ROUND_TICKS = 3
 
 
@@ -46,7 +47,8 @@
 
     Attributes:
         is_loaded: Whether the replica has been read.
-        ticks: Seconds counted towards the next cost round.
+        ticks: Seconds as leader, from an initial value; a cost round is due at multiples of
+            `cost_round_s`.
     """
 
     def __init__(
@@ -102,8 +104,8 @@
 
     # --- the replica
 
-    def on_changed(self, events: list, revision: int, is_snapshot: bool) -> None:
-        """Handles `changed(events, revision, is_snapshot)` from the store.
+    def on_changed(self, changes: list, revision: int, is_snapshot: bool) -> None:
+        """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         Applies changes of taints, the leader's key, the catalog, the record format and the
         controllers' tables, and then begins or ends leadership as the leader's key states.
@@ -112,7 +114,7 @@
         if is_snapshot:
             self.leadership.owner = None
             self.taints.forget()
-        for key, data, mod_revision in events:
+        for key, data, mod_revision in changes:
             if key.startswith(TAINT_PREFIX):
                 self.taints.apply(key, data, mod_revision, self.now())
             elif key == LEADER_KEY:
--- a/emberglade/fleet/catalog.py
+++ b/emberglade/fleet/catalog.py
@@ -22,7 +22,8 @@
 
     Attributes:
         machine_types: {name: MachineType}; empty until a leader has stored a catalog.
-        last_request_at: When the cloud was last asked, by the monotonic clock.
+        last_request_at: When the catalog was last requested, by the monotonic clock; set back after
+            a failure, so that the next request is due earlier.
     """
 
     def __init__(self, actor: Actor, cloud: Client, leadership: Leadership) -> None:
@@ -49,7 +50,10 @@
         )
 
     def on_catalog(self, status: int, body: Any) -> None:
-        """Handles the cloud's answer: writes a changed catalog, or retries after RETRY_S."""
+        """Handles the cloud's answer: writes a changed catalog, or schedules a retry.
+
+        The retry is due after RETRY_S, or at the next tick if no catalog is committed yet.
+        """
         machine_types = wire.read_catalog(body) if status == HTTPStatus.OK else None
         if machine_types is None:
             log.info(
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-# Share of all replicas moved per second; as a move takes 1 to 2 s, 0.0005 of their time is lost.
+# Share of all replicas moved per second. A move takes 1 to 2 s: 0.0005 of their run time is lost.
 MOVED_SHARE_PER_S = 1 / 3000
 MAX_BUDGET_S = 60  # an unused budget accumulates for this long
 
@@ -60,7 +60,7 @@
         self.move_budget = 0.0
 
     def consolidate(self, machine_type: str) -> None:
-        """Requests a candidate to empty from the job manager, if a type has surplus machines.
+        """Asks the job manager for a machine to empty, if a type has surplus machines.
 
         Idle machines are removed first, as that moves no replica. No machine is emptied before this
         controller has been leader for a boot time, so that requested machines have had time to
--- a/emberglade/fleet/cost_round.py
+++ b/emberglade/fleet/cost_round.py
@@ -26,10 +26,11 @@
 log = logging.getLogger("emberglade.fleet")
 
 
-def requests_per_round(settings: Settings, operators: Operators) -> int:
-    """The number of requests of one kind that a cost round may send to the cloud.
+def cloud_request_limit(settings: Settings, operators: Operators) -> int:
+    """The maximum number of requests to the cloud per scale-out call and per scale-in review.
 
-    A third of the requests that the cloud's rate limit allows per round, and at least one per zone.
+    It is a third of the requests that the cloud's rate limit allows per cost round, but at least
+    one per zone.
     """
     third_of_rate = settings.cloud_rps * operators.cost_round_s / 3
     return max(len(settings.zones), int(third_of_rate))
@@ -55,10 +56,20 @@
         self.machines = machines
         self.catalog = catalog
         self.demand = demand
-        requests = requests_per_round(settings, operators)
-        self.scale_out = ScaleOut(actor, settings, operators, cloud, leadership, machines, requests)
+        max_requests = cloud_request_limit(settings, operators)
+        self.scale_out = ScaleOut(
+            actor, settings, operators, cloud, leadership, machines, max_requests
+        )
         self.scale_in = ScaleIn(
-            actor, settings, operators, cloud, leadership, machines, catalog, taint_writer, requests
+            actor,
+            settings,
+            operators,
+            cloud,
+            leadership,
+            machines,
+            catalog,
+            taint_writer,
+            max_requests,
         )
         self.consolidation = Consolidation(
             actor, operators, job_manager, leadership, machines, catalog, demand, taint_writer
--- a/emberglade/fleet/demand.py
+++ b/emberglade/fleet/demand.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-# A new leader starts without weights and history, so its targets are bounded for some time.
+# A new leader starts without weights and history, so its targets are bounded during this time.
 NEW_LEADER_LIMIT_S = 300
 NEW_LEADER_MAX_DEMAND_RATIO = 2  # a target is at most this multiple of the demand
 
--- a/emberglade/fleet/leadership.py
+++ b/emberglade/fleet/leadership.py
@@ -17,7 +17,8 @@
     Attributes:
         owner: The owner of the leader's key; None if there is no owner.
         is_leader: Whether this controller acts as leader, according to its replica. A process whose
-            lease has expired acts until the replica shows it; its writes fail meanwhile.
+            lease has expired acts as leader until its replica shows that; its writes fail
+            meanwhile.
         since: When this controller became leader, by its monotonic clock.
     """
 
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -13,12 +13,11 @@
 from .taint_writer import TaintWriter
 
 REQUEST_TIMEOUT_S = 3.0
-# A list can be older than the previous one, so a machine has to be missing in consecutive lists.
+# A list can be older than the previous one, so one list without a machine does not prove that it
+# is gone.
 MAX_MISSED_LISTS = 3
-# In multiples of `list_lag_s`: how long lists may lack a machine that was scaled out, and how long
-# they may still show one that was scaled in.
-MAX_UNLISTED_LAGS = 10
-STALE_LISTING_LAGS = 20
+MAX_UNLISTED_LAGS = 10  # multiples of `list_lag_s` that lists may lack a requested machine
+STALE_LISTING_LAGS = 20  # multiples of `list_lag_s` that lists may show a scaled-in machine
 
 STARTING = MachineState.STARTING
 
@@ -121,10 +120,11 @@
             machine.state = row.state
 
     def _forget_missing(self, listed_names: set[str], now: float) -> None:
-        """Removes machines that are missing in the list.
+        """Removes the records of machines that are missing in the list.
 
-        The cloud lists a machine until it is gone, so one that was listed is removed after several
-        lists without it; one that was never listed, only after the longest lag.
+        The cloud lists a machine until it is gone. A machine that was listed is removed after more
+        than MAX_MISSED_LISTS consecutive lists without it. Any machine, listed or not, is removed
+        at the first list without it that is applied later than MAX_UNLISTED_LAGS after its request.
         """
         max_unlisted_s = MAX_UNLISTED_LAGS * self.settings.list_lag_s
         for machine in list(self.machines.by_name.values()):
@@ -137,14 +137,14 @@
                 del self.machines.by_name[machine.name]
 
     def _forget_scaled_in(self, now: float) -> None:
-        """Removes machines that were scaled in so long ago that no stale list can show them."""
+        """Removes entries of machines scaled in so long ago that no stale list can show them."""
         stale_listing_s = STALE_LISTING_LAGS * self.settings.list_lag_s
         scaled_in_at = self.machines.scaled_in_at
         for name in [name for name, at in scaled_in_at.items() if now - at > stale_listing_s]:
             del scaled_in_at[name]
 
     def _obsolete_gone_taints(self, listed_names: set[str]) -> list[str]:
-        """Machines tainted as gone whose taints can be removed, as nothing refers to them."""
+        """The machines tainted as gone that nothing refers to, so that the taint can be removed."""
         return [
             name
             for name, taint in self.taints.items()
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -55,8 +55,8 @@
     def on_watch(self) -> None:
         """Handles `watch`, sent to itself several times per heartbeat interval.
 
-        Polls more often than the tick while tasks on lost machines wait until it is proven that the
-        machines' leases have expired.
+        While tasks are bound to lost machines, requests their liveness more often than once per
+        tick: the tasks may move as soon as the machines' leases are proven to have expired.
         """
         send_after(self.settings.agent_heartbeat_s / CHECKS_PER_HEARTBEAT, self.on_watch)
         if self.leadership.is_leader and self._has_tasks_on_lost_machines():
@@ -83,9 +83,10 @@
         for name, liveness in liveness_of.items():
             taint = self.taints.get(name)
             if taint is None:
-                last_heartbeat_at, _, unreachable, _ = liveness  # runs for thousands each second
+                # Unpacked for speed: this runs for thousands of machines each second.
+                contact_at, _, unreachable, _ = liveness
                 if unreachable or (
-                    now - last_heartbeat_at > lost_after_s and name in self.machines.occupied
+                    now - contact_at > lost_after_s and name in self.machines.occupied
                 ):
                     lost.append(name)
                 continue
@@ -113,12 +114,12 @@
         """Updates last heartbeat, state and reachability in the leader's machine records."""
         lease_s = self.settings.lease_s
         running = MachineState.RUNNING
-        for name, (last_heartbeat_at, _, unreachable, _) in liveness_of.items():
+        for name, (contact_at, _, unreachable, _) in liveness_of.items():
             machine = self.machines.by_name.get(name)
             if machine is None:
                 continue
-            if last_heartbeat_at > machine.last_heartbeat_at and now - last_heartbeat_at < lease_s:
-                machine.last_heartbeat_at = last_heartbeat_at
+            if contact_at > machine.last_heartbeat_at and now - contact_at < lease_s:
+                machine.last_heartbeat_at = contact_at
                 machine.state = running
             if not unreachable:
                 machine.unreachable_since = None
@@ -138,8 +139,8 @@
         since_heartbeat_s = now - liveness.contact_at
         occupied = name in self.machines.occupied
         alive_within_s = ALIVE_WITHIN_HEARTBEATS * self.settings.agent_heartbeat_s
-        # Without any heartbeat, the time of the last one is this process's start. A new leader must
-        # not treat that as evidence that machines behind a network partition are alive
+        # If no heartbeat has been received, `contact_at` is the start of this process. A new leader
+        # must not treat that as evidence that machines behind a network partition are alive
         # (fleet/taint_kept_by_new_leader.txt).
         if (
             liveness.heartbeat_received
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -5,7 +5,7 @@
 from .states import MachineState
 from .taints import Taints
 
-NEVER = 0.0  # a time stamp: it has not happened yet
+NEVER = 0.0  # timestamp of an event that has not happened yet
 MAX_NAMES_LOGGED = 8
 
 
@@ -29,8 +29,8 @@
     was_listed: bool = False  # whether any list of the cloud has contained it
     missed_lists: int = 0  # consecutive lists without it
     last_heartbeat_at: float = NEVER  # received by any controller
-    idle_since: float | None = None
-    unreachable_since: float | None = None  # heartbeats arrive, answers don't reach it
+    idle_since: float | None = None  # None while it boots or tasks are bound to it
+    unreachable_since: float | None = None  # since when answers to its heartbeats don't reach it
 
     @property
     def has_sent_heartbeat(self) -> bool:
@@ -48,7 +48,7 @@
 
     Attributes:
         taints: The taints as committed.
-        by_name: The machines that exist or boot, including those being scaled in.
+        by_name: {name: record} of all machines, including those being scaled in.
         occupied: Names of the machines that tasks are bound to.
         scaling_in: Names of the machines whose scale-in the cloud has not answered yet.
         scaled_in_at: {machine: when the cloud confirmed its scale-in}; lists may still show it.
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -20,8 +20,8 @@
 log = logging.getLogger("emberglade.fleet")
 
 REQUEST_TIMEOUT_S = 4.0
-MAX_BOOT_TIMES = 3  # boot times of its type without a heartbeat until a machine is drained
-DRAIN_AFTER_LEASES = 6  # lease durations without a heartbeat until a machine is drained
+MAX_BOOT_TIMES = 3  # boot times of its type until a machine without any heartbeat is drained
+DRAIN_AFTER_LEASES = 6  # lease durations since the last heartbeat until a machine is drained
 REPLACE_AFTER_LEASES = 4  # lease durations until a lost or unreachable machine is replaced
 
 
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -110,8 +110,8 @@
         """Requests machines for tasks that can run in one zone only and find no capacity there.
 
         The targets alone don't suffice: with enough machines, but all in other zones, such tasks
-        wait indefinitely (combined_faults/zone_bound_jobs.txt). Status tables are some seconds old,
-        so only a shortage that is found in two consecutive rounds leads to requests.
+        wait indefinitely (combined_faults/zone_bound_jobs.txt). The controllers' tables are some
+        seconds old, so only a shortage that is found in two consecutive rounds leads to requests.
 
         Args:
             machine_type: The machine type.
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -8,10 +8,11 @@
 from .states import Taint
 from .taints import KeyTaints, Taints
 
-HOME_KEY_COUNT = 4  # few keys mean few writes; a value holds some hundred taints
+HOME_KEY_COUNT = 4  # few keys mean few writes; a value holds hundreds of taints
 VALUE_OVERHEAD_BYTES = 2  # the braces
 ROW_OVERHEAD_BYTES = 6  # quotes, colon and comma of a machine's taint
-# All values in one transaction: PROTOCOL's 64 KiB, less conditions and names of keys and fields.
+# Maximum size of all values in one transaction: PROTOCOL's 64 KiB, less conditions and names of
+# keys and fields.
 MAX_CHANGE_BYTES = 48 * 1024
 
 
@@ -130,7 +131,7 @@
             full_key: A key known to be full.
 
         Returns:
-            The key; None if the transaction would write too many keys.
+            The key; None if the taint fits in no key that the transaction may write.
         """
         needed_bytes = row_bytes(machine, taint or "")
         for key in [home_key(machine), *self._overflow_keys()]:
@@ -157,13 +158,16 @@
             self._add_row(target, machine, taint)
 
     def _include(self, key: str) -> bool:
-        """Adds the key to those to be written, if the limits allow it; True if it is among them."""
+        """Adds the key to those to be written, if the limits allow it.
+
+        Returns whether the key is among them now.
+        """
         if key in self.rows:
             return True
         rows = dict(self.taints.key_taints(key).taints)
         size = value_bytes(rows.items())
         limit = self.limits.value_bytes
-        overflow_keys = size // limit if size > limit else 0  # that `shrink` moves taints to
+        overflow_keys = size // limit if size > limit else 0  # for the taints that `shrink` moves
         if len(self.rows) + self.reserved_keys + 1 + overflow_keys > self.limits.keys:
             return False
         free = MAX_CHANGE_BYTES - sum(self.sizes.values()) - self.reserved_keys * limit
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -50,7 +50,8 @@
         """Sets the taint of machines; None removes it.
 
         Each machine has at most one change at a time, so that every change is decided on its
-        committed taint. Only GONE, which is proof, replaces a pending change.
+        committed taint. Only GONE, the proof that nothing runs there, replaces a change that is
+        pending; no change is queued for a machine with one in flight.
         """
         replaces = taint == Taint.GONE
         self.pending.update(
@@ -61,7 +62,7 @@
         self._write()
 
     def _write(self) -> None:
-        """Writes as many pending changes as fit in one transaction, as a key holds many taints."""
+        """Writes as many pending changes as fit in one transaction, unless one is in progress."""
         if self.in_flight or not self.pending or not self.leadership.is_leader:
             return
         limits = ChangeLimits(self.settings.value_bytes, self.settings.txn_ops, self.format_raised)
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -3,7 +3,9 @@
 The previous version reads and rewrites records of format 1 only. Each controller of this version
 writes a reader key, which states that its process also reads format 2. Once the live process of
 every configured controller has done so, one transaction raises the format permanently. It is
-conditional on all reader keys, so it fails if a controller returns to the previous version first.
+conditional on all reader keys and, where the limit on conditions allows it, on all node keys. With
+the node keys it fails if a controller returns to the previous version first, since the new process
+writes a new node key.
 """
 
 import logging
@@ -22,7 +24,7 @@
 
 NEW_FORMAT = 2  # adds jobs with dependencies, and changes the layout of a job's parts
 TICK_S = 0.5
-CONDITIONS_PER_WRITE = 4  # a transaction may have this many conditions per allowed write
+CONDITIONS_PER_WRITE = 4  # ratio of a transaction's limit on conditions to that on writes
 
 
 class RecordError(ValueError):
@@ -42,7 +44,7 @@
 
 
 class FormatUpgrade(ReplicaSubscriber):
-    """States that this controller reads the new format, and raises the cluster's when all do.
+    """Announces that this controller reads the new format; raises the format when all read it.
 
     Attributes:
         raised: Whether the cluster uses the new format.
@@ -87,7 +89,7 @@
 
     @staticmethod
     def _apply(keys: dict[str, ProcessKey], node: str, change: Change) -> None:
-        """Applies a change of a controller's key to `keys`, all keys of that kind."""
+        """Applies a change of one controller's node key or reader key to `keys`."""
         if change.data is None:
             keys.pop(node, None)
         elif not isinstance(change.data, dict):
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger("emberglade.membership")
 
-NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease to a controller's
+NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease duration to a controller's
 MIN_TTL_S = 0.1
 RENEWALS_PER_TTL = 3
 RETRY_S = 0.5  # delay before a lease that was not granted is requested again
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -65,7 +65,10 @@
         self.node_key.set_table(table, overflow)
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every TICK_S: rewrites a missing key, takes shards."""
+        """Handles `tick`, sent to itself every TICK_S.
+
+        Rewrites a missing or stale node key, and takes shards and leadership where needed.
+        """
         send_after(TICK_S, self.on_tick)
         if self.settings.node not in self.ownership.nodes and self.lease.id is not None:
             self.node_key.is_stale = True
@@ -91,4 +94,4 @@
         self.ownership.set_view(view)
 
     def on_peer_dead(self, name: str) -> None:
-        """Handles `peer_dead(name)` from the peer monitor; the last view already shows it."""
+        """Ignores `peer_dead(name)` from the peer monitor, as the last view already shows it."""
--- a/emberglade/membership/node_key.py
+++ b/emberglade/membership/node_key.py
@@ -63,9 +63,10 @@
         self.write_if_stale()
 
     def write_if_stale(self) -> None:
-        """Writes the key with its table, and the first overflow values, if they changed.
+        """Writes the key with its table, and the first overflow values, if the key is stale.
 
-        Keys of overflow values that are no longer needed are removed first.
+        If keys of overflow values are no longer needed, this transaction removes them instead of
+        writing overflow values, and the next one writes the first of these.
         """
         if self._is_writing or self.lease.id is None or not self.is_stale:
             return
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -62,7 +62,8 @@
         self.nodes: dict[str, int | None] = {}
         self.shards: dict[int, Owner] = {}
         self.leader: Owner | None = None
-        # Set if failure detection is on; the view, when the peer monitor sends its first one.
+        # Without failure detection, planners and view stay None. With it, the planners are set
+        # before the start, and the view when the peer monitor sends its first one.
         self._shard_planner: ShardPlanner | None = None
         self._leader_planner: LeaderPlanner | None = None
         self._view: LivenessView | None = None
@@ -87,7 +88,8 @@
         self._is_loaded = True
         if is_snapshot:
             self.nodes, self.shards, self.leader = {}, {}, None
-        # A list, as every change has to be applied, also after the first relevant one.
+        # A list instead of `any()`, which would stop at the first relevant change and not apply
+        # the changes after it.
         relevant = [change for change in changes if self._apply_change(change)]
         changed = ownership_revision(changes, revision, is_snapshot)
         if changed is not None:
@@ -96,7 +98,7 @@
             self.acquire()
 
     def _apply_change(self, change: Change) -> bool:
-        """Applies a change of a node, shard or leader key; False for other keys."""
+        """Applies a change of a node, shard or leader key; returns False for other keys."""
         key, record, mod_revision = change
         if key.startswith(wire.NODE_PREFIX):
             self._apply_node(key[len(wire.NODE_PREFIX) :], record)
@@ -123,7 +125,7 @@
     # --- what to take
 
     def desired_owner(self, shard: int) -> str | None:
-        """The controller that should own the shard: its home, or else one of the live ones."""
+        """The shard's home controller if that has a node key, or else another one that has."""
         names = self.settings.names
         home = names[shard % len(names)]
         if home in self.nodes:
@@ -184,8 +186,8 @@
             return False
         if self._shard_planner is None:
             return True
-        # With an outdated view, a controller that regains contact after a long time takes all
-        # shards as soon as its replica shows their owners
+        # Without this check, a controller that regains contact after a long time takes all shards
+        # as soon as its replica shows their owners, because its view is outdated
         # (failure_detection/late_first_contact.txt).
         return self._view is not None and self._view.revision >= self._revision
 
--- a/emberglade/membership/wire.py
+++ b/emberglade/membership/wire.py
@@ -1,6 +1,8 @@
-"""Keys and records of membership in the store, which other modules access through this one.
+"""Keys and records of membership in the store.
 
-Keys are without LIVE_PREFIX, as in the replica. Records are JSON objects.
+Keys are without LIVE_PREFIX, as in the replica. Records are JSON objects. Other packages read the
+contents of tables, overflow values and shard records with functions of their own
+(`fleet/wire.py`, `agents/wire`).
 """
 
 from collections.abc import Mapping
@@ -79,5 +81,5 @@
 
 
 def read_format(record: Record) -> int:
-    """The format in the record of FORMAT_KEY; 1 by default."""
+    """The format in the record of FORMAT_KEY; 1 if the record does not state one."""
     return record.get("format", 1)
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -78,7 +78,7 @@
         send_inline(self.peer_monitor.probing.on_ping, data, reply)
 
     def _probe(self, data: Any, reply: Reply) -> None:
-        """Answers whether this controller can reach a third one."""
+        """Answers whether this controller can reach a third controller."""
         assert self.peer_monitor is not None
         send_inline(self.peer_monitor.probing.on_probe, data, reply)
 
@@ -92,7 +92,7 @@
         reply(200, {})
 
     def _replica_changes(self, data: Any, reply: Reply) -> None:
-        """Answers with the changes after the replica revision of a peer without state service."""
+        """Answers with the changes that the replica of a peer without state service lacks."""
         since = read_changes_request(data)
         if since is None:
             reply_no_such_path(reply)
@@ -100,7 +100,7 @@
         send_inline(self.store.on_changes_for_peer, since, reply)
 
     def _cancellation(self, data: Any, reply: Reply) -> None:
-        """Accepts a peer's notification that a cancellation is committed."""
+        """Accepts a peer's notification that the cancellation of a job is committed."""
         cancellation = read_cancellation(data)
         if cancellation is None:
             reply_no_such_path(reply)
--- a/emberglade/sizing/experts.py
+++ b/emberglade/sizing/experts.py
@@ -7,7 +7,7 @@
 PERCENTILES = range(1, 101)  # each with the multiplier 1
 MULTIPLIED_PERCENTILE = 80  # combined with each of the multipliers below
 MULTIPLIERS = (1.1, 1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0, 5.0, 7.0, 10.0, 15.0, 20.0)
-ROUNDING_TOLERANCE = 1e-9  # floating-point sums are not exact
+ROUNDING_TOLERANCE = 1e-9  # in machines; floating-point sums are not exact
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,10 @@
 
 
 def nearest_rank(ordered: Sequence[int], percent: float) -> int:
-    """The nearest-rank percentile: the smallest value that `percent` % of all don't exceed."""
+    """The nearest-rank percentile of values in ascending order.
+
+    That is the smallest value that at least `percent` % of the values do not exceed.
+    """
     return ordered[max(0, math.ceil(percent / 100 * len(ordered)) - 1)]
 
 
--- a/emberglade/sizing/sizer.py
+++ b/emberglade/sizing/sizer.py
@@ -12,8 +12,8 @@
 
 from .experts import Expert, whole_machines
 
-# The machines of a round were requested for a target drawn a boot time earlier, so old targets are
-# kept.
+# Cost rounds whose targets are kept. A round's cost is computed from the targets of a boot time
+# earlier, as its machines were requested then.
 MAX_TARGET_ROUNDS = 64
 
 
