--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -26,7 +26,7 @@
 SendInline = Callable[[Handler, tuple[Any, ...]], None]  # send_inline(handler, arguments)
 
 HANDLER_PREFIX = "on_"
-IMMEDIATE = 0.0  # in place of a due time: the message is handled in the order of sending
+IMMEDIATE = 0.0  # due time of messages that are handled in the order of sending, without delay
 
 
 class ActorSystem(Protocol):
@@ -122,13 +122,13 @@
 
 
 def callback(handler: Handler, *context: Any) -> Callable[..., None]:
-    """A callable that sends its arguments to `handler`, after those of `context`."""
+    """Returns a callable that sends `handler` the `context` followed by its own arguments."""
     post = _receiver(handler)._post
     return lambda *result: post(0.0, handler, context + result)
 
 
 def callback_inline(handler: Handler, *context: Any) -> Callable[..., None]:
-    """Like `callback`, with `send_inline`."""
+    """Like `callback`, but the callable uses `send_inline`."""
     return lambda *result: send_inline(handler, *context, *result)
 
 
@@ -266,8 +266,8 @@
     def spawn(self, actors: Iterable[tuple[Actor, str]]) -> None:
         """Starts actors, given as (actor, name); all have a mailbox before the first one starts.
 
-        Otherwise a process that gets its lease at once may send its identity to actors that have no
-        mailbox yet, and those never receive it (actors/message_before_begin.txt).
+        Without this order, a process that gets its lease at once may send its identity to actors
+        that have no mailbox yet, and those never receive it (actors/message_before_begin.txt).
         """
         threads = [self._prepare(actor, name) for actor, name in actors]
         for thread in threads:
@@ -281,12 +281,15 @@
         return thread
 
     def take_account(self) -> dict[str, dict[str, list[float]]]:
-        """{actor: {message: [seconds, count]}} since the last call, time blocked included."""
+        """The usage since the last call, as {actor: {message: [seconds, count]}}.
+
+        The seconds include the time that handlers were blocked.
+        """
         return {name: self._take_usage(thread) for name, thread in self._threads.items()}
 
     @staticmethod
     def _take_usage(thread: ActorThread) -> dict[str, list[float]]:
-        """{message: [seconds, count]} of one actor since the last call."""
+        """The usage of one actor since the last call, as {message: [seconds, count]}."""
         # Iterate over a copy, because the actor's thread may add handlers at the same time.
         taken = {
             _message_name(handler_name): [usage.seconds, usage.count]
--- a/emberglade/failure_detection/arrivals.py
+++ b/emberglade/failure_detection/arrivals.py
@@ -37,7 +37,7 @@
 
 
 def normal_quantile_of_phi(phi: float) -> float:
-    """Standard deviations above the mean that a normal variable exceeds with probability 10^-phi.
+    """The value that a standard normal variable exceeds with probability 10^-phi.
 
     Solves an approximation of the tail, Q(x) = exp(-x*x/2) / (x*sqrt(2*pi)), by iteration. The
     result is within 2 % for phi >= 1.
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -11,8 +11,9 @@
     from ..config import Operators, Settings
 
 MAX_PHI = 16.0
-# A controller's lease at the state service is a third of an agent's and is renewed every third of
-# its length: when it expires, the last renewal is at least two thirds of that length ago.
+# `serves_without_key_s` as a share of an agent's lease. A controller's lease at the state service
+# is 1/3 of an agent's and is renewed every third of its length. When it expires, the last renewal
+# is at least 2/3 of its length ago, which is 2/9 of an agent's lease.
 SERVES_WITHOUT_KEY_LEASES = 2 / 9
 FAILBACK_DOUBLINGS = 6  # outages double a controller's failback delay at most this many times
 
@@ -27,8 +28,9 @@
         confirm_s: Time without a heartbeat after which a peer whose key has expired may be
             declared dead.
         suspect_phi: The suspicion level (phi) from which on a peer is suspected.
-        serves_without_key_s: Maximum age of a peer's contact with the state service at which it
-            counts as serving although its key is missing.
+        serves_without_key_s: A peer whose key is missing counts as serving only if its last
+            contact with the state service was less than this long before it was last known to be
+            alive.
         skew_s: Maximum difference between the wall clock of any machine and the true time.
     """
 
@@ -62,7 +64,7 @@
         _refuse_contradiction(operators, suspect_s, confirm_s)
     return DetectionBounds(
         heartbeat_s=heartbeat_s,
-        # With very short leases the defaults contradict each other; the smaller one applies.
+        # With very short leases the defaults contradict each other; then the smaller bound applies.
         suspect_s=min(suspect_s, confirm_s),
         confirm_s=confirm_s,
         suspect_phi=operators.suspect_phi,
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -29,7 +29,7 @@
         # than with keys alone (failure_detection/majority_lost.txt).
         return "refuses connections, and its key has expired"
     if not relays:
-        # No relay can be asked, so the only further evidence is that of the state service.
+        # No relay can be asked, so only the state service can provide further evidence.
         if key_expired and peer.time_since_alive_s(now) >= peer.bounds.confirm_s:
             return "sends no heartbeats, and its key has expired"
         return None
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -22,9 +22,12 @@
 from .relays import choose_relays
 from .view import IndirectProbe, LivenessView, Transition, TurnResult
 
-# Heartbeat intervals after the start in which peers report this controller's failback delay.
+# Heartbeat intervals after the start in which this controller takes no home shards back, because
+# the heartbeats of peers must first report its failback delay.
 FAILBACK_GRACE_INTERVALS = 2
-RECENT_CONTACT_INTERVALS = 2  # maximum age of this controller's contact with the state service
+# Heartbeat intervals since this controller's last contact with the state service within which a key
+# that is missing from the replica counts as expired.
+RECENT_CONTACT_INTERVALS = 2
 
 
 class PeerDetector:
@@ -32,7 +35,7 @@
 
     Attributes:
         peers: The record of each other controller, by name.
-        health: Whether this controller is itself slow.
+        health: Tracks whether this controller itself is slow.
         store_contact_at: When this controller last had contact with the state service.
     """
 
@@ -48,12 +51,12 @@
         self.peers = {name: Peer(name, bounds) for name in peer_names}
         self.health = LocalHealth(bounds.heartbeat_s)
         self.store_contact_at = NEVER
-        self._began_at = NEVER
+        self._began_at = NEVER  # when the startup period began
         self._failback_at = NEVER  # from when on this controller may take its home shards back
         self._new_transitions: list[Transition] = []  # since the last turn
 
     def start(self, now: float) -> None:
-        """Notes the start of this process."""
+        """Starts the startup period, and the time in which no home shards are taken back."""
         self._began_at = now
         grace_s = FAILBACK_GRACE_INTERVALS * self.bounds.heartbeat_s
         self._failback_at = max(self._failback_at, now + grace_s)
@@ -75,11 +78,15 @@
         return self.peers[name]
 
     def receive_heartbeat(self, heartbeat: Heartbeat, now: float, wall_time: float) -> bool:
-        """Applies a heartbeat received from its sender; False if it is duplicate or out of order.
+        """Applies a heartbeat received from its sender.
+
+        Returns:
+            False if the heartbeat was ignored, because it is a duplicate, arrived out of order or
+            is from a previous process of the sender.
 
         Raises:
-            MalformedPeerMessageError: The sender is unknown, or its time of sending is in the
-                future.
+            MalformedPeerMessageError: The sender is unknown, or the heartbeat's time of sending is
+                too far ahead of this controller's wall clock.
         """
         peer = self.peer(heartbeat.sender)
         self._check_clock(heartbeat, wall_time)
@@ -143,7 +150,7 @@
             self._set_state(peer, PeerState.ALIVE, reason)
 
     def note_key(self, name: str, lease: int | None) -> None:
-        """Notes the lease of a controller's key in the replica; None if the key is missing."""
+        """Notes the lease of a peer's node key; `lease` is None if the key is missing."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -155,7 +162,8 @@
             and peer.version is not None
             and lease != peer.version.incarnation.lease
         ):
-            # A new process, whose heartbeats have not arrived yet or which sends none.
+            # The key belongs to a new process, which sends no heartbeats or whose first one has not
+            # arrived yet.
             peer.begin_incarnation()
             self._set_state(peer, PeerState.UNKNOWN, "its key belongs to another process")
 
@@ -222,7 +230,10 @@
         return [peer for peer in self.peers.values() if peer.state is PeerState.SUSPECTED]
 
     def _is_isolated(self) -> bool:
-        """Whether most known peers are suspected: this controller may be the isolated one."""
+        """Whether at least two peers are suspected, and more are suspected than alive.
+
+        The cause may then be that this controller itself is isolated.
+        """
         states = [peer.state for peer in self.peers.values()]
         suspected = states.count(PeerState.SUSPECTED)
         return suspected >= 2 and 2 * suspected > suspected + states.count(PeerState.ALIVE)
@@ -282,7 +293,10 @@
         )
 
     def _serving(self, now: float) -> frozenset[str]:
-        """The controllers that can commit, this one included; notes each peer's result."""
+        """The controllers that can commit, this one included.
+
+        Also records for each peer when it stops or starts serving.
+        """
         startup_complete = now - self._began_at >= self.bounds.confirm_s
         serving = {self.node}
         for peer in self.peers.values():
--- a/emberglade/failure_detection/domains.py
+++ b/emberglade/failure_detection/domains.py
@@ -13,14 +13,17 @@
 
 
 class DomainAddresses(NamedTuple):
-    """A network of one failure domain."""
+    """A network, and the failure domain to which its addresses belong."""
 
     network: Any  # a netaddr.IPNetwork
     domain: str
 
 
 class FailureDomains:
-    """The domain of each controller: that of the network of its address, else its zone.
+    """Maps each controller to its failure domain.
+
+    If the controller's address is in a configured network, the domain is that of the network;
+    otherwise it is the controller's zone.
 
     Attributes:
         domains: The name of each controller's domain.
@@ -40,7 +43,12 @@
         addresses: Mapping[str, str],
         zones: Mapping[str, str],
     ) -> "FailureDomains":
-        """Reads the operators' rows; `addresses` and `zones` are by controller.
+        """Determines the domain of each controller.
+
+        Args:
+            rows: The networks of failure domains that the operators configured.
+            addresses: The address of each controller, by its name.
+            zones: The zone of each controller, by its name.
 
         Raises:
             DetectionError: A row is invalid, or no controller is in its domain's networks.
@@ -55,7 +63,7 @@
     rows: Collection["DomainNetwork"], addresses: Mapping[str, str]
 ) -> dict[str, str]:
     """{controller: domain} for the controllers whose address is in one of the networks."""
-    import netaddr  # only if networks are configured: keeps the start-up fast
+    import netaddr  # only if networks are configured, to keep the start-up fast
 
     networks = []
     for row in rows:
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,7 +1,7 @@
 """Failover plans: which shards this controller takes, and when it takes leadership.
 
-Both planners decide from a liveness view. Their only state is when each claim was last written and
-how long a shard or the leader's key has been free.
+Both planners decide from a liveness view. Their only state is when each claim was last written,
+since when a shard or the leadership has been free, and which controller was the last leader.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,13 +10,14 @@
 from .view import LivenessView
 
 NEVER = float("-inf")
-LEADERSHIP = "leadership"  # the name of the leader's claim in its history
-# Heartbeat intervals that a slow controller waits before it takes leadership if it is free.
+LEADERSHIP = "leadership"  # the name of the leader's claim in the claim history
+# Additional heartbeat intervals that a slow controller waits before it writes a missing leader's
+# key, if some serving controller is not slow.
 SLOW_DELAY_INTERVALS = 2
 
 
 class ClaimHistory:
-    """When this controller last saw the key of each claim (shard or leadership) change.
+    """Records when this controller last saw the key of each claim (shard or leadership) change.
 
     The writer of a recent claim was alive when it wrote, whatever the last view shows. Without this
     check, a peer with a view a quarter of a second old takes back the shards that a returned
@@ -43,9 +44,12 @@
 class ShardPlanner:
     """Assigns free shards to the serving controllers with the fewest, and returns home shards.
 
-    A shard is free if its owner does not serve, is a previous process of this controller, or is
-    slow, not the shard's home, and other serving controllers are not slow. A shard whose key
-    another controller has just written is not free.
+    A shard is free in each of these cases:
+    - its owner is a previous process of this controller;
+    - its owner does not serve;
+    - its owner is slow and is not the shard's home, and some serving controller is not slow.
+
+    A shard whose key another controller has just written is not free.
     """
 
     def __init__(
@@ -162,7 +166,11 @@
 
 
 class LeaderPlanner:
-    """Decides when to take leadership: its key is missing, or the leader does not serve."""
+    """Decides when this controller takes leadership.
+
+    It may do so if the leader's key is missing, or if the leader does not serve or is a previous
+    process of this controller.
+    """
 
     def __init__(self, node: str, heartbeat_s: float) -> None:
         self.node = node
--- a/emberglade/failure_detection/heartbeats.py
+++ b/emberglade/failure_detection/heartbeats.py
@@ -21,7 +21,8 @@
 
     Attributes:
         first_revision: The revision of this process's first replica; None before it was read.
-        lease: The number of this process's first lease, its incarnation; None until it is known.
+        lease: The ID of this process's first lease, as received by the handler `on_identity`
+            of the monitor; None until then.
         turn_due: When the monitor's next turn is due.
     """
 
@@ -39,7 +40,7 @@
             return None
         now = self.now()
         self._sequence += 1
-        # The age excludes a pause of this process: contact resumes as soon as it runs again.
+        # The age excludes a pause of this process, since contact resumes as soon as it runs again.
         pause_s = self.detector.health.recent_pause_s(now, now - self.turn_due)
         contact_age_s = max(0.0, now - self.detector.store_contact_at - pause_s)
         return Heartbeat(
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -11,8 +11,8 @@
 class Incarnation(NamedTuple):
     """Identifies a process of a controller; a newer process has a larger incarnation."""
 
-    revision: int  # of the first replica of the process
-    lease: int  # number of its first lease; numbers are never reused
+    revision: int  # revision of the process's first replica
+    lease: int  # ID of the process's first lease; IDs are never reused
 
 
 class HeartbeatVersion(NamedTuple):
@@ -44,9 +44,9 @@
 
     peer: str
     state: PeerState
-    # Of the newest heartbeat that the sender received directly; None if there is none.
+    # Version of the newest heartbeat that the sender received directly; None if there is none.
     version: HeartbeatVersion | None
-    age_s: float  # since that heartbeat was sent
+    age_s: float  # time since that heartbeat was sent
     # Age of the peer's contact with the state service when that heartbeat was sent.
     store_contact_age_s: float
     failback_delay_s: float  # how long the peer must still serve before it takes shards back
@@ -58,7 +58,7 @@
     sender: str
     version: HeartbeatVersion
     sent_wall_time: float  # seconds since 1970
-    store_contact_age_s: float  # since its last answered contact with the state service
+    store_contact_age_s: float  # time since its last answered sync with the state service
     slow: bool  # whether the sender's own detection loop runs late
     opinions: tuple[Opinion, ...]
 
@@ -71,7 +71,11 @@
 
 
 class ProbeResult(NamedTuple):
-    """The relay's response; version and age are of the target's newest heartbeat at the relay."""
+    """The relay's response to a probe request.
+
+    `version` and `age_s` are those of the newest heartbeat that the relay received from the target;
+    `version` is None if the relay did not reach the target or has no heartbeat of its process.
+    """
 
     target: str
     outcome: PingOutcome
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -46,8 +46,8 @@
     """Runs the failure detector, exchanges its messages, and notifies listeners of changes.
 
     Attributes:
-        listeners: Receive `liveness(view)` when the view changes, and `peer_dead(name)` when a
-            death is confirmed.
+        listeners: The actors that receive `liveness(view)` when the view changes, and
+            `peer_dead(name)` when a death is confirmed.
         detector: The state machine of failure detection.
         heartbeats: Creates the heartbeats of this process.
         receiver: Receives the heartbeats of peers.
@@ -77,13 +77,13 @@
         self._transition_counts: Counter[PeerState] = Counter()  # by the new state
 
     def on_begin(self) -> None:
-        """Handles `begin` from the actor system: subscribes to the store, starts the detector."""
+        """Handles `begin` from the actor system: subscribes, and starts the detector."""
         super().on_begin()
         self.detector.start(self.now())
         self.schedule_turn()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member, which heartbeats contain from now on."""
+        """Handles `identity(incarnation)` from the member: heartbeats contain it from now on."""
         super().on_identity(incarnation)
         self.heartbeats.lease = incarnation
 
@@ -164,7 +164,7 @@
         )
 
     def account(self) -> dict[str, Any]:
-        """The account line's fields on peers; counts are since the start of the process."""
+        """The account line's fields about peers; counts are since the start of the process."""
         return {
             "peers": {name: peer.state.value for name, peer in self.detector.peers.items()},
             "suspicions": self._transition_counts[PeerState.SUSPECTED],
@@ -176,9 +176,9 @@
     # --- heartbeats on machine queries between controllers
 
     def on_ask(self, peer: str, body: Any, timeout: float, reply: "Reply") -> None:
-        """Handles `ask(peer, body, timeout, reply)` from a link: a query of this controller.
+        """Handles `ask(peer, body, timeout, reply)` from a link: sends a machine query to a peer.
 
-        Sends it to the peer with a heartbeat; `reply` receives the response.
+        The query carries a heartbeat, and `reply` receives the response.
         """
         self.links[peer].call(
             "POST",
@@ -189,7 +189,7 @@
         )
 
     def on_asked(self, peer: str, deadline: float, reply: "Reply", status: int, body: Any) -> None:
-        """Handles the response to a query of `on_ask`, from the peer's link.
+        """Handles the response to a query that `on_ask` sent, from the peer's link.
 
         Notes the outcome of the call, applies the heartbeat in the response, and passes status and
         body on to `reply`.
--- a/emberglade/failure_detection/peer.py
+++ b/emberglade/failure_detection/peer.py
@@ -9,11 +9,11 @@
 from .messages import HeartbeatVersion, Opinion, PeerState, PingOutcome
 
 NEVER = float("-inf")
-MAX_OUTAGES = 16  # the newest outages of a peer that are recorded
+MAX_OUTAGES = 16  # recorded outages per peer; the newest are kept
 
 
 class FailedProbe(NamedTuple):
-    """The outcome at a relay that could not reach the peer."""
+    """The outcome of a probe by a relay that could not reach the peer."""
 
     outcome: PingOutcome
     at: float
@@ -37,9 +37,10 @@
         store_contact_at: The peer's last contact with the state service, from all heartbeats.
         slow: Whether the peer reports that its own detection loop runs late.
         key_lease: The lease of the process that owns the peer's key; None if the key is missing.
-        refused_at: When the latest call to the peer ended, if its connection was refused.
+        refused_at: When the latest call to the peer ended, if it failed because the connection was
+            refused; otherwise NEVER.
         probed_at: When relays were last asked to probe the peer.
-        relays: The relays that were asked.
+        relays: The relays that were last asked.
     """
 
     def __init__(self, name: str, bounds: DetectionBounds) -> None:
@@ -67,7 +68,7 @@
     # --- evidence that it is alive
 
     def begin_incarnation(self) -> None:
-        """Resets the state that was true only of the peer's previous process."""
+        """Resets the state that applied only to the peer's previous process."""
         self.arrivals = ArrivalWindow(self.bounds.heartbeat_s)
         self.arrived_at = NEVER
         self.direct_sent_at = NEVER
@@ -144,7 +145,7 @@
         return now - self.refused_at <= 2 * self.bounds.heartbeat_s
 
     def confirming_outcomes(self, now: float, key_expired: bool) -> tuple[PingOutcome, ...]:
-        """The probe outcomes that would confirm now that the peer is dead; empty if none would."""
+        """The probe outcomes that now count as confirmation that the peer is dead; may be empty."""
         if key_expired and self.time_since_alive_s(now) >= self.bounds.confirm_s:
             return (PingOutcome.REFUSED, PingOutcome.UNANSWERED)
         if self.refuses_connections(now):
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -1,7 +1,7 @@
 """Pings and indirect probes, which check whether a suspected peer is alive.
 
 A ping goes to the peer itself. A probe asks a relay whether it reaches the peer; the relay pings
-the peer unless it received its heartbeat within the last interval. Heartbeats in responses are
+the peer unless it knows the outcome from the last heartbeat interval. Heartbeats in responses are
 applied.
 """
 
@@ -53,7 +53,7 @@
     # --- pings
 
     def ping(self, peer: str, waiting: Iterable["Reply"] = ()) -> None:
-        """Pings a peer; the probes of the replies `waiting` are answered with the outcome."""
+        """Pings a peer; `waiting` are the replies of probes that wait for the outcome."""
         self._pings[peer] = list(waiting)
         body = self.heartbeats.add_to({})
         # The link may be blocked by a query without a response, so the ping has its own timeout.
@@ -65,12 +65,15 @@
     def on_pinged(self, peer: str, status: int, body: Any) -> None:
         """Handles the response to a ping, from the peer's link: answers the waiting probes."""
         self.note_call_outcome(peer, status, ended_early=False)
-        if status == 200 and body:  # empty while that process does not know its incarnation
+        if status == 200 and body:  # empty while the peer's process does not know its incarnation
             self.receiver.receive(peer, body)
         self._end_ping(peer, outcome_of(status))
 
     def on_ping_overdue(self, peer: str) -> None:
-        """Handles `ping_overdue`, a heartbeat interval after a ping: it counts as unanswered."""
+        """Handles `ping_overdue`, sent to itself one heartbeat interval after a ping.
+
+        The ping counts as unanswered. Does nothing if no ping to the peer is in flight.
+        """
         self._end_ping(peer, PingOutcome.UNANSWERED)
 
     def _end_ping(self, peer: str, outcome: PingOutcome) -> None:
@@ -79,7 +82,7 @@
             reply(200, wire.write_probe_result(self._probe_result(peer, outcome)))
 
     def note_call_outcome(self, peer: str, status: int, ended_early: bool) -> None:
-        """Notes the outcome of a call to a peer; pings it at once if the connection broke.
+        """Notes the outcome of a call to a peer; pings the peer at once if the connection broke.
 
         `ended_early`: the call ended long before its timeout.
         """
@@ -100,7 +103,7 @@
         reply(200, self.heartbeats.add_to({}))
 
     def on_probe(self, data: Any, reply: "Reply") -> None:
-        """Handles `probe(data, reply)` from the server: a peer asks if this one reaches another.
+        """Handles `probe(data, reply)` from the server: a peer asks this controller to be a relay.
 
         Replies at once if the outcome is known from the last heartbeat interval, else after a ping.
         """
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -14,8 +14,8 @@
         slow: The controllers that should not take over shards or leadership.
         may_fail_over: Whether this controller's own view is reliable enough for failover.
         may_fail_back: Whether this controller has served long enough to take its home shards back.
-        revision: Of the last change of a node's key, a shard's key or the leader's key that this
-            view reflects.
+        revision: The revision of the last change of a node's key, a shard's key or the leader's key
+            that this view reflects.
     """
 
     states: dict[str, PeerState]
@@ -66,4 +66,7 @@
         """Handles `liveness(view)`: the liveness view has changed."""
 
     def on_peer_dead(self, name: str) -> None:
-        """Handles `peer_dead(name)`: a peer's death is confirmed; the matching view came before."""
+        """Handles `peer_dead(name)`: a peer's death is confirmed.
+
+        The view in which the peer is dead was sent before.
+        """
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -26,8 +26,8 @@
 # A heartbeat has one row per controller; a message with more rows than this is invalid.
 MAX_OPINIONS = 1000
 OPINION_FIELDS = 6
-MAX_COUNT = 2**64
-MAX_NAME_LENGTH = 200
+MAX_COUNT = 2**64  # exclusive
+MAX_NAME_LENGTH = 200  # characters
 MAX_VALUE_TEXT_LENGTH = 80  # characters of a rejected value shown in an error message
 
 
@@ -191,7 +191,7 @@
 
 
 def has_heartbeat(body: Any) -> bool:
-    """Whether a message carries a heartbeat; those of the previous version don't."""
+    """Whether a message carries a heartbeat; messages of the previous version carry none."""
     return isinstance(body, dict) and HEARTBEAT_FIELD in body
 
 
--- a/emberglade/state/__init__.py
+++ b/emberglade/state/__init__.py
@@ -5,7 +5,7 @@
 from .store import FINAL_PREFIX, LIVE_PREFIX, Store
 from .wire import Change, KeyValue, read_changes_request
 
-CLOCK_DRIFT = 1.001  # ratio of two machines' monotonic clocks, each off by up to 0.05 %
+CLOCK_DRIFT = 1.001  # maximum ratio of two monotonic clocks' rates, each off by up to 0.05 %
 
 __all__ = [
     "CLOCK_DRIFT",
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -1,7 +1,7 @@
-"""The read barrier: a `sync` is answered once the replica shows all previous commits.
+"""The read barrier of the store.
 
-Those are the commits made before the sync was requested. Syncs requested within a short time share
-one request to the state service.
+A `sync` is answered once the replica shows all commits made before the sync was requested. Syncs
+requested within a short time share one request to the state service.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,8 @@
 
 MAX_IN_FLIGHT = 3  # syncs without a response
 MAX_WAITING_UNLOADED = 64  # waiters while the replica is not loaded
-INTERVAL_FACTOR_PER_IN_FLIGHT = 4  # added to the interval factor for each sync in flight
+# Each sync in flight delays the next one by this many additional intervals.
+INTERVAL_FACTOR_PER_IN_FLIGHT = 4
 SYNC_BUDGET_DIVISOR = 2.0  # syncs take at most 1/2 of a controller's even share of requests
 CHANGES_TOO_OLD = 410  # HTTP status: some changes after the replica's revision are no longer kept
 
--- a/emberglade/state/replica_subscriber.py
+++ b/emberglade/state/replica_subscriber.py
@@ -18,7 +18,8 @@
     Attributes:
         store: The store that it follows.
         incarnation: The incarnation of this process; None until it is known.
-        follows_syncs: Whether it is notified of every answered sync.
+        follows_syncs: Whether it also receives `sync_answered`, and `changed` messages that
+            carry only the replica's revision.
     """
 
     store: "Store"
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -12,7 +12,7 @@
     from ..config import Settings
     from ..transport import Client, Reply
 
-TOO_MANY_REQUESTS = 429  # answered by the service, or here for a request that was never sent
+TOO_MANY_REQUESTS = 429  # HTTP status; also the status of a request that was never sent
 MAX_QUEUED_PER_PRIORITY = 200
 MAX_IN_FLIGHT = 6  # requests without a response; the client has as many threads
 MAX_TIMEOUT_S = 3.0
@@ -97,11 +97,11 @@
                 return
 
     def _queues_in_order(self, now: float) -> Iterator[tuple[deque[Request], int]]:
-        """The queues in the order in which they are served, with how many to take from each.
+        """Yields (queue, maximum number of requests to send from it) in the order of service.
 
-        The order is that of the priorities, except that one submission that waited long goes first.
-        Without this, decisions use up all writes for seconds after the loss of a third of the
-        machines, and submissions are answered too late (fleet/third_of_machines_fail.txt).
+        The order is that of the priorities, except that one submission that has waited long goes
+        first. Without this, decisions use up all writes for seconds after the loss of a third of
+        the machines, and submissions are answered too late (fleet/third_of_machines_fail.txt).
         """
         submissions = self._queues[Priority.SUBMISSIONS]
         if (
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -1,8 +1,8 @@
 """The store actor: all access to the consensus-backed key-value store, and the local replica.
 
 `sync` is the read barrier of the service: it is answered only when the replica shows every change
-made before the sync was requested. Subscribers receive `changed(changes, revision)` before the
-answer, so an actor that requests a sync then acts on a state no older than its request.
+made before the sync was requested. Subscribers receive `changed(changes, revision, is_snapshot)`
+before the answer, so an actor that requests a sync then acts on a state no older than its request.
 """
 
 import logging
@@ -58,8 +58,8 @@
         self.settings = settings
         # A peer without access to the state service polls for changes about every second. The
         # changes of a whole lease at the full write rate are far more than those between two polls.
-        changes_a_lease = int(settings.state_write_rps * settings.lease_s)
-        self.replica = Replica(max(MIN_RECENT_CHANGES, changes_a_lease))
+        changes_per_lease = int(settings.state_write_rps * settings.lease_s)
+        self.replica = Replica(max(MIN_RECENT_CHANGES, changes_per_lease))
         self.subscribers = Subscribers()
         self.requests = RequestQueue(self, settings, client, pause_s=sync_interval_s(settings))
         self.full_read = FullRead(self, self.requests, self.replace)
@@ -195,7 +195,7 @@
     def on_grant_lease(self, life_ms: int, reply: Callable[[Any], None]) -> None:
         """Handles `grant_lease(life_ms, reply)`: requests a lease of `life_ms` milliseconds.
 
-        Calls `reply(lease)` with the lease's number, or None if none was granted.
+        Calls `reply(lease)` with the ID of the lease, or None if none was granted.
         """
 
         def answer(status: int, body: Any) -> None:
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -1,7 +1,7 @@
-"""A token bucket with an adaptive rate: it exceeds the even share until requests are refused."""
+"""A token bucket whose rate grows above the even share until the service refuses a request."""
 
 GROWTH_PER_S = 1.1  # factor by which the rate grows per second
-MAX_GROWTH_S = 60.0  # growth is limited to this time between two calls
+MAX_GROWTH_S = 60.0  # at most this much of the time between two calls increases the rate
 MAX_SHARE = 0.8  # maximum share of the service's total rate; the rest is for other controllers
 TOKEN_TOLERANCE = 1e-9  # rounding error, in tokens
 
@@ -38,7 +38,7 @@
         return self._tokens >= 1.0 - TOKEN_TOLERANCE
 
     def take(self, now: float, amount: int) -> None:
-        """Takes `amount` at time `now` (seconds); the tokens may go below zero."""
+        """Takes `amount` tokens at time `now` (seconds); the balance may become negative."""
         self._fill(now)
         self._tokens -= amount
 
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -69,7 +69,7 @@
 
 
 def follow_path(prefix: str, since: int, wait_ms: int) -> str:
-    """The path that returns the changes after a revision; waits up to `wait_ms` for the first."""
+    """The path that returns the changes after `since`; waits up to `wait_ms` if there are none."""
     return f"/follow?under={urllib.parse.quote(prefix, safe='/')}&since={since}&wait_ms={wait_ms}"
 
 
@@ -82,7 +82,7 @@
 
 
 def put(key: str, data: Any, lease: int | None = None) -> dict[str, Any]:
-    """The write that sets a key, which is removed when `lease` expires, if one is given."""
+    """The write that sets a key; if `lease` is given, the key is removed when the lease expires."""
     if lease is None:
         return {"put": key, "data": data}
     return {"put": key, "data": data, "tenure": lease}
@@ -121,7 +121,7 @@
 
 
 def read_grant(body: Any) -> Any:
-    """The number of the lease that a response grants, or None."""
+    """The ID of the lease that a response grants, or None."""
     return body.get("tenure") if isinstance(body, dict) else None
 
 
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -1,8 +1,8 @@
 """Connection limits of a server: which connections it accepts, evicts and closes.
 
 At the connection limit, the connection that has been idle longest is evicted, users' connections
-first; if none is idle, the new connection is closed at once. If none is idle and some connections
-have not sent a request yet, accepting pauses briefly instead.
+first. If none is idle, the new connection is closed at once, unless some connections have not sent
+a request yet: then accepting pauses briefly.
 """
 
 import logging
@@ -19,7 +19,8 @@
 log = logging.getLogger("emberglade.transport")
 
 MAX_ACCEPTS_PER_EVENT = 64  # open connections are served before more are accepted
-EVICTION_CANDIDATES = 16  # least recently used connections that are checked for eviction
+# Least recently used connections, of users and of others, that are checked for eviction.
+EVICTION_CANDIDATES = 16
 ACCEPT_PAUSE_S = 0.02
 # Above this share of the connection limit, connections are closed after each response.
 NEAR_LIMIT_SHARE = 7 / 8
--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -16,7 +16,7 @@
 Reply = Callable[[int, Any], None]  # reply(status, decoded body)
 
 DEFAULT_BACKLOG = 256  # calls that may wait for a thread of a client
-POOL_BACKLOG_PER_THREAD = 4
+POOL_BACKLOG_PER_THREAD = 4  # calls that may wait, per thread of a pool
 
 
 def status_text(status: int) -> int | str:
@@ -84,10 +84,10 @@
 
 
 class Client:
-    """Performs calls to one address on a few threads.
+    """Performs calls to one address on its own threads, with one connection per thread.
 
-    `call(method, path, body, timeout, reply)` leads to `reply(status, body)`, with status NO_ANSWER
-    if the outcome is unknown and REFUSED if the connection was refused.
+    Each `call` ends with `reply(status, body)`. The status is NO_ANSWER if the outcome is unknown
+    and REFUSED if the connection was refused.
     """
 
     def __init__(
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from .server import Server
 
-NEW_CONNECTION_GRACE_S = 1.0  # how long a connection without a request is not evicted
+NEW_CONNECTION_GRACE_S = 1.0  # a connection without a request is not evicted for this long
 
 
 class ServerConnection:
@@ -23,7 +23,7 @@
         had_request: Whether a complete request was received on it.
         is_user: Whether a user's request was received on it.
         closing: Whether the connection is closed once `unsent` is sent.
-        lock: Excludes closing while a thread sends, because the descriptor of a closed socket may
+        lock: Prevents closing while a thread sends, because the descriptor of a closed socket may
             be reused for another connection.
     """
 
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -39,7 +39,14 @@
 
 
 def take_request(received: bytes) -> tuple[Request, bytes] | None:
-    """Parses (request, remaining bytes); None while the request is incomplete."""
+    """Parses the first request in the received bytes.
+
+    Returns:
+        (request, remaining bytes), or None while the request is incomplete.
+
+    Raises:
+        MalformedRequestError: The head is too long or malformed.
+    """
     head_length = received.find(HEAD_END)
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
@@ -72,7 +79,7 @@
 
 
 def _parse_headers(lines: list[bytes], keep_alive: bool) -> tuple[int, bool]:
-    """(content length, keep alive); `keep_alive` is the default without a Connection header."""
+    """Parses (content length, keep alive); `keep_alive` applies without a Connection header."""
     content_length = 0
     for line in lines:
         if not line or line[0] not in RELEVANT_INITIALS:
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -30,11 +30,11 @@
 
 log = logging.getLogger("emberglade.transport")
 
-# route(method, path, body, reply) must lead to one `reply(status, data, retry_after_s)`.
+# route(method, path, body, reply) must cause exactly one `reply(status, data, retry_after_s)`.
 Route = Callable[[str, str, bytes, Callable[..., None]], None]
 
 RECEIVE_BYTES = 64 * 1024
-OVERLOAD_RETRY_S = 1
+OVERLOAD_RETRY_S = 1  # value of the header Retry-After in a 503
 MIN_LISTEN_BACKLOG = 16  # connections that may wait to be accepted
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
@@ -42,13 +42,12 @@
 class Server(socketserver.TCPServer):
     """An HTTP/1.1 server that passes each request to a route on the server's thread.
 
-    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after_s)`, from
-    any thread and at any later time.
+    `route(method, path, body, reply)` must cause exactly one `reply(status, data, retry_after_s)`,
+    from any thread and at any later time.
 
-    At the connection limit, the connection that has been idle longest is evicted, users'
-    connections first; if none is idle, the new connection is closed at once. At most
-    `max_user_connections` may send requests to paths that `is_user_path` accepts; further ones get
-    503 and are closed, so that users do not take the connections of agents.
+    `admission.py` describes what happens at the connection limit. At most `max_user_connections`
+    may send requests to paths that `is_user_path` accepts; further ones get 503 and are closed, so
+    that users do not take the connections of agents.
 
     Attributes:
         connections: The open connections.
