--- a/emberglade/failure_detection/peer.py
+++ b/emberglade/failure_detection/peer.py
@@ -26,12 +26,14 @@
     event.
 
     Attributes:
+        state: The state of the peer, as this controller sees it.
         version: The version of the newest heartbeat that any controller received.
         direct_version: The version of the newest heartbeat that this controller received itself.
         direct_sent_at: When that heartbeat was sent.
         direct_store_contact_at: The peer's last contact with the state service, as that heartbeat
             states it.
         arrived_at: When that heartbeat arrived.
+        arrivals: The intervals between the heartbeats that this controller received itself.
         last_alive_at: The newest time for which there is evidence, direct or indirect, that the
             peer was alive.
         store_contact_at: The peer's last contact with the state service, from all heartbeats.
@@ -39,6 +41,7 @@
         key_lease: The lease of the process that owns the peer's key; None if the key is missing.
         refused_at: When the latest call to the peer ended, if it failed because the connection was
             refused; otherwise NEVER.
+        failed_probes: The latest failed probe of the peer by each relay.
         probed_at: When relays were last asked to probe the peer.
         relays: The relays that were last asked.
     """
