--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -13,7 +13,7 @@
 MAX_EPSILON = 0.5
 MIN_LOOKBACK_S = 1
 MIN_COST_ROUND_S = 1
-DOMAINS_FIELD = "failure_domain"  # the only repeated field
+DOMAINS_FIELD = "failure_domain"  # the only repeated field of the message
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberglade/config/platform.py
+++ b/emberglade/config/platform.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file: TOML, read once at the start; unknown fields are ignored.
+"""Reads the platform's settings from a TOML file, once at the start; ignores unknown fields.
 
 The platform defines the names of the fields; only this module uses them.
 """
@@ -106,7 +106,7 @@
 
 
 def _read_limits(state: TomlTable) -> StateLimits:
-    """The smaller of each current and announced limit of the state service."""
+    """The limits of the state service: for each, the smaller of the current and announced value."""
     limits = StateLimits(
         rps=state.positive_number("rps"),
         write_rps=state.positive_number("write_rps"),
--- a/emberglade/config/quota.py
+++ b/emberglade/config/quota.py
@@ -2,9 +2,9 @@
 
 from .settings import Settings
 
-# The interpreter, imported modules and threads; and the processor time from the start to the first
-# answer (docs/profile.md).
+# Memory of the interpreter, imported modules and threads (docs/profile.md).
 START_MEMORY_MB = 24.0
+# Processor time from the start to the first answer (docs/profile.md).
 START_PROCESSOR_S = 0.25
 MIN_DESCRIPTORS = 64
 MIN_CONNECTIONS = 2
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -112,7 +112,7 @@
     txn_ops: int
 
     def within(self, other: "StateLimits") -> "StateLimits":
-        """The smaller of each of the two limits."""
+        """For each limit, the smaller of this object's value and the other's."""
         return StateLimits(
             rps=min(self.rps, other.rps),
             write_rps=min(self.write_rps, other.write_rps),
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -17,11 +17,11 @@
     small_quota_warnings,
 )
 
-# Features that the command line can enable as well as the operators' file: reading that file takes
-# a library that is not imported otherwise.
+# Features that the command line can enable too, because reading the operators' file imports a
+# library that is not needed otherwise.
 FEATURES = ("failure-detection",)
 
-LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # others mean INFO
+LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # other values mean INFO
 DEFAULT_LOG_LEVEL = "info"
 EXIT_INVALID_SETTINGS = 2
 
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -14,7 +14,8 @@
 
 log = logging.getLogger("emberglade.memory")
 
-# Shares of the limit: memory counts as low above the first, until use is down to the second.
+# Shares of the memory limit: memory is low once use is above HIGH_WATERMARK, and until use is no
+# longer above LOW_WATERMARK.
 HIGH_WATERMARK = 0.85
 LOW_WATERMARK = 0.75
 CHECK_INTERVAL_S = 2.0
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -20,15 +20,15 @@
 GC_THRESHOLDS = (50_000, 20, 50)
 
 MAX_ANSWER_TIMEOUT_S = 3.0
-FRONT_ANSWER_MARGIN_S = 0.5  # users' and agents' requests outlast a request to the store
+FRONT_ANSWER_MARGIN_S = 0.5  # so that a front request outlasts its request to the store
 
-# Threads of each client, each with its own connection, and calls that may be queued for them.
+# Threads of each client; each thread has its own connection.
 STORE_THREADS = 6
 CLOUD_THREADS = 2
 # One thread each for status updates and for questions, so that the large bodies of one kind do not
 # delay the other.
 PEER_THREADS = 2
-PEER_BACKLOG = 64
+PEER_BACKLOG = 64  # calls that may be queued for one peer
 
 
 class DescriptorBudget:
@@ -38,8 +38,8 @@
         agent_connections: Connections to agents that are kept open for commands.
         agent_threads: Threads for commands to agents; a machine that hangs can block one each.
         internal: Connections of the other controllers.
-        front: Connections of users and agents. A single controller serves all agents; what remains
-            is for clients, listeners and the platform itself.
+        front: Connections of users and agents. A single remaining controller has to serve all
+            agents. The other descriptors are for clients, listeners and the platform itself.
         users: How many of the front connections users may have.
     """
 
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-# A controller has at most as many open submissions as its share of the store's write rate commits
-# in OPEN_SUBMISSIONS_S, since more of them would time out; the limit is at least
+# The number of open submissions of a controller is limited to what its share of the store's write
+# rate can commit in OPEN_SUBMISSIONS_S, because further ones would time out. The limit is at least
 # MIN_OPEN_SUBMISSIONS.
 MIN_OPEN_SUBMISSIONS = 8
 OPEN_SUBMISSIONS_S = 2.0
@@ -29,7 +29,7 @@
 
 
 def never_accepted_conditions(job_id: str) -> list[tuple[str, int]]:
-    """Transaction conditions `[(full key, mod revision)]`: the job was never accepted."""
+    """Transaction conditions `[(full key, mod revision)]` that hold if a job was never accepted."""
     return [
         (LIVE_PREFIX + job_key(job_id), 0),
         (LIVE_PREFIX + waiting_key(job_id), 0),
--- a/emberglade/user_api/answers.py
+++ b/emberglade/user_api/answers.py
@@ -19,7 +19,7 @@
     Attributes:
         status: The HTTP status.
         body: Sent as JSON.
-        retry_after_s: The value of `Retry-After`, in seconds; None: no such header.
+        retry_after_s: The value of `Retry-After`, in seconds; None if the header is not sent.
     """
 
     status: int
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -1,7 +1,7 @@
 """The user API as one actor.
 
 An answer reports only committed state, read after the request arrived. A request that can't be
-served now is answered immediately with `Retry-After`; none is queued until it can be.
+served now is not queued, but answered immediately, with `Retry-After`.
 """
 
 from typing import TYPE_CHECKING
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -1,6 +1,6 @@
 """Users' cancellations.
 
-A cancellation is written to the job's record and confirmed once the replica shows it.
+A cancellation is committed to the store, and confirmed once this controller's replica shows it.
 """
 
 import logging
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-MAX_RETRIES = 8  # for a cancellation that conflicts with writes of the job's owner
+MAX_RETRIES = 8  # of a cancellation whose commit conflicts with writes of the job's owner
 
 
 class CancellationRequests(ActorPart):
@@ -59,9 +59,9 @@
     def on_cancel_synced(
         self, job_id: str, reply: Reply, retries: int, revision: int | None
     ) -> None:
-        """Handles the sync before a cancellation's commit, and the one after it.
+        """Handles a sync that was requested for a cancellation; `revision` is None if it failed.
 
-        Requested by `on_cancel` and `on_cancel_committed`; `revision` is None if the sync failed.
+        `on_cancel` requests one before the commit, and `on_cancel_committed` one after it.
         """
         if revision is None:
             STORE_UNAVAILABLE.send(reply)
@@ -119,9 +119,9 @@
         """Handles the store's answer to the commit of a cancellation."""
         if status == 200:
             log.info("job %s cancelled by its user", job_id)
-            # Confirmed only once this controller's own replica shows it: other controllers rely on
-            # the replica's revision to know that they miss no confirmed cancellation, and halts go
-            # to every machine that the replica names.
+            # The cancellation is confirmed only once this controller's own replica shows it: other
+            # controllers rely on the replica's revision to know that they miss no confirmed
+            # cancellation, and halts go to every machine that the replica names.
             send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
         elif status == 409 and retries < MAX_RETRIES:
             # The job's owner wrote the record in between.
--- a/emberglade/user_api/committed_jobs.py
+++ b/emberglade/user_api/committed_jobs.py
@@ -21,7 +21,7 @@
 
 
 def count_tasks(record: dict[str, Any], chunks: Chunks) -> TaskCounts:
-    """Counts a live job's tasks in its record's own chunk and in the others of the same layout."""
+    """Counts a live job's tasks in its record's chunk and in its further chunks of that layout."""
     generation = jobs_wire.read_generation(record)
     own_chunks = [
         jobs_wire.first_chunk(record),
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -48,7 +48,7 @@
         self.format_raised = False
 
     def apply(self, changes: Iterable[Change], is_snapshot: bool) -> None:
-        """Applies changes of the replica; `is_snapshot`: they are the complete replica."""
+        """Applies changes of the replica; if `is_snapshot`, they are the complete replica."""
         if is_snapshot:
             self.live_jobs = {}
         for key, data, mod_revision in changes:
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -13,7 +13,8 @@
 from ..state import FINAL_PREFIX, Store
 from ..state.store import DECISIONS
 
-# A request for more dependencies reads this many and fails; a retry reads those still unknown.
+# A request for more dependencies than this reads only this many and is marked as failed; a retry
+# requests only those whose outcomes are still unknown.
 MAX_READS_PER_REQUEST = 32
 
 
@@ -44,7 +45,7 @@
         super().__init__(actor)
         self.store = store
         self.graph = graph
-        self.reads: dict[str, list[DependencyReadRequest]] = {}  # job being read -> requests
+        self.reads: dict[str, list[DependencyReadRequest]] = {}  # job id -> requests for it
 
     def read(
         self, dependencies: Collection[str], then: Callable[[DependencyReadRequest], None]
@@ -71,7 +72,7 @@
     def on_dependency_read(
         self, dependency: str, status: int, data: Any, mod_revision: int | None
     ) -> None:
-        """Handles the store's answer to a read of one final key; 404: the key is missing."""
+        """Handles the store's answer to a read of one final key; 404 if the key does not exist."""
         final = read_final(status, data)
         if final is not None:
             self.graph.resolve(dependency, final.outcome)
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -29,7 +29,8 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-TRANSACTION_BYTES = 40 * 1024  # size of a transaction's segments; PROTOCOL allows 64 KiB in total
+# Maximum size of the segments in one transaction; PROTOCOL limits a whole transaction to 64 KiB.
+TRANSACTION_BYTES = 40 * 1024
 MAX_LOGGED_DEPENDENCIES = 8
 MAX_DEPENDENCIES_IN_REASON = 4
 DEPENDENCIES_UNREAD = service_unavailable(
@@ -78,7 +79,7 @@
         self.lookup = lookup
         self.dependency_outcomes = dependency_outcomes
         self.acceptance = acceptance
-        self.dependency_list_count = 0  # prepared by this process
+        self.dependency_list_count = 0  # number of lists that this process has prepared
 
     def submit(self, request: wire.Submission, reply: Reply) -> None:
         """Accepts a job with dependencies; the caller has counted the submission as open."""
@@ -88,7 +89,10 @@
     # --- checks
 
     def on_dependencies_synced(self, submission: DependentSubmission, revision: int | None) -> None:
-        """Handles the sync that `submit` requested: the replica shows all jobs accepted before."""
+        """Handles the sync that `submit` requested; `revision` is None if it failed.
+
+        After the sync, the replica shows all jobs that were accepted before it.
+        """
         job_id = submission.spec.id
         if revision is None:
             self.answer_unavailable(submission)
@@ -235,7 +239,7 @@
             dependency in graph.unresolved or graph.unresolved_dependencies_of(dependency)
             for dependency in dependencies
         ):
-            # Another controller may have reported that one of these is cancelled.
+            # Another controller may have reported that one of the dependencies is cancelled.
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         else:
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.PENDING)))
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -16,8 +16,8 @@
 from .dependency_outcomes import DependencyOutcomes, DependencyReadRequest
 from .job_state import JobState, JobStatus, LookupFailure, LookupResult
 
-MAX_FINAL_STATES = 20_000  # kept in the cache; others are read from the store
-# At most as many look-ups are open as the store serves requests in this time.
+MAX_FINAL_STATES = 20_000  # in the cache; others are read from the store
+# The limit of open look-ups is the number of requests that the store serves in this time.
 OPEN_LOOKUPS_S = 2.0
 
 
@@ -73,7 +73,7 @@
         self.view = view
         self.dependency_outcomes = dependency_outcomes
         self.final_states = FinalStates()
-        # Open look-ups share syncs. If more were open than a few syncs serve, some would time out.
+        # Open look-ups share syncs; with more of them than a few syncs serve, some would time out.
         self.open_lookups = 0
         self.max_open_lookups = int(OPEN_LOOKUPS_S * settings.state_rps)
 
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -40,7 +40,7 @@
         self.lookup = lookup
         self.acceptance = acceptance
         self.dependent_submissions = dependent_submissions
-        self.memory_is_low = False  # no job is accepted here while it is
+        self.memory_is_low = False  # while true, this controller accepts no job
 
     def on_submit(self, body: bytes, reply: Reply) -> None:
         """Handles `submit(body, reply)` from the front server: a user submits a job."""
@@ -73,7 +73,7 @@
             self.lookup.answer(job_id, reply, if_never_accepted=answer)
 
     def _submit(self, submission: wire.Submission, reply: Reply) -> None:
-        """Accepts a well-formed submission, or answers why it can't be accepted now or ever."""
+        """Accepts a well-formed submission, or answers why it can't be, now or permanently."""
         spec = submission.spec
         final = self.lookup.final_states.get(spec.id)
         if final is not None:
--- a/emberglade/user_api/wire.py
+++ b/emberglade/user_api/wire.py
@@ -52,14 +52,14 @@
 
 
 class JobPath(NamedTuple):
-    """The job that a path names, and whether the path is that of its cancellation."""
+    """The job that a path names, and whether the path is the one that cancels it."""
 
     job_id: str
     cancel: bool
 
 
 def is_user_path(path: str) -> bool:
-    """Whether a path belongs to users, and not to agents or health checks."""
+    """Whether a path is requested by users, and not by agents or health checks."""
     return path.startswith(SUBMISSIONS_PATH)
 
 
--- a/tests/benchmarks/failover.py
+++ b/tests/benchmarks/failover.py
@@ -191,8 +191,10 @@
         """Counts suspicions of controllers that are able to work."""
 
         def counted(detector: PeerDetector, peer: Any, state: PeerState, reason: str) -> None:
-            is_able = peer.name in self.cluster.processes and self.ownership.is_able(peer.name)
-            if state is PeerState.SUSPECTED and is_able:
+            is_operational = peer.name in self.cluster.processes and self.ownership.is_operational(
+                peer.name
+            )
+            if state is PeerState.SUSPECTED and is_operational:
                 self.false_suspicions += 1
             set_state(detector, peer, state, reason)
 
@@ -261,7 +263,7 @@
 
 def note_outcome(history: History, ownership: Ownership, fault: Fault) -> None:
     """Adds the outcome of one fault to a history's results."""
-    if not ownership.held_at(fault.controller, fault.at):
+    if not ownership.owned_at(fault.controller, fault.at):
         return
     history.effective_faults[fault.kind] += 1
     if fault.kind in CRASHES:
--- a/tests/scenario_kinds/actors.py
+++ b/tests/scenario_kinds/actors.py
@@ -35,7 +35,7 @@
         self.value = 0
 
     def on_greet(self) -> None:
-        """Counts a greeting, which a sender that begins earlier may send before `on_begin`."""
+        """Counts a greeting; a sender that begins earlier may send it before `on_begin`."""
         self.greetings += 1
 
     def on_add(self) -> None:
--- a/tests/scenario_kinds/cluster.py
+++ b/tests/scenario_kinds/cluster.py
@@ -47,7 +47,7 @@
         self.operators = Operators(failure_detection=True)
         self.previous: tuple[str, ...] = ()
         self.watches_failovers = False
-        self.plan: list[Callable[[], None]] = []  # in line order: it fixes the order of draws
+        self.plan: list[Callable[[], None]] = []  # in line order, which fixes the order of draws
         self.call_counts: dict[str, int] = {}
         self._run: ScenarioRun | None = None
 
--- a/tests/scenario_kinds/cluster_faults.py
+++ b/tests/scenario_kinds/cluster_faults.py
@@ -52,7 +52,7 @@
         self.cluster.crash_leader(float(seconds))
 
     def do_crash_leaders(self, count: str, every: str, seconds: str) -> None:
-        """Kills the leader of the moment `count` times, `every` seconds."""
+        """Kills the current leader `count` times, at intervals of `every` seconds."""
         for number in range(int(count)):
             self.world.at(number * float(every), self.cluster.crash_leader, float(seconds))
 
@@ -65,7 +65,7 @@
         self.cluster.pause(self.run.resolve(controller), float(seconds))
 
     def do_starve_cpu(self, controller: str, every: str, seconds: str) -> None:
-        """Suspends a controller every `every` seconds, for CPU_STARVATION_S in total."""
+        """For CPU_STARVATION_S, suspends a controller for `seconds`, every `every` seconds."""
         for number in range(int(CPU_STARVATION_S / float(every))):
             self.world.at(number * float(every), self.do_pause, controller, seconds)
 
@@ -155,7 +155,7 @@
     # --- the cloud
 
     def do_cloud_outage(self, seconds: str) -> None:
-        """Stops the cloud from answering requests."""
+        """Makes the cloud answer all requests with 503 for this time."""
         self.cloud.begin_outage(float(seconds))
 
     def do_reclaim_spot(self, share: str, notice: str) -> None:
@@ -169,7 +169,7 @@
     # --- the state service
 
     def do_state_outage(self, seconds: str) -> None:
-        """Stops the state service from answering requests."""
+        """Makes the state service answer all new requests with 503 for this time."""
         self.state.begin_outage(float(seconds))
 
     def do_refuse(self, controller: str, seconds: str) -> None:
@@ -183,7 +183,7 @@
             self.world.at(number * float(period), self.do_refuse, controller, half)
 
     def do_expire_lease(self, controller: str) -> None:
-        """Drops a controller's lease renewals until its lease expires; serves other requests."""
+        """Expires the lease of a controller's membership key at once, as if renewals were late."""
         self.state.expire_lease_of(state_wire.MEMBER_PREFIX + self.run.resolve(controller))
 
     def do_late_transactions(self, share: str, seconds: str) -> None:
--- a/tests/scenario_kinds/cluster_users.py
+++ b/tests/scenario_kinds/cluster_users.py
@@ -18,7 +18,7 @@
 
 
 def make_job(job_id: str, arguments: tuple[str, ...]) -> Submission:
-    """Builds a job from fields of Submission; `run_s` also sets the estimated run time."""
+    """Builds a job from fields of Submission; `run_s` stands for `estimated_run_s`."""
     fields: dict[str, Any] = parse_arguments(arguments)[1]
     if "run_s" in fields:
         fields["estimated_run_s"] = fields.pop("run_s")
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -265,7 +265,7 @@
         assert not self.probes, self.probes
 
     def expect_may_fail_back(self, expected: str) -> None:
-        """Whether this controller may claim its home shards again, `yes` or `no`."""
+        """This controller may claim its home shards again, or may not, as `yes` or `no` states."""
         assert self.view.may_fail_back == (expected == "yes"), self.view
 
     def expect_failback_delay(self, name: str, minimum: str, maximum: str) -> None:
--- a/tests/scenario_kinds/expect_jobs.py
+++ b/tests/scenario_kinds/expect_jobs.py
@@ -95,7 +95,7 @@
         assert self.slow_to_stop(prefix, float(seconds))
 
     def slow_to_stop(self, prefix: str, seconds: float) -> dict[str, float]:
-        """Maps cancelled jobs of this prefix whose tasks took longer to stop to that time."""
+        """Maps each cancelled job whose tasks took longer than `seconds` to the time they took."""
         cancelled = {
             job_id: at
             for job_id, at in self.observer.cancelled_at.items()
--- a/tests/scenario_kinds/expect_machines.py
+++ b/tests/scenario_kinds/expect_machines.py
@@ -45,7 +45,7 @@
         assert running >= int(count), running
 
     def expect_agent_epochs_at_most(self, maximum: str) -> None:
-        """No agent's epoch is higher; epoch 1 means that no agent lease has expired."""
+        """No agent's epoch is above `maximum`; at epoch 1, the agent's lease has never expired."""
         epochs = {
             machine.name: machine.agent_epoch
             for machine in self.cloud.machines.values()
--- a/tests/scenario_kinds/expect_ownership.py
+++ b/tests/scenario_kinds/expect_ownership.py
@@ -47,7 +47,7 @@
 
     def expect_shards_owned_at_most(self, name: str, maximum: str) -> None:
         """After STARTUP_S the controller never owned more shards than this."""
-        shard_count = self.ownership.most_shards_held(self.run.resolve(name), STARTUP_S)
+        shard_count = self.ownership.most_shards_owned(self.run.resolve(name), STARTUP_S)
         assert shard_count <= int(maximum), shard_count
 
     def expect_leadership_claims_at_least(self, minimum: str) -> None:
--- a/tests/scenario_kinds/expect_state_service.py
+++ b/tests/scenario_kinds/expect_state_service.py
@@ -16,7 +16,7 @@
         self.previous = run.cluster.previous
 
     def expect_format_raised(self, expected: str) -> None:
-        """Whether the cluster's record format has been raised, `true` or `false`."""
+        """The cluster's record format has been raised, or has not, as `true` or `false` states."""
         assert (FORMAT_KEY in self.state.keys) == (expected == "true")
 
     # --- limits
@@ -24,7 +24,7 @@
     def refused_sizes(self) -> list[tuple[str, str]]:
         """Writes of new-version controllers that were refused for their size.
 
-        The limits have to be lowered by now.
+        The limits must have been lowered.
         """
         assert self.state.limits_lowered
         return [row for row in self.state.refused_sizes if row[0] not in self.previous]
--- a/tests/scenario_kinds/loopback.py
+++ b/tests/scenario_kinds/loopback.py
@@ -11,8 +11,8 @@
 class LoopbackScenario(ClusterScenario):
     """A cluster scenario with real processes.
 
-    Real time varies between runs, so failover times are printed and the scenarios' bounds are
-    wide.
+    Times vary between runs in real time, so failover times are printed and the scenarios' bounds
+    are wide.
     """
 
     def make_cluster(self) -> Cluster:
--- a/tests/scenario_kinds/server.py
+++ b/tests/scenario_kinds/server.py
@@ -46,7 +46,7 @@
         self.server.begin("test")
 
     def route(self, method: str, path: str, body: bytes, reply: Callable[..., None]) -> None:
-        """Handles a request as the end of its path says: `/hold`, `/large`, `/fail` or echo."""
+        """Handles a request by the end of its path: `/hold`, `/large`, `/fail`, or any other."""
         if path.endswith("/hold"):
             with self.pending_changed:
                 self.pending.append(reply)
@@ -125,7 +125,7 @@
         self.raw[name].sendall(text.encode().decode("unicode_escape").encode())
 
     def do_disconnect(self, name: str) -> None:
-        """Closes the connection of this name and waits until the server has noticed."""
+        """Closes the connection of this name and waits until the server has closed it too."""
         self.raw.pop(name).close()
         self.wait_until(lambda: self.server.connection_count == len(self.raw) + len(self.idle))
 
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -218,7 +218,7 @@
         body: str,
         answers: list[tuple[int, Any, Any]],
     ) -> None:
-        """Sends a request without the network; appends (status, body, retry) to `answers`."""
+        """Sends a request that bypasses the network; appends its answer to `answers`."""
         handler = self.world.hosts[controller]
         assert handler is not None
 
--- a/tests/stand_ins/deployment.py
+++ b/tests/stand_ins/deployment.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class StateLimits:
-    """Announced future limits of the state service; None: the limit does not change."""
+    """Announced future limits of the state service; a limit that does not change is None."""
 
     value_bytes: int | None = None
     txn_ops: int | None = None
--- a/tests/stand_ins/invalid_requests.py
+++ b/tests/stand_ins/invalid_requests.py
@@ -5,7 +5,7 @@
 from .users import Users
 from .wire import JobState
 
-KINDS = 4
+KIND_COUNT = 4  # kinds of requests; `send` describes them
 
 
 class InvalidRequests:
@@ -23,7 +23,7 @@
         for number in range(int(seconds)):
             delay = rng.uniform(0, seconds)
             job_id = f"job-odd{self.world.now:.0f}x{number}"
-            self.world.at(delay, self.send, rng.randrange(KINDS), job_id)
+            self.world.at(delay, self.send, rng.randrange(KIND_COUNT), job_id)
 
     def send(self, kind: int, invalid_id: str) -> None:
         """Sends a repeat (kind 0), a cancellation (1), or an invalid submission (2 and 3)."""
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -1,4 +1,4 @@
-"""Checks of liveness: jobs must be answered for, tasks placed, and no group of jobs starved."""
+"""Checks of liveness: requests must succeed, tasks be placed, and no group of jobs be starved."""
 
 from typing import TYPE_CHECKING
 
@@ -23,7 +23,7 @@
 
     Attributes:
         faults_ended_at: When the last fault ended; None until then.
-        pending_since: By job, since when one of its tasks has been pending that could run.
+        pending_since: By job, since when a task of it has been pending although it could run.
         answers: The recent answers to users as (time, whether the request succeeded).
     """
 
@@ -154,7 +154,10 @@
         return {group: sum(rows) / len(rows) for group, rows in groups.items()}
 
     def largest_begun(self, job_ids: list[str]) -> list[bool]:
-        """For each of the largest jobs of a class, whether it started in time."""
+        """For each of the largest jobs of a class, whether it started in time.
+
+        Jobs that have not started, but still have time to, are left out.
+        """
         observer = self.observer
         ordered = sorted(job_ids, key=lambda job_id: -observer.jobs[job_id].tasks)
         rows = []
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -190,15 +190,16 @@
         """Compares the state in an answer with the job's known history."""
         if state is JobState.DONE and not self.is_done(job_id):
             self.record("not_done", f"{job_id} is reported as done before all its tasks completed")
-        orphaned_at = self.dependency_cancelled_at(job_id)
+        cancelled_at = self.dependency_cancelled_at(job_id)
         if (
             state not in FINAL_STATES
-            and orphaned_at is not None
-            and asked_at > orphaned_at + self.cancel_s
+            and cancelled_at is not None
+            and asked_at > cancelled_at + self.cancel_s
         ):
             self.record(
                 "dependent_not_cancelled",
-                f"{job_id} is reported as {state}; a dependency was cancelled at {orphaned_at:.1f}",
+                f"{job_id} is reported as {state}; a dependency was cancelled at "
+                f"{cancelled_at:.1f}",
             )
         if state is JobState.CANCELLED and not self.is_to_be_cancelled(job_id):
             self.record("went_back", f"{job_id} is reported as cancelled without a request")
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -10,10 +10,10 @@
 from .cluster import Cluster
 from .state_wire import LEADER, LIVE_PREFIX, SHARD, SHARD_PREFIX, Transaction
 
-# Times as shares of an agent's lease.
-# A controller whose last answer from the state service is younger can operate its shards.
+# Times as shares of the duration of an agent's lease.
+# A controller can operate its shards if its last answer from the state service is younger.
 MAX_SERVED_AGE_SHARE = 2 / 9
-# The roles of a controller whose process has ended must have another owner after this time.
+# The roles of a controller whose process has ended must have other owners within this time.
 MAX_UNOWNED_SHARE = 1.0
 HANDOVER_WINDOW_S, MAX_HANDOVERS_IN_WINDOW = 60.0, 4
 CHECK_INTERVAL_S = 0.5
@@ -108,7 +108,7 @@
     def check_epochs(
         self, transaction: Transaction, source: str, owners: dict[str, str | None]
     ) -> None:
-        """Checks that a commit on a shard's epoch comes from its owner or claims the shard.
+        """Checks that a commit conditioned on a shard's epoch is its owner's or claims the shard.
 
         Args:
             transaction: The committed transaction.
@@ -126,7 +126,7 @@
             )
 
     def check_records(self, transaction: Transaction, source: str, existing: set[str]) -> None:
-        """Checks that existing job records change on a shard's epoch, unless by cancellation.
+        """Checks that commits that change existing job records depend on an epoch or cancel jobs.
 
         Args:
             transaction: The committed transaction.
@@ -156,7 +156,7 @@
             return
         if role != LEADER and owner == self.home(role):
             return
-        if self.is_able(before):
+        if self.is_operational(before):
             self.observer.record(
                 "false_failover", f"{owner} takes {role} from {before}, which is operational"
             )
@@ -176,7 +176,7 @@
         """The home of a shard: its owner while all controllers are healthy."""
         return self.cluster.names[int(shard[len(SHARD) :]) % len(self.cluster.names)]
 
-    def is_able(self, controller: str) -> bool:
+    def is_operational(self, controller: str) -> bool:
         """Whether a controller has been operational for long enough that its peers can know.
 
         Its process runs, is not paused, and gets answers from the state service.
@@ -196,13 +196,13 @@
         return controller is not None and self.cluster.processes[controller].alive
 
     def check_unowned(self) -> None:
-        """Checks that the roles of a controller whose process has ended get a new owner in time."""
+        """Checks that roles get new owners in time once their owner's process has ended."""
         self.world.at(CHECK_INTERVAL_S, self.check_unowned)
         now = self.world.now
-        any_able = any(map(self.is_able, self.cluster.names))
+        any_operational = any(map(self.is_operational, self.cluster.names))
         for role in [LEADER, *self.shards()]:
             owner = self.owner(role)
-            if self.is_alive(owner) or not any_able or now < STARTUP_S:
+            if self.is_alive(owner) or not any_operational or now < STARTUP_S:
                 self.unowned_since.pop(role, None)
                 continue
             since = self.unowned_since.setdefault(role, now)
@@ -235,7 +235,7 @@
             and (change.role == LEADER or change.owner != self.home(change.role))
         ]
 
-    def held_at(self, controller: str, moment: float) -> set[str]:
+    def owned_at(self, controller: str, moment: float) -> set[str]:
         """The roles that a controller owned at a moment."""
         owned: dict[str, str | None] = {}
         for change in self.changes:
@@ -245,7 +245,7 @@
 
     def failover_s(self, controller: str, moment: float) -> float:
         """The time until all roles of a controller had other owners; infinite if some have not."""
-        remaining = self.held_at(controller, moment)
+        remaining = self.owned_at(controller, moment)
         assert remaining, f"{controller} owned no role at {moment}"
         for change in self.changes:
             if change.at > moment and change.owner != controller:
@@ -254,7 +254,7 @@
                     return change.at - moment
         return float("inf")
 
-    def most_shards_held(self, controller: str, since: float) -> int:
+    def most_shards_owned(self, controller: str, since: float) -> int:
         """The largest number of shards that a controller owned at once since a moment."""
         owned: set[str] = set()
         maximum = 0
--- a/tests/stand_ins/previous_version.py
+++ b/tests/stand_ins/previous_version.py
@@ -1,9 +1,9 @@
 """Emulates controllers of the previous version by restricting those of this version.
 
 The previous version follows only the keys that it knows, reads exactly the fields of its own
-records, and announces no format. The scenario fails on any record that it could not read or would
-rewrite incorrectly. Keys and fields are the stored ones, which `emberglade/jobs` and
-`emberglade/state` define.
+records, and announces no format. The scenario fails on any record that the previous version could
+not read or would rewrite incorrectly. Keys and fields are the stored ones, which `emberglade/jobs`
+and `emberglade/state` define.
 """
 
 import types
@@ -39,7 +39,7 @@
         chunk_sizes: The known chunk size of each job, which must not change.
 
     Raises:
-        UnreadableRecordError: It would not.
+        UnreadableRecordError: The previous version can't read the value correctly.
     """
     if key.startswith(JOB_PREFIX):
         job_id = key[len(JOB_PREFIX) :]
--- a/tests/stand_ins/random_faults.py
+++ b/tests/stand_ins/random_faults.py
@@ -8,12 +8,12 @@
 from .random_work import draw_work
 from .world import PartitionMode
 
-LOSS = 0.003
+LOSS_CHANCE = 0.003
 REPEAT_CHANCE = 0.01
 DUPLICATE_CHANCE, MIN_DUPLICATE_S, MAX_DUPLICATE_S = 0.02, 1.0, 40.0
 MAX_OUTAGE_S = 25
 WORK_SHARE = 0.8  # the share of a combined-faults scenario in which jobs are submitted
-QUIET_AFTER_S = 12  # from the end of the last combined fault until message faults end
+QUIET_AFTER_S = 12  # between the end of the last combined fault and the end of message faults
 
 
 def draw_faults(cluster: Cluster, faults: int, mass_faults: int, until: float) -> None:
@@ -27,7 +27,7 @@
     """
     world, rng = cluster.world, cluster.world.random
     world.repeat_chance = REPEAT_CHANCE
-    world.loss = LOSS
+    world.loss = LOSS_CHANCE
     cluster.duplicate_heartbeats(DUPLICATE_CHANCE, MIN_DUPLICATE_S, MAX_DUPLICATE_S)
     for _ in range(faults):
         world.at(rng.uniform(15, until * 0.75), inject, cluster)
--- a/tests/stand_ins/serve_loopback.py
+++ b/tests/stand_ins/serve_loopback.py
@@ -30,7 +30,7 @@
 LIVE_JOBS = LIVE_PREFIX + jobs_wire.JOB_PREFIX
 MACHINES_PER_POOL = 10  # a pool is a zone's spot or regular machines
 BOOT_S = 3.0
-CHECK_INTERVAL_S = 1.0  # between two checks for new violations
+CHECK_INTERVAL_S = 1.0  # interval of the checks for new violations
 
 
 class RecordedStateService(StateService):
@@ -97,7 +97,7 @@
         world,
         MachineType(boot_s=BOOT_S, zones=list(settings.zones)),
         {(zone, spot): MACHINES_PER_POOL for zone in settings.zones for spot in (False, True)},
-        settings.list_lag_s / 2,  # up to twice as long
+        settings.list_lag_s / 2,  # the cloud's lag is one to two times this value
         WorkerSettings(settings.agent_heartbeat_s, settings.lease_s, [settings.node]),
         observer,
     )
--- a/tests/stand_ins/state_service.py
+++ b/tests/stand_ins/state_service.py
@@ -290,7 +290,7 @@
         return 200, {}
 
     def expire(self, number: int) -> None:
-        """Removes a lease that has expired, with the keys attached to it; else checks later."""
+        """Removes a lease and the keys attached to it if it has expired; else checks later."""
         lease = self.leases.get(number)
         if lease is None:
             return
--- a/tests/stand_ins/submissions.py
+++ b/tests/stand_ins/submissions.py
@@ -17,10 +17,10 @@
 
     Attributes:
         estimated_run_s: The run time of one task as its user states it.
-        actual_run_s: The actual run time of an array's task; None: set to the estimate when
-            the job is submitted.
+        actual_run_s: The actual run time of an array's task; if None, it is set to the estimate
+            when the job is submitted.
         fails: Whether all its tasks end in error.
-        needs: Its dependencies; None: the field is left out.
+        needs: Its dependencies; None if the request has no such field.
     """
 
     id: str | None = None
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class RunningTask:
+class TaskAttempt:
     """One attempt of a task on a machine.
 
     Attributes:
@@ -37,7 +37,7 @@
         self.machine = machine
         self.world = machine.world
         self.observer = machine.observer
-        self.by_name: dict[str, RunningTask] = {}
+        self.by_name: dict[str, TaskAttempt] = {}
         self.images: set[str] = set()
         self.start_count = 0
 
@@ -56,16 +56,17 @@
         elif command.kind == CommandKind.CLEAR and task.state is TaskState.EXITED:
             del self.by_name[command.task]
 
-    def start(self, command: Command, present: RunningTask | None) -> None:
+    def start(self, command: Command, present: TaskAttempt | None) -> None:
         """Starts a task, or refuses it."""
         name = command.task
         if present is not None:
             if present.attempt != command.attempt:
-                # Refused as busy. For these tests it suffices that the heartbeat omits the refusal.
+                # Another attempt is present, so the start is refused as busy. The heartbeat omits
+                # the refusal, which suffices for these tests.
                 self.machine.schedule_change_heartbeat()
             return
         self.start_count += 1
-        task = self.by_name[name] = RunningTask(command.attempt, self.start_count)
+        task = self.by_name[name] = TaskAttempt(command.attempt, self.start_count)
         job = self.observer.jobs.get(job_of(name))
         if job is None:
             self.exit(name, ExitReason.NO_SUCH_JOB)
@@ -78,7 +79,7 @@
             self.world.at(fetch_s, self.run, name, task.serial, job)
             self.machine.schedule_change_heartbeat()
 
-    def stop(self, command: Command, task: RunningTask) -> None:
+    def stop(self, command: Command, task: TaskAttempt) -> None:
         """Stops a task, which saves first if it has checkpoints and enough grace time."""
         job = self.observer.jobs[job_of(command.task)]
         saves = job.checkpoint_interval_s > 0 and command.grace_s >= job.checkpoint_save_s
@@ -160,12 +161,12 @@
             self.note_left(name, task)
         self.by_name = {}
 
-    def note_left(self, name: str, task: RunningTask) -> None:
+    def note_left(self, name: str, task: TaskAttempt) -> None:
         """Notifies the observer of the end of a task that was running or saving."""
         if task.state in (TaskState.RUNNING, TaskState.SAVING):
             self.observer.task_left(name, self.machine.name)
 
-    def find(self, name: str, serial: int, state: TaskState) -> RunningTask | None:
+    def find(self, name: str, serial: int, state: TaskState) -> TaskAttempt | None:
         """The task if it is still of this start and in this state, and the machine is not dead."""
         task = self.by_name.get(name)
         if task is None or task.serial != serial or task.state is not state:
--- a/tests/stand_ins/wire.py
+++ b/tests/stand_ins/wire.py
@@ -146,7 +146,7 @@
 
 
 class Commands(NamedTuple):
-    """The commands of a body, with its token and epoch; None if it lacks the field."""
+    """The commands of a body, and its token and epoch; a field that the body lacks is None."""
 
     fencing_token: int | None
     agent_epoch: int | None
--- a/tests/stand_ins/worker.py
+++ b/tests/stand_ins/worker.py
@@ -18,7 +18,7 @@
     from .cloud import MachineType
 
 HEARTBEAT_TIMEOUT_S = 4.0
-MIN_HEARTBEAT_GAP_S = 0.5  # between a heartbeat and one that reports a change
+MIN_HEARTBEAT_GAP_S = 0.5  # minimum time between a heartbeat and the next one that reports a change
 # The range of the heartbeat interval, as shares of the nominal interval.
 MIN_INTERVAL_SHARE, MAX_INTERVAL_SHARE = 0.75, 1.25
 REDIRECT_DELAY_S = 0.1
@@ -45,7 +45,7 @@
         listed: Whether the cloud lists it.
         hung: Whether it is hung: it executes nothing and answers no request.
         faulty: Whether all tasks on it end in error.
-        reclaim_at: When the cloud reclaims it, if it has given notice.
+        reclaim_at: When the cloud will reclaim it; None if the cloud has given no notice.
         controller: The index in `settings.controllers` of the controller that gets its heartbeats.
         lease_renewed_at: When the last heartbeat that renewed the lease was sent.
         heartbeat_count: The number of heartbeats sent.
@@ -232,7 +232,7 @@
 
         Args:
             planned_after: The number of heartbeats sent when this one was scheduled; it is skipped
-                if another one was sent since. None: it is not skipped.
+                if another one was sent since. If None, it is never skipped for that reason.
         """
         if self.hung:
             self.world.at(HUNG_RETRY_S, self.send_heartbeat, planned_after)
--- a/tools/precompile_bytecode.py
+++ b/tools/precompile_bytecode.py
@@ -1,4 +1,4 @@
-"""Build step: compiles the modules that a controller imports to `target/bytecode`.
+"""Build step: compiles the modules that a controller imports, and writes them to `target/bytecode`.
 
 `run.py` sets that directory as Python's cache of byte code. The platform gives a controller no
 writable disk and a third of a core, so without this step every start compiles all source files.
