--- a/emberglade/config/quota.py
+++ b/emberglade/config/quota.py
@@ -1,4 +1,4 @@
-"""Checks whether the quota of a controller's process is enough for good service."""
+"""Checks whether the quota of a controller's process is enough for normal operation."""
 
 from .settings import Settings
 
@@ -13,7 +13,7 @@
 
 
 def small_quota_warnings(settings: Settings) -> list[str]:
-    """One warning for each value of `settings.quota` that is valid but too low for good service."""
+    """One warning for each value of `settings.quota` that is too low for normal operation."""
     warnings = []
     if settings.fd_limit < MIN_DESCRIPTORS:
         connections = max(MIN_CONNECTIONS, settings.fd_limit * 3 // 4)
--- a/tests/stand_ins/real_time_world.py
+++ b/tests/stand_ins/real_time_world.py
@@ -85,7 +85,7 @@
         Args:
             name: The stand-in.
             source: The client.
-            port: The port to listen at if there is no server yet; 0: any free port.
+            port: The port to listen at if there is no server yet; 0 chooses any free one.
         """
         if (name, source) not in self.servers:
 
--- a/tests/stand_ins/users.py
+++ b/tests/stand_ins/users.py
@@ -105,8 +105,8 @@
 
         Args:
             job_id: The job; the request waits until it is accepted.
-            since: When the user first sent the request; None: now.
-            controller: The controller that gets the request; None: a random one.
+            since: When the user first sent the request; by default now.
+            controller: The controller that gets the request; by default a random one.
         """
         if job_id not in self.observer.accepted_at:
             # Users only cancel jobs that they know to be accepted.
@@ -132,7 +132,7 @@
 
         Args:
             count: The number of jobs.
-            hang_s: How long some of their machines hang; 0: no machine hangs.
+            hang_s: How long some of their machines hang; at 0, none does.
         """
         rng = self.world.random
         running = {
--- a/tests/stand_ins/worker.py
+++ b/tests/stand_ins/worker.py
@@ -43,7 +43,7 @@
         up: Whether it has booted and has not been stopped.
         dead: Whether it has been stopped permanently.
         listed: Whether the cloud lists it.
-        hung: Whether it is hung: it executes nothing and answers no request.
+        hung: Whether it is hung, so that it executes nothing and answers no request.
         faulty: Whether all tasks on it end in error.
         reclaim_at: When the cloud will reclaim it; None if the cloud has given no notice.
         controller: The index in `settings.controllers` of the controller that gets its heartbeats.
