--- a/tests/stand_ins/users.py
+++ b/tests/stand_ins/users.py
@@ -12,8 +12,8 @@
 SUBMIT_TIMEOUT_S = 5.0
 POLL_TIMEOUT_S = 2.0
 POLL_INTERVAL_S = 5.0
-FINAL_POLL_INTERVAL_S = 40.0  # for finished jobs, which users may poll at any later time
-RETRY_S = 1.0  # the minimum; up to a second of jitter is added
+FINAL_POLL_INTERVAL_S = 40.0  # of finished jobs, which users may poll at any later time
+RETRY_S = 1.0  # minimum delay before a retry; up to a second of jitter is added
 RETRY_LIMIT_S = 60
 DEPENDENCY_ACCEPTED_RETRY_S = 0.3
 JOB_ACCEPTED_RETRY_S = 1.0
@@ -105,8 +105,8 @@
 
         Args:
             job_id: The job; the request waits until it is accepted.
-            since: When the user first sent the request; None: now.
-            controller: The controller that gets the request; None: a random one.
+            since: When the user first sent the request; by default now.
+            controller: The controller that gets the request; by default a random one.
         """
         if job_id not in self.observer.accepted_at:
             # Users only cancel jobs that they know to be accepted.
@@ -132,7 +132,7 @@
 
         Args:
             count: The number of jobs.
-            hang_s: How long some of their machines hang; 0: no machine hangs.
+            hang_s: How long some of their machines hang; at 0, none does.
         """
         rng = self.world.random
         running = {
