--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -15,7 +15,9 @@
 log = logging.getLogger("emberglade.agents")
 
 MAX_MACHINES_PER_QUESTION = 1000  # keeps a question well below 64 KiB
-MAX_PROOF_INTERVAL_S = 1.0  # lost machines are asked about four times in this interval
+# Peers are asked about lost machines four times per heartbeat interval, or four times in this time
+# if that is shorter.
+MAX_PROOF_INTERVAL_S = 1.0
 
 
 class PeerExchange(AgentPart):
@@ -57,8 +59,8 @@
     def on_ask_peers(self) -> None:
         """Handles `ask_peers`, a timer: asks peers for their views of machines.
 
-        All machines at the regular interval; more often, those that tasks wait for until their
-        leases are proven to have expired.
+        Asks about all machines at the regular interval. In between, asks more often about the lost
+        machines with bound tasks, until their leases are proven to have expired.
         """
         now = self.now()
         proof_interval_s = min(MAX_PROOF_INTERVAL_S, self.settings.agent_heartbeat_s) / 4
@@ -86,7 +88,10 @@
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
 
     def _ask(self, machines: list[str] | None, now: float) -> None:
-        """Asks all peers without an open question about these machines; None: about all."""
+        """Asks peers about these machines, or about all if None.
+
+        Skips peers that have not answered a recent question yet.
+        """
         asked_about = None if machines is None else frozenset(machines)
         for name, link in self.peers.items():
             if now - self.awaiting_answer.get(name, NEVER) < 3 * self.settings.agent_heartbeat_s:
@@ -122,7 +127,7 @@
             self._fetch_changes(name)
 
     def _fetch_changes(self, peer: str) -> None:
-        """Fetches committed changes from a peer that has more, if the store does not answer."""
+        """Fetches changes from a peer with a newer replica if no recent sync was answered."""
         revision = self.committed.revision
         contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
@@ -158,7 +163,7 @@
     def on_question_synced(
         self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
     ) -> None:
-        """Handles the store's answer to the sync that a question waits for; None: it failed."""
+        """Handles the end of a sync that a question waits for; `revision` is None if it failed."""
         now = self.now()
         reply(
             200,
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -11,7 +11,7 @@
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
 OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
-UNDELIVERED_PREFIX = "f/"  # f/NODE: task status updates that it could not send to their owners
+UNDELIVERED_PREFIX = "f/"  # f/NODE: task updates that NODE could not send to the jobs' owners
 
 
 def overflow_owner(key: str) -> str:
@@ -25,15 +25,15 @@
 
 
 def undelivered_key(node: str) -> str:
-    """The key for a controller's updates that it could not send to their owners."""
+    """The key for the task updates that a controller could not send to the jobs' owners."""
     return UNDELIVERED_PREFIX + node
 
 
 def write_undelivered(rows: dict[str, list]) -> dict:
-    """The record of such a key: {owner: rows of `peers.write_task_updates`}."""
+    """The record of an undelivered key: {owner: rows of `peers.write_task_updates`}."""
     return {"to": rows}
 
 
 def read_undelivered(record: Any, node: str) -> list:
-    """The updates in such a record that are for this controller."""
+    """The updates for the controller `node` in the record of an undelivered key."""
     return read_task_updates(((record or {}).get("to") or {}).get(node))
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -9,8 +9,8 @@
 
 from . import peers, records
 
-# The number of further values in a table without machines: as they never arrive, neither this
-# version nor the previous one considers the table a complete list of machines.
+# The number of further values stated in a table without machines. That many never arrive, so
+# neither this version nor the previous one considers the table a complete list of machines.
 NEVER_COMPLETE = 9999
 
 
@@ -21,7 +21,7 @@
         number: Unique among the tables of a controller.
         demand: {(machine type, spot): machines needed}.
         shortage: {(machine type, spot, zone): machines missing in that zone}.
-        wall_time: Time of day at which it was made, in seconds.
+        wall_time: Wall-clock time at which it was made, in seconds since 1970.
         up_s: Seconds since the controller's process began.
         contact_age_s: Seconds since it sent its last answered sync.
         revision: The revision of the replica that the table was made from.
@@ -144,7 +144,7 @@
         ),
     ]
     if len(values) != table["parts"] + 1:
-        # Other values have not arrived; their machines must not be treated as unknown to the node.
+        # Some values have not arrived; machines in them must not be treated as unknown to the node.
         return None
     view = peers.read_machine_view(
         {
--- a/emberglade/config/quota.py
+++ b/emberglade/config/quota.py
@@ -1,19 +1,19 @@
-"""Checks whether the quota of a controller's process is enough for good service."""
+"""Checks whether the quota of a controller's process is enough for normal operation."""
 
 from .settings import Settings
 
-# The interpreter, imported modules and threads; and the processor time from the start to the first
-# answer (docs/profile.md).
+# Memory of the interpreter, imported modules and threads (docs/profile.md).
 START_MEMORY_MB = 24.0
+# Processor time from the start to the first answer (docs/profile.md).
 START_PROCESSOR_S = 0.25
 MIN_DESCRIPTORS = 64
 MIN_CONNECTIONS = 2
 MIN_MEMORY_MB = 2 * START_MEMORY_MB
-MAX_START_LEASE_SHARE = 1 / 2  # of an agent's lease; a start that takes longer is slow
+MAX_START_LEASE_SHARE = 1 / 2  # a start that takes a larger share of an agent's lease is slow
 
 
 def small_quota_warnings(settings: Settings) -> list[str]:
-    """One warning for each value of `settings.quota` that is valid but too low for good service."""
+    """One warning for each value of `settings.quota` that is too low for normal operation."""
     warnings = []
     if settings.fd_limit < MIN_DESCRIPTORS:
         connections = max(MIN_CONNECTIONS, settings.fd_limit * 3 // 4)
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -112,7 +112,7 @@
     txn_ops: int
 
     def within(self, other: "StateLimits") -> "StateLimits":
-        """The smaller of each of the two limits."""
+        """For each limit, the smaller of this object's value and the other's."""
         return StateLimits(
             rps=min(self.rps, other.rps),
             write_rps=min(self.write_rps, other.write_rps),
@@ -138,7 +138,7 @@
         state: Host and port of the state service.
         cluster_size: Number of controllers in the cluster.
         zones: The zones in which machines can be rented.
-        skew_s: Maximum deviation of any machine's time of day from true time, in seconds.
+        skew_s: Maximum deviation of any machine's wall clock from the true time, in seconds.
         teams: The teams, by name.
         objectives: The service-level objectives.
         agent_heartbeat_s: Interval of an agent's heartbeats, in seconds.
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -27,7 +27,7 @@
 log = logging.getLogger("emberglade.jobs")
 
 WRITES_PER_JOB = 2  # the new key is written, the waiting job's key is removed
-MAX_CONCURRENT_READS = 16  # of final keys of dependencies
+MAX_CONCURRENT_READS = 16  # final keys of dependencies that are read at the same time
 
 
 class DependencyRelease(ActorPart):
@@ -43,19 +43,20 @@
         self._being_read: set[str] = set()  # dependencies whose final key is being read
 
     def advance(self) -> None:
-        """Reads missing outcomes; releases or cancels jobs unless a transaction is in flight.
+        """Reads unknown outcomes of dependencies; releases ready jobs and finishes cancelled ones.
 
-        Does nothing until this process's incarnation is known.
+        At most one transaction is in flight. Does nothing until the incarnation of this process is
+        known.
         """
         if self._owners.incarnation is None:
             return
         if self._graph.unresolved:
             self._read_unresolved()
         if not self._transaction_in_flight and (self._graph.ready or self._graph.cancelled):
-            self._commit_some()
+            self._commit_batch()
 
     def _owned(self, job_ids: Iterable[str]) -> list[str]:
-        """Those of these waiting jobs whose shards this controller owns."""
+        """The waiting jobs among `job_ids` whose shards this controller owns."""
         waiting = self._graph.waiting
         return [job_id for job_id in job_ids if self._owners.owns(waiting[job_id])]
 
@@ -84,8 +85,8 @@
 
     # --- releases and cancellations
 
-    def _commit_some(self) -> None:
-        """Commits as many as one transaction may hold: releases by urgency, then cancellations."""
+    def _commit_batch(self) -> None:
+        """Commits releases by priority, then cancellations, as many as one transaction may hold."""
         graph = self._graph
         ready = sorted(
             self._owned(graph.ready),
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -1,4 +1,4 @@
-"""A live job, that is one that is not finished, and its tasks."""
+"""A live job (one that is not finished) and its tasks."""
 
 import zlib
 from collections.abc import Iterator, Mapping
@@ -22,12 +22,13 @@
         spec: The same with the priority and the deadline inherited from dependents.
         chunk_size: Tasks per chunk.
         generation: Part of its chunks' keys; changes when the job is rechunked.
-        fitting_chunk_size: Tasks per chunk that fit a value; None until computed.
+        fitting_chunk_size: Tasks per chunk with which the records fit the store's limit on the size
+            of a value; None until computed.
         cancelled: Whether its user has cancelled it.
         chunks: number -> Chunk; all tasks of a missing chunk are pending and were never attempted.
-        last_bound_at: When this controller last saw a task of the job bound, on the steady clock;
-            not stored.
-        retry_at: task -> when it may be placed again, on the steady clock; not stored.
+        last_bound_at: When a binding of the job was last added to this controller's view, on the
+            monotonic clock; not stored.
+        retry_at: task -> when it may be placed again, on the monotonic clock; not stored.
         failed_machines: Machines on which a task of the job ended in error; not stored.
     """
 
@@ -51,7 +52,7 @@
         return self.spec.id
 
     def inherit_urgency(self, urgency: Urgency | None) -> None:
-        """Updates `spec` with the urgency inherited from dependents; None: no job depends on it.
+        """Updates `spec` with the urgency inherited from dependents; without one, resets it.
 
         The higher priority and the earlier due time apply.
         """
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -12,16 +12,16 @@
 
 log = logging.getLogger("emberglade.jobs")
 
-MAX_TASKS_PER_TURN = 256  # tasks of one job that are placed at a time
+MAX_TASKS_PER_JOB_PASS = 256  # tasks of one job that are placed in one pass over the jobs
 STARVING_JOB_SHARE = 1 / 8  # share of a starving job's tasks that is placed first
-MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fill so many commits
+MAX_COMMITS_PER_ROUND = 4  # a round binds at most as many tasks as fit into this many commits
 # Capacity is not reserved for another owner's task with more attempts than this, if its job has no
 # progress: the owner may have backed it off.
 MAX_ATTEMPTS_WITHOUT_PROGRESS = 3
 
 
 class PlacementPass:
-    """Reserves capacity for the pending tasks of all jobs, and binds the tasks of own jobs.
+    """Reserves capacity for the pending tasks of all jobs, and binds those of owned jobs.
 
     An instance serves one round. The reservations in `placement_round` are undone when the round
     ends; only bindings remain.
@@ -44,9 +44,10 @@
         self._buffer = placement.capacity_buffer(
             view.jobs.jobs.values(), settings.objectives, view.cluster.machine_types, wall_time
         )
+        # How many tasks may still be bound in this round.
         self._tasks_left = (
             settings.txn_ops * MAX_COMMITS_PER_ROUND * chunk_size(settings.value_bytes)
-        )  # tasks that may still be bound in this round
+        )
         self._reserved: dict[str, int] = {}  # id of another owner's job -> reserved tasks
 
     def run(self, pending: list[Job]) -> None:
@@ -80,22 +81,22 @@
             self._round.place(expected, math.ceil(tasks))
 
     def _task_limit(self, job: Job, within_guarantee: bool) -> int:
-        """The maximum number of a job's tasks to place in this turn."""
-        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_PER_TURN)
+        """The maximum number of a job's tasks to place in this pass over the jobs."""
+        limit = min(job.pending_count(), self._round.max_tasks(job.spec), MAX_TASKS_PER_JOB_PASS)
         if within_guarantee and job.spec.priority:
             limit = min(limit, self._cluster.capacity.tasks_within_guarantee(job.spec))
         if job.id in self._starving:
-            # Enough for the job to begin; its other tasks are placed in the usual order.
+            # Enough for the job to start; its other tasks are placed in the usual order.
             limit = min(limit, math.ceil(job.spec.tasks * STARVING_JOB_SHARE))
         return limit
 
     def _reserve(self, job: Job, limit: int) -> None:
         """Reserves the capacity that another controller is expected to use for its job.
 
-        Tasks with many attempts are left out if their job has no progress: its owner has probably
+        Tasks with many attempts are skipped if their job has no progress: its owner has probably
         backed them off. Tasks of a job with progress may reach as many attempts when many machines
         fail; without a reservation their capacity goes to other jobs, and tasks are preempted for
-        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, 39).
+        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, seed 39).
         """
         reserved = self._reserved.get(job.id, 0)
         has_progress = job.has_progress()
--- a/emberglade/jobs/wire/keys.py
+++ b/emberglade/jobs/wire/keys.py
@@ -11,7 +11,10 @@
 
 
 class ChunkKey(NamedTuple):
-    """The parts of a further chunk's key; `generation` is empty unless the job was rechunked."""
+    """The parts of a further chunk's key: any but the first chunk, which is in the job's own key.
+
+    `generation` is empty unless the job was rechunked.
+    """
 
     job_id: str
     generation: str
@@ -81,5 +84,5 @@
 
 
 def job_id_of(key: str) -> str:
-    """The id of the job to which a key under any of the prefixes belongs."""
+    """The id of the job to which a key with any of these prefixes belongs."""
     return key.split("/")[1]
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -13,10 +13,10 @@
 
 log = logging.getLogger("emberglade.membership")
 
-NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease to a controller's
+NODE_LEASES_PER_AGENT_LEASE = 3  # ratio of an agent's lease duration to a controller's
 MIN_TTL_S = 0.1
 RENEWALS_PER_TTL = 3
-RETRY_S = 0.5  # after a lease was not granted
+RETRY_S = 0.5  # delay before a lease that was not granted is requested again
 MS_PER_S = 1000
 
 
@@ -46,8 +46,8 @@
         self.on_identified, self.on_granted = on_identified, on_granted
         self.id: int | None = None
         self.incarnation: int | None = None
-        # A crashed controller fails over within a third of an agent's lease. In most cases it has
-        # restarted before.
+        # The key of a crashed controller expires within a third of an agent's lease. In most cases
+        # the controller has restarted before that.
         self.ttl_s = max(MIN_TTL_S, settings.lease_s / NODE_LEASES_PER_AGENT_LEASE)
 
     def start(self) -> None:
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -1,8 +1,8 @@
 """Reduces memory use when memory is low, before the platform kills the process.
 
 The cache of final states is cleared, since the store has them, and new submissions get 503. Polls
-and cancellations are still served: a kill and a restart would interrupt their users for less time
-than minutes of refused requests.
+and cancellations are still served: even if the process is killed and restarted as a result, this
+interrupts their users for less time than refusing their requests for minutes.
 """
 
 import logging
@@ -14,7 +14,8 @@
 
 log = logging.getLogger("emberglade.memory")
 
-# Shares of the limit: memory counts as low above the first, until use is down to the second.
+# Shares of the memory limit: memory is low once use is above HIGH_WATERMARK, and until use is no
+# longer above LOW_WATERMARK.
 HIGH_WATERMARK = 0.85
 LOW_WATERMARK = 0.75
 CHECK_INTERVAL_S = 2.0
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -69,7 +69,7 @@
         zone: Its zone.
         spot: Whether the cloud may reclaim it.
         agent_epoch: The incarnation of its agent, for which new bindings are valid.
-        schedulable: Whether it was recently in contact, receives our answers, and has no spot
+        schedulable: Whether it was recently in contact, receives answers, and has no spot
             notice.
     """
 
@@ -81,7 +81,10 @@
     schedulable: bool
 
     def is_allowed_for(self, spec: "JobSpec") -> bool:
-        """Whether a job may use a machine of this kind, type and zone, ignoring its other tasks."""
+        """Whether a job may use a machine of this kind, type and zone.
+
+        Does not check rules that depend on the zones of the job's other tasks.
+        """
         return (
             (spec.spot or not self.spot)
             and (spec.allowed_types is None or self.type.name in spec.allowed_types)
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -12,7 +12,9 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-MIN_ESTIMATE_SHARE = 0.6  # of the estimated run time, as estimates are often wrong by half
+# A job is late if less than this share of its estimated run time is left until it is due: estimates
+# are often wrong by half.
+MIN_ESTIMATE_SHARE = 0.6
 
 
 def placement_order(
@@ -26,11 +28,11 @@
     Args:
         spec: The job.
         objectives: All objectives; those for the finish time of the job's class apply.
-        wall_time: The time of day, in seconds.
+        wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
         The priority, whether the job will be late, when it is due, when it was submitted (both
-        times of day, in seconds), and its id.
+        wall-clock times, in seconds since 1970), and its id.
     """
     due = _due_at(spec, objectives)
     late = due - wall_time < spec.estimated_run_s * MIN_ESTIMATE_SHARE
@@ -65,8 +67,8 @@
 class PlacementRound:
     """One placement round on the cluster's capacity.
 
-    Its reservations and releases are undone when the round ends; tasks that really were bound are
-    counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
+    Its reservations and releases are undone when the round ends; tasks that were actually bound
+    are counted by `ClusterCapacity.add`. Use it as a context manager, or call `undo` at the end.
 
     Attributes:
         capacity: What all bound tasks use, and this round's reservations.
@@ -175,12 +177,13 @@
         """The key by which the machines that fit are sorted, the best first."""
         capacity = self.capacity
         missing = spec.image_gb > 0 and not self.images.has(name, spec.image)
-        # Spot machines first for jobs that may use them, so that on-demand capacity stays free;
-        # and always the same order of machines, so that the last ones become idle and are scaled
-        # in.
+        # Jobs that may use spot machines prefer them, so that on-demand capacity stays free. The
+        # name comes last in the key: the order of machines is then always the same, so the last
+        # ones become idle and are scaled in.
         other_kind = capacity.machines[name].spot != spec.spot
         if spec.service:
-            # Replicas run long: on few machines, they keep only few from being scaled in.
+            # Replicas run long and keep their machines from being scaled in, so they are placed on
+            # as few machines as possible.
             return missing, -capacity.replicas[name], other_kind, name
         # Machines with replicas have the services' images cached, so their free capacity is left
         # for further replicas, which can't wait for an image to be fetched.
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -1,8 +1,8 @@
 """Connection limits of a server: which connections it accepts, evicts and closes.
 
 At the connection limit, the connection that has been idle longest is evicted, users' connections
-first; if none is idle, the new connection is closed at once. If none is idle and some connections
-have not sent a request yet, accepting pauses briefly instead.
+first. If none is idle, the new connection is closed at once, unless some connections have not sent
+a request yet: then accepting pauses briefly.
 """
 
 import logging
@@ -18,10 +18,12 @@
 
 log = logging.getLogger("emberglade.transport")
 
-MAX_ACCEPTS_PER_EVENT = 64  # so that open connections are served in between
-EVICTION_CANDIDATES = 16  # least recently used connections that are checked for eviction
+MAX_ACCEPTS_PER_EVENT = 64  # open connections are served before more are accepted
+# Least recently used connections, of users and of others, that are checked for eviction.
+EVICTION_CANDIDATES = 16
 ACCEPT_PAUSE_S = 0.02
-NEAR_LIMIT_SHARE = 7 / 8  # of the limit; above it, connections are closed after each response
+# Above this share of the connection limit, connections are closed after each response.
+NEAR_LIMIT_SHARE = 7 / 8
 
 
 @dataclass(frozen=True)
@@ -93,7 +95,7 @@
         now = time.monotonic()
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             is_full = len(self) >= self.limits.max_connections
-            if is_full and self._find_evictable(now) is None and self._has_unserved_connection():
+            if is_full and self._find_evictable(now) is None and self._awaits_first_request():
                 # Read these first; meanwhile new connections wait in the listen backlog.
                 self.pause_accepting(now)
                 return
@@ -145,7 +147,7 @@
     # --- admission and eviction
 
     def admit(self, connection: ServerConnection, path: str) -> bool:
-        """Marks the connection as used; False if it would exceed the limit on users' ones."""
+        """Marks a connection as just used; False if the limit on users' connections forbids it."""
         if connection.is_user:
             self._users.move_to_end(connection)
         elif not self.is_user_path(path):
@@ -166,10 +168,10 @@
                     return connection
         return None
 
-    def _has_unserved_connection(self) -> bool:
-        """Whether a connection is open that has not sent a complete request yet."""
+    def _awaits_first_request(self) -> bool:
+        """Whether an open connection has not sent a complete request yet."""
         return any(
-            not connection.served and connection.exchange is None
+            not connection.had_request and connection.exchange is None
             for connection in reversed(self._others)
         )
 
--- a/emberglade/transport/messages.py
+++ b/emberglade/transport/messages.py
@@ -39,7 +39,14 @@
 
 
 def take_request(received: bytes) -> tuple[Request, bytes] | None:
-    """Parses (request, remaining bytes); None while the request is incomplete."""
+    """Parses the first request in the received bytes.
+
+    Returns:
+        (request, remaining bytes), or None while the request is incomplete.
+
+    Raises:
+        MalformedRequestError: The head is too long or malformed.
+    """
     head_length = received.find(HEAD_END)
     if head_length < 0:
         if len(received) > MAX_HEAD_BYTES:
@@ -72,7 +79,7 @@
 
 
 def _parse_headers(lines: list[bytes], keep_alive: bool) -> tuple[int, bool]:
-    """(content length, keep alive); `keep_alive` is the default without a Connection header."""
+    """Parses (content length, keep alive); `keep_alive` applies without a Connection header."""
     content_length = 0
     for line in lines:
         if not line or line[0] not in RELEVANT_INITIALS:
@@ -105,10 +112,10 @@
     return int(value)
 
 
-def encode_response(status: int, data: Any, retry_after: int | None, close: bool) -> bytes:
+def encode_response(status: int, data: Any, retry_after_s: int | None, close: bool) -> bytes:
     """Encodes a response; `data` is encoded as JSON unless it is None."""
     payload = b"" if data is None else orjson.dumps(data)
-    retry = f"Retry-After: {retry_after}\r\n" if retry_after is not None else ""
+    retry = f"Retry-After: {retry_after_s}\r\n" if retry_after_s is not None else ""
     connection = "Connection: close\r\n" if close else ""
     head = (
         f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -30,11 +30,11 @@
 
 log = logging.getLogger("emberglade.transport")
 
-# route(method, path, body, reply) must lead to one `reply(status, data, retry_after)`.
+# route(method, path, body, reply) must cause exactly one `reply(status, data, retry_after_s)`.
 Route = Callable[[str, str, bytes, Callable[..., None]], None]
 
 RECEIVE_BYTES = 64 * 1024
-OVERLOAD_RETRY_S = 1
+OVERLOAD_RETRY_S = 1  # value of the header Retry-After in a 503
 MIN_LISTEN_BACKLOG = 16  # connections that may wait to be accepted
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
@@ -42,13 +42,12 @@
 class Server(socketserver.TCPServer):
     """An HTTP/1.1 server that passes each request to a route on the server's thread.
 
-    `route(method, path, body, reply)` must lead to one `reply(status, data, retry_after)`, from any
-    thread and at any later time.
+    `route(method, path, body, reply)` must cause exactly one `reply(status, data, retry_after_s)`,
+    from any thread and at any later time.
 
-    At the connection limit, the connection that has been idle longest is evicted, users'
-    connections first; if none is idle, the new connection is closed at once. At most
-    `max_user_connections` may send requests to paths that `is_user_path` accepts; further ones get
-    503 and are closed, so that users do not take the connections of workers.
+    `admission.py` describes what happens at the connection limit. At most `max_user_connections`
+    may send requests to paths that `is_user_path` accepts; further ones get 503 and are closed, so
+    that users do not take the connections of agents.
 
     Attributes:
         connections: The open connections.
@@ -65,7 +64,7 @@
         is_user_path: Callable[[str], bool] = lambda path: False,
     ) -> None:
         self.route, self.limits = route, limits
-        # When another controller stops, all its workers connect here at once.
+        # When another controller stops, all its agents connect here at once.
         self.request_queue_size = max(MIN_LISTEN_BACKLOG, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
@@ -186,7 +185,7 @@
             return
         request, connection.received = taken
         connection.active_at = now
-        connection.served = True
+        connection.had_request = True
         if not self.connections.admit(connection, request.path):
             exchange = self._open_exchange(connection, False, now)
             exchange.reply(
@@ -231,7 +230,7 @@
     # --- responses
 
     def send_answer(
-        self, exchange: Exchange, status: int, data: Any, retry_after: int | None
+        self, exchange: Exchange, status: int, data: Any, retry_after_s: int | None
     ) -> None:
         """Sends what fits into the socket's send buffer; the server's thread sends the rest.
 
@@ -239,7 +238,7 @@
         connection is closed.
         """
         connection = exchange.connection
-        response = encode_response(status, data, retry_after, not exchange.keep_alive)
+        response = encode_response(status, data, retry_after_s, not exchange.keep_alive)
         with connection.lock:
             if exchange.answered:
                 return
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -1,7 +1,7 @@
 """The user API's view of the store's live keys: committed jobs and their dependencies.
 
 It is built from the replica and not from the job manager, whose view is ahead of the committed
-state while a write is under way.
+state while a write is in flight.
 """
 
 from collections.abc import Iterable
@@ -48,7 +48,7 @@
         self.format_raised = False
 
     def apply(self, changes: Iterable[Change], is_snapshot: bool) -> None:
-        """Applies changes of the replica; `is_snapshot`: they are the complete replica."""
+        """Applies changes of the replica; if `is_snapshot`, they are the complete replica."""
         if is_snapshot:
             self.live_jobs = {}
         for key, data, mod_revision in changes:
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -12,7 +12,7 @@
 from .dependent_submissions import DependentSubmissions
 from .lookup import JobLookup
 
-QUOTA_TOLERANCE = 1e-9  # above the rounding errors of floating-point sums
+QUOTA_TOLERANCE = 1e-9  # larger than the rounding errors of floating-point sums
 
 CATALOG_NOT_READ = service_unavailable("the machine types are not known yet")
 LOW_MEMORY = service_unavailable("this controller is short of memory")
@@ -40,7 +40,7 @@
         self.lookup = lookup
         self.acceptance = acceptance
         self.dependent_submissions = dependent_submissions
-        self.memory_is_low = False  # no job is accepted here while it is
+        self.memory_is_low = False  # while true, this controller accepts no job
 
     def on_submit(self, body: bytes, reply: Reply) -> None:
         """Handles `submit(body, reply)` from the front server: a user submits a job."""
@@ -64,7 +64,7 @@
 
         A repeat of an accepted submission is answered with its job's state even if its body is
         malformed. Otherwise a malformed repeat for a finished job gets 400 while the state service
-        does not answer (dependencies/random_faults.txt, 730).
+        does not answer (dependencies/random_faults.txt, seed 730).
         """
         job_id = wire.read_id(data)
         if job_id is None:
@@ -73,7 +73,7 @@
             self.lookup.answer(job_id, reply, if_never_accepted=answer)
 
     def _submit(self, submission: wire.Submission, reply: Reply) -> None:
-        """Accepts a well-formed submission, or answers why it can't be accepted now or ever."""
+        """Accepts a well-formed submission, or answers why it can't be, now or permanently."""
         spec = submission.spec
         final = self.lookup.final_states.get(spec.id)
         if final is not None:
--- a/tests/stand_ins/invalid_requests.py
+++ b/tests/stand_ins/invalid_requests.py
@@ -1,15 +1,15 @@
-"""Users who repeat jobs with another body, cancel what is done, and submit what can never run."""
+"""Invalid requests of users: altered repeats, cancellations of done jobs, and invalid jobs."""
 
 from . import wire
 from .submissions import Submission
 from .users import Users
 from .wire import JobState
 
-KINDS = 4
+KIND_COUNT = 4  # kinds of requests; `send` describes them
 
 
 class InvalidRequests:
-    """Draws such requests; none of the jobs that they submit may be accepted."""
+    """Sends random invalid requests; no job that they submit may be accepted."""
 
     def __init__(self, users: Users, team: str) -> None:
         self.users = users
@@ -18,33 +18,33 @@
         self.team = team
 
     def begin(self, seconds: float) -> None:
-        """Sends one a second, at random moments."""
+        """Schedules one request per second on average, at random times."""
         rng = self.world.random
         for number in range(int(seconds)):
             delay = rng.uniform(0, seconds)
             job_id = f"job-odd{self.world.now:.0f}x{number}"
-            self.world.at(delay, self.send, rng.randrange(KINDS), job_id)
+            self.world.at(delay, self.send, rng.randrange(KIND_COUNT), job_id)
 
     def send(self, kind: int, invalid_id: str) -> None:
-        """Sends one of a kind: a repeat, a cancellation, a job without a field, one too large."""
+        """Sends a repeat (kind 0), a cancellation (1), or an invalid submission (2 and 3)."""
         rng, observer = self.world.random, self.observer
         live = sorted(set(observer.accepted_at) - set(observer.final))
         done = sorted(job for job, row in observer.final.items() if row.state is JobState.DONE)
         if kind == 0 and live:
-            self.users.submit_again(rng.choice(live), rng.choice(wire.ODD_REPEATS))
+            self.users.submit_again(rng.choice(live), rng.choice(wire.REPEAT_CHANGES))
         elif kind == 1 and done:
             self.users.cancel_once(rng.choice(done))
         elif kind >= 2:
             self.submit_invalid(kind, invalid_id)
 
     def submit_invalid(self, kind: int, invalid_id: str) -> None:
-        """Submits a job that lacks a field (kind 2) or that can never run."""
+        """Submits a job that lacks a field (kind 2) or that can never run (kind 3)."""
         rng = self.world.random
         body = wire.write_submission(Submission(id=invalid_id, team=self.team))
         if kind == 2:
             del body[rng.choice(wire.NOT_NULL)]
         else:
-            body.update(rng.choice(wire.NEVER_RUNNABLE))
+            body.update(rng.choice(wire.UNSATISFIABLE_FIELDS))
         self.users.post(
             wire.SUBMISSIONS_PATH,
             body,
