--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -1,8 +1,8 @@
 """The leader's taints on machines, as the replica shows them.
 
-Many machines can fail at once, and the state service limits the number of keys written. So the
-taints of all machines are stored in a few keys, and a change of any number of taints takes few
-writes (`taint_change.py`).
+Many machines can fail at once, and the state service limits the keys written per second and per
+transaction. So the taints of all machines are stored in a few keys, and a change of any number of
+taints takes few writes (`taint_change.py`).
 """
 
 from collections.abc import Iterator
@@ -68,7 +68,8 @@
             if machine in new:
                 self.by_machine[machine] = taint_by_value[new[machine]]
             elif self.key_containing(machine) is None:
-                # Otherwise the taint has moved to another key, whose change is already applied.
+                # No key contains the machine any more. If one did, the taint would only have moved
+                # to that key, and `by_machine` would already show it as stored there.
                 self.by_machine.pop(machine, None)
         return changed
 
--- a/emberglade/jobs/job_table.py
+++ b/emberglade/jobs/job_table.py
@@ -6,7 +6,7 @@
 from .binding import Binding
 from .cluster_view import ClusterView
 from .job import Job
-from .wire import binding_row  # by name: called for every bound task of a changed chunk
+from .wire import binding_row  # saves an attribute look-up per bound task of a changed chunk
 
 
 class JobTable:
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from .manager import JobManager
 
-# Agent heartbeat interval, relative to the minimum delay before a round: the delay lets tasks that
-# become pending at nearly the same time be placed in one round.
+# The minimum delay before a round is the agent heartbeat interval divided by this ratio. Because of
+# the delay, tasks that become pending at nearly the same time are placed in one round.
 HEARTBEAT_TO_MIN_DELAY_RATIO = 50
-# Agent heartbeat interval, relative to the minimum pause between rounds.
+# The minimum pause between rounds is the agent heartbeat interval divided by this ratio.
 HEARTBEAT_TO_MIN_PAUSE_RATIO = 10
 # How often, at most, the jobs within their team's guarantee are recomputed per agent heartbeat
 # interval.
@@ -69,7 +69,7 @@
     def on_place(self) -> None:
         """Handles `place`, sent to itself: runs a round if tasks of owned jobs are pending."""
         if not self._round_scheduled:
-            return  # it has already run, before a commit
+            return  # `run_if_due` has already run this round, before a commit
         self._round_scheduled = False
         now = self.now()
         if not self._cluster.machine_types or self._commits.in_flight is not None:
--- a/emberglade/jobs/unattached_chunks.py
+++ b/emberglade/jobs/unattached_chunks.py
@@ -1,7 +1,11 @@
 """Chunks in the replica that no job's record refers to.
 
-Either no record of their job has been applied, because they arrived before it or are orphans; or
-the job does not use their generation, because it is being rechunked or has been rechunked.
+A chunk is unattached in one of two cases:
+
+- The replica contains no record of its job: the record has not arrived yet, or the chunk is an
+  orphan, whose job has no record in the store.
+- Its job uses another generation of chunks: the chunk belongs to the next generation, which a
+  rechunking is writing, or to a previous one, which a rechunking has replaced.
 """
 
 from collections.abc import Iterator
--- a/emberglade/jobs/underused_machine.py
+++ b/emberglade/jobs/underused_machine.py
@@ -5,7 +5,7 @@
 from .. import placement
 from .cluster_view import ClusterView
 
-MAX_MACHINES_TRIED = 8  # for each replica of a candidate all machines are checked
+MAX_MACHINES_TRIED = 8  # each try searches all usable machines once per replica
 
 
 class UnderusedMachine(NamedTuple):
--- a/emberglade/jobs/wire/records.py
+++ b/emberglade/jobs/wire/records.py
@@ -28,11 +28,11 @@
     tasks: int
 
 
-# --- descriptions
+# --- job descriptions
 
 
 def write_spec(spec: JobSpec) -> list[Any]:
-    """A description in its stored form: a row without the id, which is part of the key."""
+    """Encodes a job's description as a row of its fields without the id, which is in the key."""
     return [
         spec.job_class,
         spec.team,
@@ -59,7 +59,7 @@
 
 
 def read_spec(job_id: str, record: Record) -> JobSpec:
-    """The description in the record of a live or a waiting job."""
+    """Decodes the job's description from the record of a live or a waiting job."""
     (
         job_class,
         team,
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -1,7 +1,7 @@
 """The capacity that running and pending tasks require, in machines per pool.
 
-A pool is a machine type and whether its jobs may use spot machines: the design counts per type, and
-some jobs can't run on spot machines.
+A pool is a pair of a machine type and whether jobs may use spot machines of it. Demand is counted
+per machine type, and separately for jobs that can't run on spot machines.
 """
 
 from collections.abc import Iterable, Iterator
@@ -62,7 +62,7 @@
         teams: The teams by name; tasks beyond their team's quota are not counted.
 
     Returns:
-        Machines by pool, not rounded, so that controllers' parts can be summed.
+        Machines by pool, not rounded, so that the demands of several controllers can be summed.
     """
     machines: dict[Pool, float] = {}
     usages: dict[str, TeamUsage] = {}
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -93,7 +93,7 @@
         now = self.now()
         for waiting, limit in self._queues_in_order(now):
             if not self._send_from(waiting, limit, now):
-                # Lower priorities wait as well, or they would use up the budget first.
+                # Lower priorities wait too: they must not use up the budget that this queue needs.
                 return
 
     def _queues_in_order(self, now: float) -> Iterator[tuple[deque[Request], int]]:
@@ -114,7 +114,7 @@
             yield waiting, len(waiting)
 
     def _send_from(self, waiting: deque[Request], limit: int, now: float) -> bool:
-        """Sends up to `limit` requests of one queue; False if a budget is used up.
+        """Sends up to `limit` requests of one queue; False if paused or a budget is used up.
 
         Requests that waited longer than the timeout are answered 429 instead.
         """
