--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciliation: compares the tasks on a machine with those that are committed for it.
 
-The differences become commands. They are derived from the replica alone; docs/safety.md, 4 to 6,
-explains why none of them can do harm, however late it arrives.
+The differences become commands. What is committed is read from the replica alone, which may be
+outdated; docs/safety.md, 4 to 6, explains why no command can do harm, however late it arrives.
 """
 
 import logging
@@ -34,7 +34,7 @@
 class SyncNeed(Enum):
     """Commands that would need a replica synced after the heartbeat arrived."""
 
-    CLEAR = "clear"  # or a halt of an attempt that the replica does not show
+    CLEAR = "clear"  # to clear or halt an attempt that the replica does not bind to the machine
     START = "start"
 
 
@@ -87,7 +87,8 @@
                 self._end_undesired(result, heartbeat.machine, key, status, synced)
             elif status.state is not EXITED:
                 self._stop_if_committed(result, key, status, desired)
-            # Else the job's owner is notified, and the task is cleared once the exit is committed.
+            # An attempt that exited gets no command here: its exit is forwarded to the job's owner
+            # (`update_forwarding`), and the task is cleared once the exit is committed.
         may_start = self._may_start(record)
         for key, desired in desired_tasks.items():
             found = tasks.get(key)
@@ -127,7 +128,8 @@
         exited = status.state is EXITED
         cancelled = self.committed.cancelled
         if not exited and key[0] in cancelled:
-            # No task of a cancelled job may run anywhere, even if the replica is outdated.
+            # Needs no sync: a cancellation is final, so even an outdated replica proves that no
+            # task of the job may run.
             result.fence(cancelled.revision(key[0]))
             result.commands.append(HaltTask(key, status.attempt, 0))
         elif not synced:
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -1,7 +1,7 @@
 """Status tables that controllers write to the store.
 
-A table states the demand that its controller counted. It also contains the controller's machines
-while a live peer has not exchanged views of them recently.
+A table states the demand that its controller counted. It also contains the controller's view of
+its machines whenever some live peer has not exchanged views with it recently.
 """
 
 import logging
@@ -62,11 +62,11 @@
         send(self.job_manager.on_demand, callback(self.on_demand_counted))
 
     def on_demand_counted(self, demand: dict, shortage: dict) -> None:
-        """Handles the job manager's counts for a table: sends the table to the member.
+        """Handles the job manager's counts: builds a table, which the membership actor stores.
 
-        Machines are the largest part of a table, and with them tables were most of the data that an
-        idle cluster wrote. So a table contains machines only while a live peer has not exchanged
-        views with this controller.
+        Machines are the largest part of a table. If every table contained them, tables would be
+        most of the data that an idle cluster writes. So a table contains machines only while some
+        live peer has not exchanged views with this controller recently.
         """
         now = self.now()
         header = self._header(demand, shortage, now)
@@ -114,7 +114,7 @@
         return values
 
     def read(self, node: str) -> None:
-        """Reads a controller's table from the replica, if it is complete."""
+        """Reads a controller's table from the replica, unless some of its values are missing."""
         if node == self.settings.node:
             return
         stored = self.committed.tables.get(node, {})
--- a/emberglade/failure_detection/local_health.py
+++ b/emberglade/failure_detection/local_health.py
@@ -1,12 +1,12 @@
 """Local health: detects that this controller itself is slow (after Lifeguard, 2018)."""
 
-LATE_SHARE = 0.5  # a turn is late if its delay is a larger share of a heartbeat interval
+LATE_SHARE = 0.5  # a turn is late if its delay exceeds this fraction of a heartbeat interval
 MAX_SCORE = 8
 SLOW_SCORE = 4  # from this score on, the controller reports itself as slow
 # A late turn adds one point to the score, and one more per this many heartbeat intervals of delay.
 INTERVALS_PER_POINT = 4
 ON_TIME_TURNS_PER_POINT = 4  # consecutive turns on time that take one point off the score
-PAUSED_INTERVALS = 2  # heartbeat intervals after a pause in which no peer is suspected
+PAUSED_INTERVALS = 2  # after a pause, no peer is suspected for this many heartbeat intervals
 
 
 class LocalHealth:
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -49,7 +49,7 @@
     age_s: float  # time since that heartbeat was sent
     # Age of the peer's contact with the state service when that heartbeat was sent.
     store_contact_age_s: float
-    failback_delay_s: float  # how long the peer must still serve before it takes shards back
+    failback_delay_s: float  # how much longer the peer must serve before it takes shards back
 
 
 class Heartbeat(NamedTuple):
@@ -74,7 +74,8 @@
     """The relay's response to a probe request.
 
     `version` and `age_s` are those of the newest heartbeat that the relay received from the target;
-    `version` is None if the relay did not reach the target or has no heartbeat of its process.
+    `version` is None if the relay did not reach the target or has received no heartbeat from the
+    target's current process.
     """
 
     target: str
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -179,7 +179,8 @@
         return True
 
     def _overflow_keys(self) -> list[str]:
-        # The previous version looks for a machine's taint only in its home key.
+        # Overflow keys are not used while controllers of the previous version may be running:
+        # these look for a machine's taint only in its home key.
         last = (
             HOME_KEY_COUNT + len(self.taints.by_key) + 1 if self.limits.may_move else HOME_KEY_COUNT
         )
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -26,9 +26,9 @@
         """Marks a key to be written, and returns the seconds until the next flush should run.
 
         With `immediate` (starts, stops, finished jobs) the key is due at once. Exits wait to be
-        batched with other changes, since each written key counts towards the rate limit. The lower
-        the current write rate, the shorter they wait, since other controllers see the freed
-        capacity only after the write.
+        batched with other changes, since each written key counts towards the rate limit. But other
+        controllers see the freed capacity only after the write, so exits wait less while the
+        write rate is low.
         """
         if immediate:
             delay, due = WRITE_DELAY_S, now
@@ -41,7 +41,7 @@
         return delay
 
     def requeue(self, keys: list[str], now: float) -> None:
-        """Marks keys whose commit was not executed as due at once."""
+        """Makes keys due at once because the commit that contained them was not executed."""
         self.due.update(dict.fromkeys(keys, now))
 
     def discard(self, key: str) -> None:
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -39,7 +39,8 @@
         generation: The generation of the new chunks.
         mod_revision: Mod revision of the job's record that the new chunks are derived from.
         record: The job's new record.
-        chunks: (key, record) of the further chunks that are still to be written.
+        chunks: (key, record) of the new chunks that are still to be written, without the first
+            chunk, which is part of the job's record.
     """
 
     job_id: str
--- a/emberglade/jobs/shard_owners.py
+++ b/emberglade/jobs/shard_owners.py
@@ -17,7 +17,7 @@
     """The shards' owners according to the replica.
 
     Attributes:
-        incarnation: This process's incarnation; None until the member has sent it.
+        incarnation: This process's incarnation; None until the membership actor has sent it.
         owners: shard -> Owner.
     """
 
--- a/emberglade/user_api/committed_jobs.py
+++ b/emberglade/user_api/committed_jobs.py
@@ -14,14 +14,18 @@
 
 
 class TaskCounts(NamedTuple):
-    """The numbers of a job's tasks that are done, and that are bound to a machine."""
+    """How many of a job's tasks are done, and how many are bound to a machine (`running`)."""
 
     done: int
     running: int
 
 
 def count_tasks(record: dict[str, Any], chunks: Chunks) -> TaskCounts:
-    """Counts a live job's tasks in its record's chunk and in its further chunks of that layout."""
+    """Counts a live job's tasks in all its chunks.
+
+    The first chunk is part of the job's record. Of `chunks`, only those of the record's generation
+    are counted.
+    """
     generation = jobs_wire.read_generation(record)
     own_chunks = [
         jobs_wire.first_chunk(record),
