--- a/emberglade/jobs/binding.py
+++ b/emberglade/jobs/binding.py
@@ -16,15 +16,16 @@
 class Binding:
     """A task that is bound to a machine and may run there.
 
-    An attempt belongs to one agent epoch. If it were started again in a later epoch, a delayed
-    heartbeat of the earlier epoch would be treated as its exit while it runs.
+    An attempt belongs to one agent epoch. If the attempt were started again in a later epoch, a
+    delayed heartbeat of the earlier epoch would be treated as the attempt's exit while it runs.
 
     Attributes:
         attempt: The number of the attempt.
         machine: The machine's name.
         agent_epoch: The machine's agent epoch for which the attempt was bound.
         stop: How the task is to be stopped, if at all.
-        since: When this controller first saw the binding, on its monotonic clock; not stored.
+        since: When the binding was last added to this controller's view, on the monotonic clock;
+            not stored.
     """
 
     attempt: int
--- a/emberglade/jobs/chunking.py
+++ b/emberglade/jobs/chunking.py
@@ -15,7 +15,10 @@
 
 
 def chunk_size(value_bytes: int) -> int:
-    """Tasks per chunk: tasks get three quarters of a value, the description gets the rest."""
+    """Tasks per chunk, such that their bindings take up to three quarters of a value.
+
+    The rest is for the job's description, which is stored with the first chunk.
+    """
     return max(1, value_bytes * 3 // 4 // MAX_BINDING_BYTES)
 
 
@@ -31,11 +34,12 @@
 class ChunkLimits:
     """Determines which jobs have chunks that may be too large to be written.
 
-    Records written under a larger limit stay readable, but the store might refuse their next
-    version.
+    After the limit on the size of a value has been lowered, the records that are already stored
+    stay readable, but the store might refuse the next version of a record that exceeds the limit.
 
     Attributes:
-        format_raised: Whether all controllers can read records of the new format.
+        format_raised: Whether the cluster's record format allows rechunked jobs: every controller
+            can read them (emberglade/membership/format.py).
     """
 
     def __init__(self, value_bytes: int) -> None:
@@ -47,7 +51,11 @@
         return chunk_size_for(spec, self._value_bytes)
 
     def needs_rechunking(self, job: Job) -> bool:
-        """Whether a chunk of the job may be too large to be written."""
+        """Whether a chunk of the job may be too large to be written.
+
+        Also False if rechunking is impossible: the record format is not raised yet, or not even the
+        job's description fits a value.
+        """
         if not self.format_raised:
             return False
         if job.fitting_chunk_size is None:
@@ -75,7 +83,10 @@
 def waiting_record_with_segments(
     spec: JobSpec, dependencies: Sequence[str], list_id: str, value_bytes: int
 ) -> tuple[WaitingJobRecord, list[list[str]]]:
-    """A job's WaitingJobRecord and the segments of its dependencies, each of which fits a value."""
+    """A job's WaitingJobRecord, and the segments of its list of dependencies.
+
+    Each segment fits a value. There are no segments if the whole list fits into the record.
+    """
     record = WaitingJobRecord(spec, tuple(dependencies))
     if len(orjson.dumps(wire.waiting_record(record))) + MAX_RECORD_OVERHEAD_BYTES <= value_bytes:
         return record, []
--- a/emberglade/jobs/cluster_view.py
+++ b/emberglade/jobs/cluster_view.py
@@ -58,7 +58,7 @@
         return self.capacity.bound_tasks
 
     def bind(self, job: Job, task: int, binding: Binding) -> None:
-        """Adds a bound task to the used capacity, and its image to the machine's cache."""
+        """Adds a bound task to the used capacity, and its image to those expected in the cache."""
         self.capacity.add(job, task, binding)
         machine = self.machines.get(binding.machine)
         if machine is not None:
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -1,7 +1,9 @@
-"""Determines the outcome of a commit that got no answer or was refused.
+"""Settles a commit: determines its outcome and reads the committed state of its keys.
 
-It first ensures that the commit either has been executed or never will be, and then reads the
-commit's keys from an up-to-date replica.
+A commit is settled if it got no answer, or an error other than a temporary refusal. The switch of a
+rechunked job to its new chunks is settled after a success, too (`rechunking.py`). Settling first
+ensures that the commit either has been executed or never will be, and then reads the commit's keys
+from an up-to-date replica.
 """
 
 from collections.abc import Callable
@@ -22,7 +24,7 @@
 
 
 class CommitSettlement(ActorPart):
-    """Settles a commit of unknown outcome.
+    """Settles one commit at a time.
 
     `settled` is the handler that receives the replica's final state of the commit's keys:
     {key: (record, mod revision), or None if absent}.
@@ -87,7 +89,7 @@
         send(self._store.on_sync, callback(self.on_synced, in_flight))
 
     def on_synced(self, in_flight: CommitInFlight, revision: int | None) -> None:
-        """Handles the sync's answer, after which the replica shows the commit's outcome."""
+        """Handles the sync's answer; after a success, the replica shows the commit's outcome."""
         if revision is None:
             send_after(SYNC_RETRY_S, self.on_sync, in_flight)
             return
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -44,7 +44,9 @@
 
 
 class Commits(ActorPart):
-    """Commits decisions; nothing else is written while the outcome of a commit is unknown.
+    """Commits decisions on live jobs.
+
+    While the outcome of such a commit is unknown, no other decision on a live job is committed.
 
     Attributes:
         pending: The changed records that are not written yet.
@@ -74,12 +76,13 @@
     def mark_changed(self, job: Job, task: int, immediate: bool = True) -> None:
         """Marks a task's chunk as changed.
 
-        With `immediate` it is written at the next flush, else it waits to be batched with others.
+        With `immediate` the chunk is due at the next flush, else it waits to be batched with
+        others.
         """
         self._mark(wire.key_of_chunk(job, task // job.chunk_size), immediate)
 
     def mark_if_finished(self, job: Job) -> None:
-        """Marks the key of a finished job to be written, if this controller owns the job."""
+        """If a job is finished and owned, marks its key: a flush then writes its final state."""
         if job.is_finished() and self._owners.owns(job):
             self._mark(wire.job_key(job.id), immediate=True)
 
@@ -154,7 +157,7 @@
     def on_flushed(
         self, finished_jobs: list[FinishedJob], status: int, revision: int | None, failed: Any
     ) -> None:
-        """Handles the store's answer to a commit that writes `finished_jobs`' final states."""
+        """Handles the store's answer to a commit, which writes final states of `finished_jobs`."""
         if status == 200 and revision is not None:
             self._apply_success(finished_jobs, revision)
         elif status in NOT_EXECUTED:
@@ -220,7 +223,7 @@
     # --- commits of other parts, which write a job's own key
 
     def set_in_flight(self, in_flight: CommitInFlight) -> None:
-        """Registers a commit of another part; nothing is written until its outcome is known."""
+        """Registers a commit of another part; decisions wait until its outcome is known."""
         self.in_flight = in_flight
 
     def discard_in_flight(self) -> None:
@@ -237,7 +240,7 @@
         return in_flight
 
     def _apply_deferred(self, in_flight: CommitInFlight, revision: int) -> None:
-        """Applies the changes received while the commit was in flight, if they are newer."""
+        """Applies the changes newer than `revision` that were received during the commit."""
         for event in in_flight.events_after(revision):
             self._listener.apply_event(*event)
 
@@ -248,7 +251,7 @@
     # --- commits that failed or whose outcome is unknown
 
     def settle(self, outcome_final: bool) -> None:
-        """Determines the outcome of the commit in flight and resets the view to it.
+        """Determines the outcome of the commit in flight; resets its keys to their committed state.
 
         `outcome_final`: whether it is certain already that the commit either has been executed or
         never will be.
@@ -264,7 +267,7 @@
         self._schedule_next_flush()
 
     def reset_to_committed(self, found: dict[str, Any]) -> None:
-        """Discards all uncommitted decisions on these keys.
+        """Discards all uncommitted decisions on the keys in `found`.
 
         `found` is {key: (record, mod revision), or None if absent}, as read from the replica.
         """
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -30,7 +30,10 @@
         self._changed_taints: set[str] = set()
 
     def reset_for_snapshot(self, keys: set[str]) -> None:
-        """Prepares for a snapshot of the replica; `keys` are all keys in it."""
+        """Before a snapshot is applied: removes all taints, and jobs without a key in `keys`.
+
+        `keys` are all keys in the snapshot.
+        """
         for job_id in [job_id for job_id in self._jobs.jobs if wire.job_key(job_id) not in keys]:
             self._jobs.remove(job_id)
         self._cluster.taints.forget()
--- a/emberglade/jobs/dependencies.py
+++ b/emberglade/jobs/dependencies.py
@@ -2,8 +2,9 @@
 
 From the same replica every controller derives the same result: which jobs may be released, which
 are cancelled because a dependency was cancelled, and which urgency a job inherits from its
-dependents. None of it is stored. Traversals use an explicit stack instead of recursion, because
-chains of dependencies may be long.
+dependents. These results are not stored.
+
+Traversals use an explicit stack instead of recursion, because chains of dependencies may be long.
 """
 
 from collections import OrderedDict
@@ -15,7 +16,8 @@
 from .waiting_job import WaitingJob, WaitingJobRecord
 from .wire import Outcome
 
-# Finished jobs whose outcome is kept in memory; the outcomes of others are read on demand.
+# Finished jobs whose outcome is kept in memory. The outcome of any other finished job is read from
+# the store if a waiting job depends on that job.
 MAX_OUTCOMES = 20_000
 
 
@@ -51,7 +53,8 @@
         """Applies changes of the replica in order; `is_snapshot`: they are the complete replica."""
         if is_snapshot:
             self._clear()
-        # Segments are applied first, because in the order of keys a job precedes its segments.
+        # Segments are applied first: adding a waiting job reads its segments, whose keys follow the
+        # job's own key in the order of keys.
         for key, record, mod_revision in events:
             if key.startswith(wire.SEGMENT_PREFIX):
                 self._apply_segment(key, record, mod_revision)
@@ -108,7 +111,7 @@
             removed = self._remove(job_id)
             if removed is not None and removed.cancelled:
                 self.resolve(job_id, Outcome.CANCELLED)
-            touched.add(job_id)  # released, or cancelled by its own user
+            touched.add(job_id)  # unless resolved, it was released, or cancelled by its user
         elif job_id not in self.waiting:
             self._add(job_id, wire.read_waiting_record(job_id, record), mod_revision)
             touched.add(job_id)
@@ -155,7 +158,10 @@
         return job
 
     def _update_unresolved(self, job_id: str) -> None:
-        """Updates `unresolved` for a job: a finished dependency whose outcome is not known."""
+        """Adds a job to `unresolved` or removes it.
+
+        It belongs there if it is a finished dependency whose outcome is not known.
+        """
         if (
             job_id in self.live
             or job_id in self.waiting
@@ -186,7 +192,10 @@
                 self.ready.add(dependent)
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether a job is cancelled according to the replica, by its user or with a dependency."""
+        """Whether a job is known to be cancelled.
+
+        Its user cancelled it, or a dependency was cancelled.
+        """
         waiting = self.waiting.get(job_id)
         return bool(
             self.live.get(job_id)
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -31,7 +31,7 @@
 
 
 class DependencyRelease(ActorPart):
-    """Releases or cancels the waiting jobs of the shards that this controller owns."""
+    """Releases ready and ends cancelled waiting jobs of the shards that this controller owns."""
 
     def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
         super().__init__(actor)
@@ -161,7 +161,7 @@
         send(self._store.on_sync, callback(self.on_synced))
 
     def on_synced(self, revision: int | None) -> None:
-        """Handles the sync's answer, after which the replica shows the transaction's outcome."""
+        """Handles the sync's answer; after a success, the replica shows the outcome."""
         if revision is None:
             send_after(self._settings.agent_heartbeat_s / 3, self.on_advance_again)
             return
--- a/emberglade/jobs/failure_backoff.py
+++ b/emberglade/jobs/failure_backoff.py
@@ -39,7 +39,8 @@
 class FailureBackoff:
     """Backs off machines on which tasks fail, and tasks of jobs that fail on several machines.
 
-    The backoff of a machine grows exponentially with its errors.
+    The backoff of a machine after an error doubles with each error, up to MAX_BACKOFF_LEASES. A
+    machine without capacity for the task is backed off for a fixed time.
     """
 
     def __init__(self, settings: "Settings") -> None:
@@ -51,7 +52,7 @@
         return [name for name, backoff in self._machines.items() if backoff.until > now]
 
     def record_exit(self, job: Job, update: TaskExited, now: float) -> None:
-        """Records the exit of an attempt whose task is not done; backs off the machine or task."""
+        """Backs off the machine or the task after an exit that leaves the task undone."""
         task, machine, reason = update.task, update.machine, update.reason
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
         if reason == ERROR:
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -1,7 +1,7 @@
-"""Removes chunks of jobs that are no longer used.
+"""Removes chunks that no job uses any more.
 
-The first chunk of a job is stored in the job's own key and removed with it; this module removes the
-further chunks, which have keys of their own.
+The first chunk of a job is stored in the job's own key and removed with that key. This module
+removes the job's other chunks, which have keys of their own.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -35,7 +35,7 @@
         self._orphaned_since: dict[str, float] = {}
 
     def add_chunks_of(self, job: Job) -> None:
-        """Marks the further chunks of a finished job for removal."""
+        """Marks all chunks of a finished job but the first for removal."""
         self._garbage.update(
             (wire.key_of_chunk(job, number), chunk.mod_revision)
             for number, chunk in job.chunks.items()
@@ -76,8 +76,8 @@
     def _is_unused(self, key: str) -> bool:
         """Whether a chunk is unused.
 
-        It is if its job is not live, or if this controller owns the job and the job uses another
-        generation.
+        A chunk is unused if its job is not live, or if this controller owns the job and the job
+        uses another generation of chunks.
         """
         chunk = wire.read_chunk_key(key)
         job = self._jobs.get(chunk.job_id)
@@ -97,7 +97,7 @@
         return self._owners.epoch_condition(job.stored_spec)
 
     def sweep_generations(self, rechunked_job_id: str | None) -> None:
-        """Marks unattached chunks of owned jobs for removal: the jobs do not use their generation.
+        """Marks unattached chunks of owned jobs for removal: their job uses another generation.
 
         The job `rechunked_job_id` is skipped: chunks of its next generation are being written.
         """
@@ -109,7 +109,8 @@
     def sweep_orphans(self) -> None:
         """Marks chunks without a job for removal; a crashed controller may leave such chunks.
 
-        Only the owner of the first shard does this, after ORPHAN_RETENTION_LEASES.
+        Only the owner of the first shard does this, and only after it has seen the chunks without a
+        job for ORPHAN_RETENTION_LEASES.
         """
         if not self._owners.owns_first_shard():
             return
--- a/emberglade/jobs/job.py
+++ b/emberglade/jobs/job.py
@@ -1,4 +1,4 @@
-"""A live job (one that is not finished) and its tasks."""
+"""A live job (one that no longer waits for dependencies and is not finished) and its tasks."""
 
 import zlib
 from collections.abc import Iterator, Mapping
@@ -19,11 +19,12 @@
 
     Attributes:
         stored_spec: The description as accepted and stored.
-        spec: The same with the priority and the deadline inherited from dependents.
+        spec: `stored_spec`, with a higher priority or an earlier deadline if the job inherits one
+            from the jobs that depend on it.
         chunk_size: Tasks per chunk.
-        generation: Part of its chunks' keys; changes when the job is rechunked.
-        fitting_chunk_size: Tasks per chunk with which the records fit the store's limit on the size
-            of a value; None until computed.
+        generation: Part of the keys of all chunks but the first; changes when the job is rechunked.
+        fitting_chunk_size: Maximum number of tasks per chunk with which the records fit the store's
+            limit on the size of a value; 0 if not even the description fits; None until computed.
         cancelled: Whether its user has cancelled it.
         chunks: number -> Chunk; all tasks of a missing chunk are pending and were never attempted.
         last_bound_at: When a binding of the job was last added to this controller's view, on the
@@ -54,7 +55,8 @@
     def inherit_urgency(self, urgency: Urgency | None) -> None:
         """Updates `spec` with the urgency inherited from dependents; without one, resets it.
 
-        The higher priority and the earlier due time apply.
+        Of the job's own and the inherited urgency, the higher priority and the earlier due time
+        apply.
         """
         own = self.stored_spec
         if urgency is None:
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -1,7 +1,7 @@
 """The job manager: a view of all live jobs, and the decisions on the jobs of owned shards.
 
-A decision takes effect only once its commit has succeeded. The job manager sends nothing to agents:
-`emberglade/agents` sends their commands, based on the replica.
+A decision takes effect only once its commit has succeeded. The job manager sends nothing to the
+machines' agents: `emberglade/agents` derives the agents' commands from the replica and sends them.
 """
 
 from collections.abc import Callable, Mapping
@@ -44,7 +44,8 @@
     - `scheduler` places pending tasks; `preemption` stops running tasks to free capacity.
     - `commits` writes the decisions to the store.
     - `rechunking` rewrites jobs in smaller chunks; `garbage` removes unused chunks.
-    - `release` turns waiting jobs into live ones; `segments` removes unused dependency lists.
+    - `release` turns waiting jobs into live ones, or ends them if a dependency was cancelled.
+    - `segments` removes unused dependency lists.
 
     Attributes:
         agents: The agent manager; set when the controller is assembled.
@@ -82,7 +83,7 @@
         send_after(TICK_S, self.on_tick)
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: this process's incarnation."""
+        """Handles `identity(incarnation)` from the membership actor: this process's incarnation."""
         super().on_identity(incarnation)
         self.view.owners.incarnation = incarnation
 
@@ -100,7 +101,9 @@
     def on_changed(self, events: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(events, revision, is_snapshot)` from the store: the replica has changed.
 
-        Changes of keys that the commit in flight writes are deferred until its outcome is known.
+        Changes of keys that the commit in flight writes are deferred until the commit's outcome is
+        known. The dependency graph contains no uncommitted decisions, so it applies all changes at
+        once.
         """
         if is_snapshot:
             self.committed.reset_for_snapshot(
@@ -124,7 +127,7 @@
         self.release.advance()
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every TICK_S: work that no other message triggers."""
+        """Handles `tick`, sent to itself every TICK_S: periodic work, and retries."""
         send_after(TICK_S, self.on_tick)
         for job in list(self.jobs.values()):
             self.commits.mark_if_finished(job)
@@ -152,7 +155,7 @@
         self.scheduler.run_if_due()
 
     def apply_event(self, key: str, record: Any, mod_revision: int) -> None:
-        """Applies a change of the replica that was deferred during a commit."""
+        """Applies a change deferred during a commit, or a record read after a failed commit."""
         self.committed.apply(key, record, mod_revision)
 
     def after_reset(self) -> None:
@@ -165,7 +168,7 @@
         self.scheduler.schedule_round()
 
     def request_stop(self, update: StopRequested) -> None:
-        """Sends the request to stop a task to the owner of its job."""
+        """Asks the owner of a task's job to stop the task; the agent manager forwards this."""
         send(self.agents.on_ask_stop, update)
 
     # --- queries from other actors
@@ -174,10 +177,11 @@
         self,
         reply: Callable[[dict[placement.Pool, float], dict[placement.ZonePool, float]], None],
     ) -> None:
-        """Handles `demand(reply)` from the agent manager: the demand of owned jobs.
+        """Handles `demand(reply)` from the agent manager: the machines that owned jobs require.
 
-        `reply({Pool: machines}, {ZonePool: machines})`: the demand per pool, in machines, and the
-        part of it that can run in one zone only and finds no capacity there.
+        `reply({Pool: machines}, {ZonePool: machines})`: the machines that the jobs and the tasks
+        expected soon require, and the machines that are missing in a zone for pending tasks that
+        can run in that zone only.
         """
         settings, cluster = self.settings, self.view.cluster
         own = [
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -60,8 +60,9 @@
         """The sort key that determines when a key is written.
 
         When a third of the machines is lost, nearly every job has to be written, so the keys of
-        urgent jobs go first. Each step of priority counts as a quarter of a heartbeat interval, so
-        that no key is postponed indefinitely.
+        urgent jobs go first: each step to a lower priority counts as if the key were due a quarter
+        of a heartbeat interval later. This delay is bounded, so that no key is postponed
+        indefinitely.
         """
         job = self._jobs.get(wire.job_id_of(key))
         priority = job.spec.priority if job is not None else 0
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -53,8 +53,8 @@
     def run(self, pending: list[Job]) -> None:
         """Places the pending jobs in the given order.
 
-        A first pass places only tasks within their team's guarantee, so that these do not wait for
-        jobs of teams that exceed theirs.
+        If any team has a guarantee, a first pass places only critical jobs and tasks within their
+        team's guarantee, so that these do not wait for jobs of teams that exceed their guarantees.
         """
         if any(team.guaranteed_cpus or team.guaranteed_gpus for team in self._teams.values()):
             for job in pending:
@@ -95,8 +95,9 @@
 
         Tasks with many attempts are skipped if their job has no progress: its owner has probably
         backed them off. Tasks of a job with progress may reach as many attempts when many machines
-        fail; without a reservation their capacity goes to other jobs, and tasks are preempted for
-        them repeatedly (protocol_rules/random_combined_faults_small_values.txt, seed 39).
+        fail. If no capacity were reserved for these tasks, other jobs would use it, and their tasks
+        would then be preempted, repeatedly
+        (protocol_rules/random_combined_faults_small_values.txt, seed 39).
         """
         reserved = self._reserved.get(job.id, 0)
         has_progress = job.has_progress()
@@ -110,7 +111,10 @@
         self._reserved[job.id] = reserved + len(filled)
 
     def _place(self, job: Job, tasks: list[int]) -> int:
-        """Binds as many of the tasks as capacity allows, and returns their number."""
+        """Binds as many of the tasks as capacity allows, and returns how many it bound.
+
+        A gang without bound tasks is bound completely or not at all.
+        """
         machines = self._round.place(job, len(tasks))
         self._round.undo_place(machines)
         incomplete_gang = (
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -85,8 +85,8 @@
     def _may_preempt_now(self, job: Job, guaranteed: set[str]) -> bool:
         """Whether a pending job is urgent enough to preempt others now.
 
-        A job with a deadline that is not within its team's guarantee preempts only when little time
-        is left until the deadline.
+        A service, or a job within its team's guarantee, may preempt after a short wait. Any other
+        job with a deadline may preempt only when little time is left until the deadline.
         """
         spec = job.spec
         heartbeat_s, lease_s = self._settings.agent_heartbeat_s, self._settings.lease_s
@@ -126,7 +126,7 @@
         return placement.PreemptionRules(self._cluster.capacity, self._settings.teams)
 
     def _count_stopping_as_free(self, placement_round: placement.PlacementRound) -> None:
-        """Counts tasks that are being stopped as free, so that no further victims replace them."""
+        """Counts the capacity of tasks being stopped as free, to avoid choosing excess victims."""
         for job in self._jobs.jobs.values():
             for binding in [
                 binding for _, binding in job.bindings() if binding.stop or job.cancelled
@@ -170,7 +170,9 @@
         return stoppable
 
     def _is_late_start(self, job: Job, binding: Binding, now: float) -> bool:
-        """Whether a task has recently been bound after a long wait, and is protected for a while.
+        """Whether a task is protected because it has recently been bound after a long wait.
+
+        The protection ends once a task of the job is done.
 
         Without this protection, a job of a higher priority preempts a starving job's tasks before
         they start. The starving job is then placed first again, this repeats, and neither job runs
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -1,9 +1,11 @@
 """Rechunks jobs whose chunks may exceed the store's limit on the size of a value.
 
-Records written under a larger limit stay readable, but the store might refuse their next version.
-The owner first writes the new chunks under keys of a new generation, which are not read yet. Then
-it switches the job's record to them in one conditional transaction. Until then the job is not
-changed in any other way; status updates of its tasks are repeated by heartbeats, so none is lost.
+After the limit has been lowered, the records that are already stored stay readable, but the store
+might refuse the next version of a record that exceeds it. The owner of the job first writes the new
+chunks under keys of a new generation, which the job's record does not refer to yet. Then it
+switches the record to the new chunks in one conditional transaction. Until then the owner does not
+change the job in any other way. It ignores status updates of the job's tasks; none is lost, because
+heartbeats repeat them.
 """
 
 import logging
@@ -156,7 +158,7 @@
         revision: int | None,
         failed: Any,
     ) -> None:
-        """Handles the store's answer to the first `count` of the new chunks."""
+        """Handles the store's answer to the write of the first `count` chunks of `operation`."""
         if status == 200:
             del operation.chunks[:count]
             self._write(operation)
@@ -175,7 +177,8 @@
     def _switch(self, job: Job, operation: RechunkOperation) -> None:
         """Switches the job's record to the new chunks.
 
-        As with any other commit of decisions, nothing else is written until its outcome is known.
+        As with any other commit on live jobs, no decision is committed until the outcome of this
+        commit is known.
         """
         if self._commits.in_flight is not None:
             send_after(self._settings.agent_heartbeat_s / 40, self.on_write_again, operation)
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -67,7 +67,11 @@
             self.on_place()
 
     def on_place(self) -> None:
-        """Handles `place`, sent to itself: runs a round if tasks of owned jobs are pending."""
+        """Handles `place`, sent to itself: runs a round if tasks of owned jobs are pending.
+
+        No round runs while the machine types are unknown or a commit is in flight. The manager's
+        next `tick`, or an earlier message, schedules another round.
+        """
         if not self._round_scheduled:
             return  # `run_if_due` has already run this round, before a commit
         self._round_scheduled = False
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -31,8 +31,8 @@
         """Removes the segments of one list that was unused for UNUSED_LIST_RETENTION_LEASES.
 
         Only the owner of the first shard does this. The first segment is removed first: the write
-        of a waiting job's key is conditional on it, so no job can refer to a list that is being
-        removed. A later sweep repeats what fails and removes what is left.
+        that creates a waiting job is conditional on that segment, so no job can refer to a list
+        that is being removed. Later sweeps retry failed removals and remove the remaining segments.
         """
         if not self._owners.owns_first_shard():
             self._unused_since = {}
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -51,8 +51,9 @@
     def apply(self, update: TaskUpdate) -> None:
         """Applies a status update of one attempt, or a request to stop it.
 
-        Updates of jobs that this controller does not own, or may not change now, are ignored: the
-        agents' next heartbeats repeat them.
+        Updates of jobs that this controller does not own, or may not change now, are ignored. The
+        agents' next heartbeats lead to the same updates again, and a controller that preempts
+        repeats its request if it still needs the capacity.
         """
         job = self._jobs.get(update.job_id)
         if job is None or not self.may_change(job) or not 0 <= update.task < job.spec.tasks:
@@ -97,7 +98,10 @@
             self._commits.mark_changed(job, task)
 
     def stop(self, job: Job, task: int, mode: int, reason: str) -> None:
-        """Marks a bound task to be stopped; `mode` is a StopMode, `reason` is for the log."""
+        """Marks a bound task to be stopped; `mode` is a StopMode, `reason` is for the log.
+
+        A task that saves no checkpoints is stopped at once, also with StopMode.SAVE.
+        """
         binding = job.chunk_of(task).bindings[task]
         log.info(
             "stopping task %s on machine %s: %s", task_name(job.id, task), binding.machine, reason
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -1,4 +1,4 @@
-"""Updates about one attempt of a task that a controller sends to the owner of its job.
+"""Updates about one attempt of a task, which a controller sends to the owner of the task's job.
 
 An update states a proven fact about one attempt on one machine, or requests a stop of that attempt.
 Delivered late or twice, it has no wrong effect.
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskGone:
-    """Proof that the attempt is not on its machine and never will be again."""
+    """Proof that the attempt is not running on its machine and never will be."""
 
     job_id: str
     task: int
--- a/emberglade/jobs/transaction.py
+++ b/emberglade/jobs/transaction.py
@@ -36,7 +36,7 @@
     Attributes:
         chunks: key -> the Chunk that is written to it.
         shards: The shards whose epochs the commit is conditional on.
-        deferred: key -> changes received from the replica while the commit is in flight.
+        deferred: key -> the key's changes received from the replica while the commit is in flight.
     """
 
     chunks: dict[str, Chunk]
@@ -89,7 +89,7 @@
         )
 
     def add_record(self, key: str, job: Job, shard: int, epoch: Condition) -> None:
-        """Adds the record of a job's own key, or of one of its further chunks."""
+        """Adds the write of a job's own key, or of the key of a chunk other than the first."""
         chunk = chunk_at(job, key)
         self._add_conditions(key, chunk, shard, epoch)
         own_key = wire.is_job_key(key)
--- a/emberglade/jobs/underused_machine.py
+++ b/emberglade/jobs/underused_machine.py
@@ -36,7 +36,10 @@
 
 
 def _candidates(cluster: ClusterView, type_name: str, limit: int) -> list[tuple[int, str]]:
-    """(replicas, machine) of the machines of this type that run at most `limit` replicas."""
+    """(replicas, machine) of the ordinary machines that run at most `limit` replicas, nothing else.
+
+    They are of the type `type_name`, schedulable and untainted.
+    """
     rows = []
     for name, machine in cluster.machines.items():
         tasks = cluster.tasks_on(name)
--- a/emberglade/jobs/urgency.py
+++ b/emberglade/jobs/urgency.py
@@ -44,7 +44,7 @@
         self._changed: set[str] = set()
 
     def get(self, job_id: str) -> Urgency | None:
-        """The urgency that a job inherits; None if no job depends on it."""
+        """The urgency that a job inherits; None if it has only cancelled dependents, or none."""
         return self._urgency.get(job_id)
 
     def of_waiting(self, job_id: str) -> Urgency:
@@ -92,7 +92,10 @@
                 stack.extend(self._waiting[dependency].dependencies)
 
     def _propagated_urgency(self, job_id: str) -> Urgency:
-        """The urgency that a waiting job's dependencies inherit: due early enough for it to run."""
+        """The urgency that a waiting job's dependencies inherit.
+
+        The dependencies are due early enough for the waiting job to run before its own due time.
+        """
         urgency = self.of_waiting(job_id)
         return Urgency(urgency.priority, urgency.due - self._waiting[job_id].spec.estimated_run_s)
 
--- a/emberglade/jobs/view.py
+++ b/emberglade/jobs/view.py
@@ -20,7 +20,7 @@
 
     Attributes:
         settings: The platform's settings.
-        budget: The write rate, and the size limit of commits.
+        budget: The recent rate of writes, and the size limit of commits.
         cluster: The machines and their free capacity.
         jobs: The live jobs.
         unattached: Chunks that no job's record refers to.
--- a/emberglade/jobs/waiting_job.py
+++ b/emberglade/jobs/waiting_job.py
@@ -2,8 +2,8 @@
 
 Waiting jobs are stored under keys of their own, so that the code for live jobs does not see them:
 they use none of their team's quota or guarantee and create no demand for machines. A list of
-dependencies that is too long for one value is stored in segments. These are written before the
-job's key, the first segment last.
+dependencies that is too long for one value is stored in segments. The segments are written before
+the job's own key, the first segment last.
 """
 
 from collections.abc import Iterable
--- a/emberglade/jobs/wire/__init__.py
+++ b/emberglade/jobs/wire/__init__.py
@@ -3,8 +3,8 @@
 Keys are given without LIVE_PREFIX (or FINAL_PREFIX), as in the replica:
 
     j/JOB                   a live job: its description and its first chunk of tasks
-    t/JOB/N                 a further chunk of its tasks
-    t/JOB/GENERATION/N      a further chunk of a job that was divided into new chunks (rechunked)
+    t/JOB/N                 chunk number N > 0 of its tasks (number 0 is the first chunk)
+    t/JOB/GENERATION/N      the same, if the job was divided into new chunks (rechunked)
     w/JOB                   a waiting job
     x/JOB/LIST/N            a segment of a waiting job's list of dependencies, if the list does not
                             fit into the job's record
--- a/emberglade/jobs/wire/keys.py
+++ b/emberglade/jobs/wire/keys.py
@@ -11,7 +11,7 @@
 
 
 class ChunkKey(NamedTuple):
-    """The parts of a further chunk's key: any but the first chunk, which is in the job's own key.
+    """The parts of the key of a chunk other than the first, which is stored in the job's own key.
 
     `generation` is empty unless the job was rechunked.
     """
@@ -40,7 +40,7 @@
 
 
 def chunk_key(job_id: str, number: int, generation: str = "") -> str:
-    """The key of a further chunk of a live job."""
+    """The key of a chunk of a live job, other than the first."""
     if generation:
         return f"{CHUNK_PREFIX}{job_id}/{generation}/{number}"
     return f"{CHUNK_PREFIX}{job_id}/{number}"
@@ -52,12 +52,12 @@
 
 
 def is_chunk_key(key: str) -> bool:
-    """Whether a key is that of a further chunk."""
+    """Whether a key is that of a chunk other than the first."""
     return key.startswith(CHUNK_PREFIX)
 
 
 def read_chunk_key(key: str) -> ChunkKey:
-    """Parses the key of a further chunk."""
+    """Parses the key of a chunk other than the first."""
     _, job_id, *generation, number = key.split("/")
     return ChunkKey(job_id, "".join(generation), int(number))
 
@@ -84,5 +84,5 @@
 
 
 def job_id_of(key: str) -> str:
-    """The id of the job to which a key with any of these prefixes belongs."""
+    """The id of the job to which a key with one of this module's prefixes belongs."""
     return key.split("/")[1]
--- a/emberglade/jobs/write_budget.py
+++ b/emberglade/jobs/write_budget.py
@@ -14,7 +14,8 @@
     """Tracks the rate of writes and limits the size of commits.
 
     Attributes:
-        max_writes: Keys that one commit may write; reduced while the store refuses commits.
+        max_writes: Keys that one commit may write; reduced while the store refuses commits because
+            of their rate of writes.
     """
 
     def __init__(self, settings: "Settings") -> None:
@@ -37,9 +38,9 @@
         return self.count_writes(now, 0) / self._granted_writes_per_s
 
     def grow(self) -> None:
-        """Doubles the size of the next commit, up to the limit, after one was executed."""
+        """Doubles `max_writes`, up to the store's limit, after a commit was executed."""
         self.max_writes = min(self._settings.txn_ops, 2 * self.max_writes)
 
     def shrink(self) -> None:
-        """Halves the size of the next commit, after the store refused one for its write rate."""
+        """Halves `max_writes`, after the store refused a commit because of the rate of writes."""
         self.max_writes = max(1, self.max_writes // 2)
