--- a/emberglade/controller.py
+++ b/emberglade/controller.py
@@ -68,7 +68,11 @@
     member: Member,
     peer_clients: Mapping[str, Any],
 ) -> "PeerMonitor":
-    """Creates the monitor of the other controllers, and sets the planners of the member."""
+    """Creates the monitor of the other controllers.
+
+    Also sets the planners, which decide from the monitor's views whether `member` (the membership
+    actor) takes shards and leadership.
+    """
     from .failure_detection import (  # imported only if failure detection is on
         LeaderPlanner,
         PeerMonitor,
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -1,9 +1,9 @@
 """The autoscaler of the fleet: it runs on every controller, and acts only on the leader.
 
 Every write is conditional on the mod revision of the leader's key, so a previous leader can no
-longer write. Requests that it still sends to the cloud do no harm: the names of requests are never
-reused, and the tasks of a machine that was scaled in move only after the current leader has written
-its taint.
+longer write. Requests that a previous leader still sends to the cloud do no harm: the names of
+requests are never reused, and the tasks of a machine that it scales in move only after the current
+leader has tainted that machine.
 """
 
 import logging
@@ -34,8 +34,9 @@
 
 START_DELAY_S = 0.5
 TICK_S = 1.0
-# Ticks until a new leader's first cost round is due, if rounds are longer. The leader does not wait
-# for a whole round: at a start or after a failover no request for machines is pending.
+# Ticks from the start of a leadership until its first cost round, unless a cost round is shorter. A
+# new leader does not wait for the length of a round: after a start or failover, no request for
+# machines is pending.
 FIRST_ROUND_TICKS = 3
 
 
@@ -47,8 +48,8 @@
 
     Attributes:
         is_loaded: Whether the replica has been read.
-        ticks: Seconds as leader, from an initial value; a cost round is due at multiples of
-            `cost_round_s`.
+        ticks: Counter of seconds as leader; a cost round is due at multiples of `cost_round_s`. It
+            starts close to such a multiple, so that the first round of a leadership is due early.
     """
 
     def __init__(
@@ -144,7 +145,8 @@
         self.taint_writer.begin_leadership()
         self.listing.begin_leadership()
         self.ticks = max(0, int(self.operators.cost_round_s) - FIRST_ROUND_TICKS)
-        # A new leader's own data is empty, so it starts from the heartbeats of all controllers.
+        # The records of this leadership are empty, but the agent manager knows the heartbeats that
+        # all controllers received.
         self.liveness.request_liveness(tainted_only=True)
         if not self.catalog.machine_types:
             # Controllers can't validate submissions before a catalog is stored.
@@ -153,7 +155,11 @@
     # --- every second
 
     def on_tick(self) -> None:
-        """Handles `tick`, sent to itself every second: polls, and runs a cost round if due."""
+        """Handles `tick`, sent to itself every second; only the leader acts on it.
+
+        Refreshes catalog, list, occupied machines and liveness, records the demand, and runs a cost
+        round if one is due.
+        """
         send_after(TICK_S, self.on_tick)
         if not self.is_leader or not self.is_loaded:
             return
--- a/emberglade/fleet/catalog.py
+++ b/emberglade/fleet/catalog.py
@@ -18,7 +18,7 @@
 
 
 class MachineCatalog(ActorPart):
-    """The machine types as committed.
+    """The committed machine types, and the leader's requests that keep them up to date.
 
     Attributes:
         machine_types: {name: MachineType}; empty until a leader has stored a catalog.
--- a/emberglade/fleet/consolidation.py
+++ b/emberglade/fleet/consolidation.py
@@ -1,8 +1,8 @@
 """Empties surplus machines that run only a few service replicas.
 
 Replicas run longer than other tasks and end one at a time, which leaves machines mostly empty. A
-move interrupts a replica for one to two seconds, so few are moved, and only to machines that have
-their image.
+move interrupts a replica for one to two seconds, so few replicas are moved, and only to machines
+that have their image.
 """
 
 import logging
@@ -22,7 +22,8 @@
 
 log = logging.getLogger("emberglade.fleet")
 
-# Share of all replicas moved per second. A move takes 1 to 2 s: 0.0005 of their run time is lost.
+# Share of all replicas that may be moved per second. As a move interrupts a replica for 1 to 2 s,
+# replicas lose about 0.0005 of their run time.
 MOVED_SHARE_PER_S = 1 / 3000
 MAX_BUDGET_S = 60  # an unused budget accumulates for this long
 
@@ -60,11 +61,11 @@
         self.move_budget = 0.0
 
     def consolidate(self, machine_type: str) -> None:
-        """Asks the job manager for a machine to empty, if a type has surplus machines.
+        """Asks the job manager for a machine to empty, if a type has enough surplus machines.
 
-        Idle machines are removed first, as that moves no replica. No machine is emptied before this
-        controller has been leader for a boot time, so that requested machines have had time to
-        boot.
+        These must outnumber the idle ones: idle machines are removed first, as that moves no
+        replica. No machine is emptied before this controller has been leader for the type's boot
+        time, so that requested machines have had time to boot.
         """
         machines = self.machines.counted(machine_type)
         spot = sum(machine.spot for machine in machines)
--- a/emberglade/fleet/cost_round.py
+++ b/emberglade/fleet/cost_round.py
@@ -27,10 +27,11 @@
 
 
 def cloud_request_limit(settings: Settings, operators: Operators) -> int:
-    """The maximum number of requests to the cloud per scale-out call and per scale-in review.
+    """The maximum number of requests to the cloud for one scale-out or one scale-in.
 
-    It is a third of the requests that the cloud's rate limit allows per cost round, but at least
-    one per zone.
+    A scale-out is one call of `ScaleOut._scale_out`, a scale-in one call of `ScaleIn.review`. The
+    limit is a third of the requests that the cloud's rate limit allows per cost round, but at
+    least one per zone.
     """
     third_of_rate = settings.cloud_rps * operators.cost_round_s / 3
     return max(len(settings.zones), int(third_of_rate))
--- a/emberglade/fleet/demand.py
+++ b/emberglade/fleet/demand.py
@@ -20,7 +20,7 @@
     """Records the demand of all controllers every second, and draws targets from it.
 
     Attributes:
-        tables: The latest table of each controller that has a key.
+        tables: The latest table of each controller that has a node key.
         sizers: The sizer of each pool that had demand since this leadership began.
         targets: The target of each pool, in machines.
     """
--- a/emberglade/fleet/leadership.py
+++ b/emberglade/fleet/leadership.py
@@ -16,9 +16,9 @@
 
     Attributes:
         owner: The owner of the leader's key; None if there is no owner.
-        is_leader: Whether this controller acts as leader, according to its replica. A process whose
-            lease has expired acts as leader until its replica shows that; its writes fail
-            meanwhile.
+        is_leader: Whether this controller acts as leader, according to its replica. The leader's
+            key disappears when the leader's lease expires, but the process acts as leader until its
+            replica shows that; its writes fail meanwhile.
         since: When this controller became leader, by its monotonic clock.
     """
 
@@ -54,7 +54,8 @@
         Called only while this controller is leader.
 
         Args:
-            conditions: Further conditions, as `(key without LIVE_PREFIX, mod revision)`.
+            conditions: Conditions besides that on the leader's key, as
+                `(key without LIVE_PREFIX, mod revision)`.
             values: `(key without LIVE_PREFIX, data)` to write.
             reply: Called with the store's answer: `reply(status, revision, failed)`.
         """
--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -13,11 +13,11 @@
 from .taint_writer import TaintWriter
 
 REQUEST_TIMEOUT_S = 3.0
-# A list can be older than the previous one, so one list without a machine does not prove that it
-# is gone.
+# A list can be older than the previous one, so one list without a recently requested machine does
+# not prove that the machine is gone.
 MAX_MISSED_LISTS = 3
-MAX_UNLISTED_LAGS = 10  # multiples of `list_lag_s` that lists may lack a requested machine
-STALE_LISTING_LAGS = 20  # multiples of `list_lag_s` that lists may show a scaled-in machine
+MAX_UNLISTED_LAGS = 10  # multiples of `list_lag_s` for which lists may lack a new machine
+STALE_LISTING_LAGS = 20  # multiples of `list_lag_s` for which lists may show a scaled-in one
 
 STARTING = MachineState.STARTING
 
@@ -30,7 +30,7 @@
         last_request_at: When the last read of the list began, by the monotonic clock.
         is_reading: Whether a read is in progress.
         rows: The rows received by the read in progress.
-        pages: Number of pages of the read in progress, or else of the last one.
+        pages: Number of pages of the read in progress, or else of the last read.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._request_page("")
 
     def _interval_s(self) -> float:
-        """The time between reads, which use at most half of the cloud's request rate."""
+        """The time between reads: with it, they use at most half of the cloud's request rate."""
         return max(self.settings.list_lag_s / 2, 2 * self.pages / self.settings.cloud_rps)
 
     def _request_page(self, after: str) -> None:
@@ -122,9 +122,10 @@
     def _forget_missing(self, listed_names: set[str], now: float) -> None:
         """Removes the records of machines that are missing in the list.
 
-        The cloud lists a machine until it is gone. A machine that was listed is removed after more
-        than MAX_MISSED_LISTS consecutive lists without it. Any machine, listed or not, is removed
-        at the first list without it that is applied later than MAX_UNLISTED_LAGS after its request.
+        The cloud lists a machine until it is gone. The record of a machine that this list lacks is
+        removed in two cases: the machine was listed before, and now more than MAX_MISSED_LISTS
+        consecutive lists lack it; or it was requested longer ago than MAX_UNLISTED_LAGS, whether or
+        not it was ever listed.
         """
         max_unlisted_s = MAX_UNLISTED_LAGS * self.settings.list_lag_s
         for machine in list(self.machines.by_name.values()):
@@ -144,7 +145,11 @@
             del scaled_in_at[name]
 
     def _obsolete_gone_taints(self, listed_names: set[str]) -> list[str]:
-        """The machines tainted as gone that nothing refers to, so that the taint can be removed."""
+        """The machines tainted as gone whose taint can be removed.
+
+        That is so once the list lacks the machine, no task is bound to it, and no stale list can
+        show it any more.
+        """
         return [
             name
             for name, taint in self.taints.items()
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -1,4 +1,4 @@
-"""Taints machines without recent heartbeats, and lets their tasks move after lease expiry."""
+"""Taints machines without recent heartbeats; lets their tasks move once their leases expired."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -17,7 +17,7 @@
 log = logging.getLogger("emberglade.fleet")
 
 CHECKS_PER_HEARTBEAT = 6
-LOST_AFTER_LEASES = 0.6  # lease durations without a heartbeat
+LOST_AFTER_LEASES = 0.6  # lease durations without a heartbeat until a machine is tainted as lost
 ALIVE_WITHIN_HEARTBEATS = 2  # maximum age of the last heartbeat of a machine that is alive
 FORGET_AFTER_LEASES = 6  # lease durations without a heartbeat, for machines no longer listed
 
@@ -26,7 +26,10 @@
 
 
 class LivenessWatch(ActorPart):
-    """Taints machines as lost or ended, and removes these taints from machines that are back."""
+    """Taints machines as lost or ended, and removes these taints again.
+
+    They are removed from machines that are alive again or no longer exist.
+    """
 
     def __init__(
         self,
@@ -55,8 +58,9 @@
     def on_watch(self) -> None:
         """Handles `watch`, sent to itself several times per heartbeat interval.
 
-        While tasks are bound to lost machines, requests their liveness more often than once per
-        tick: the tasks may move as soon as the machines' leases are proven to have expired.
+        While tasks are bound to lost machines, requests the machines' liveness more often than the
+        autoscaler's tick does: the tasks may move as soon as the machines' leases are proven to
+        have expired.
         """
         send_after(self.settings.agent_heartbeat_s / CHECKS_PER_HEARTBEAT, self.on_watch)
         if self.leadership.is_leader and self._has_tasks_on_lost_machines():
@@ -72,7 +76,7 @@
 
         Args:
             liveness_of: {machine: MachineLiveness}.
-            slack_s: How much older than usual these data may be.
+            slack_s: How much older than usual the last heartbeats in `liveness_of` may be.
         """
         if not self.leadership.is_leader:
             return
--- a/emberglade/fleet/machines.py
+++ b/emberglade/fleet/machines.py
@@ -34,7 +34,7 @@
 
     @property
     def has_sent_heartbeat(self) -> bool:
-        """Whether any controller has received a heartbeat of it."""
+        """Whether any controller has received a heartbeat from it."""
         return self.last_heartbeat_at != NEVER
 
     @property
--- a/emberglade/fleet/scale_in.py
+++ b/emberglade/fleet/scale_in.py
@@ -20,7 +20,7 @@
 log = logging.getLogger("emberglade.fleet")
 
 REQUEST_TIMEOUT_S = 4.0
-MAX_BOOT_TIMES = 3  # boot times of its type until a machine without any heartbeat is drained
+MAX_BOOT_TIMES = 3  # boot times of its type until a machine that never sent a heartbeat is drained
 DRAIN_AFTER_LEASES = 6  # lease durations since the last heartbeat until a machine is drained
 REPLACE_AFTER_LEASES = 4  # lease durations until a lost or unreachable machine is replaced
 
@@ -61,7 +61,8 @@
     def drain_idle(self, balance: TypeBalance, now: float) -> None:
         """Drains machines above the targets that have been idle for the hold time.
 
-        Ordinary machines are drained first, since they cost more; then those idle for longest.
+        Ordinary machines are drained before spot machines, since they cost more. Within each of the
+        two pools, the machines that have been idle for longest are drained first.
         """
         hold_s = self.operators.hold_idle_s
         idle = [
@@ -135,9 +136,9 @@
 
     def _is_permanently_lost(self, machine: FleetMachine, now: float) -> bool:
         """Whether a machine with an expired lease has been lost so long that it is replaced."""
-        # A new leader has no heartbeats yet. Without the start of its leadership as a lower bound
-        # it returns machines behind a network partition at once, though they may come back
-        # (fleet/partition_across_failover.txt).
+        # A new leader's records contain no heartbeats yet. If it did not count from the start of
+        # its leadership, it would return machines behind a network partition to the cloud at once,
+        # though the partition may end (fleet/partition_across_failover.txt).
         no_heartbeat_since = max(machine.last_heartbeat_at, self.leadership.since)
         return (
             now - no_heartbeat_since > REPLACE_AFTER_LEASES * self.settings.lease_s
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -149,7 +149,7 @@
     def _scale_out(
         self, machine_type: MachineType, spot: bool, count: int, only_zone: str | None, now: float
     ) -> bool:
-        """Requests machines in the zones that have the fewest, or only in `only_zone`.
+        """Requests machines in the zones that have the fewest machines, or only in `only_zone`.
 
         Returns:
             Whether there was a zone to request machines in; False if all are in back-off.
@@ -171,9 +171,10 @@
     def _spread(
         self, machine_type: MachineType, spot: bool, zones: list[str], count: int
     ) -> dict[str, int]:
-        """{zone: machines to request}; each is added to the zone that then has the fewest.
+        """{zone: machines to request}, so that the zones have similar numbers of machines.
 
-        Only spot machines are counted if `spot`, else only ordinary ones.
+        Each machine is added to the zone that has the fewest, counting those added before. Only
+        spot machines are counted if `spot`, else only ordinary ones.
         """
         in_zone = dict.fromkeys(machine_type.zones, 0)
         for machine in self.machines.by_name.values():
@@ -237,7 +238,7 @@
         machines = wire.read_scaled_out(body) if status == HTTPStatus.OK else None
         if machines is None and not wire.is_refusal(status, body):
             # The cloud may have carried out the request. A retry under the same name returns the
-            # outcome and adds no further machines.
+            # outcome and provides no machines twice.
             if retries < MAX_RETRIES and self.leadership.is_leader:
                 send_after(RETRY_S, self.on_retry, name, requested_at, retries)
             else:
@@ -249,7 +250,7 @@
     def _record_outcome(
         self, name: str, request: ScaleOutRequest, machines: list[str], requested_at: float
     ) -> None:
-        """Records the machines of a request; a zone that provided too few goes into back-off."""
+        """Records a request's machines; a capacity pool with too few goes into back-off."""
         machine_type, zone, spot, number = request
         for machine in machines:
             self.machines.by_name.setdefault(
--- a/emberglade/fleet/taint_change.py
+++ b/emberglade/fleet/taint_change.py
@@ -48,8 +48,8 @@
 ) -> PlannedChange:
     """The transaction for as many of the pending changes as the limits allow.
 
-    Where a value is above the limit, as after the limit was lowered, some of its taints move to
-    other keys in the same transaction.
+    If the value of a key in the transaction is above the size limit, for example because the limit
+    was lowered, some of its taints move to other keys, provided that `limits.may_move`.
     """
     change = TaintChange(taints, limits)
     applied = {machine: taint for machine, taint in pending.items() if change.put(machine, taint)}
@@ -179,8 +179,9 @@
         return True
 
     def _overflow_keys(self) -> list[str]:
-        # Overflow keys are not used while controllers of the previous version may be running:
-        # these look for a machine's taint only in its home key.
+        # Overflow keys have the numbers after those of the home keys. They are not used while
+        # controllers of the previous version may be running, which look for a machine's taint only
+        # in its home key.
         last = (
             HOME_KEY_COUNT + len(self.taints.by_key) + 1 if self.limits.may_move else HOME_KEY_COUNT
         )
--- a/emberglade/fleet/taint_writer.py
+++ b/emberglade/fleet/taint_writer.py
@@ -22,7 +22,8 @@
     Attributes:
         pending: {machine: new taint} for changes not sent yet; None removes the taint.
         in_flight: {machine: new taint} for the changes in the current transaction.
-        format_raised: Whether every controller reads the new record format.
+        format_raised: Whether the cluster's record format was raised, which proves that every
+            controller also reads taints in other keys than their home key.
     """
 
     def __init__(
@@ -49,9 +50,10 @@
     def change(self, machines: Iterable[str], taint: Taint | None) -> None:
         """Sets the taint of machines; None removes it.
 
-        Each machine has at most one change at a time, so that every change is decided on its
-        committed taint. Only GONE, the proof that nothing runs there, replaces a change that is
-        pending; no change is queued for a machine with one in flight.
+        Each machine has at most one change at a time, so that every change is based on the
+        machine's committed taint. A change to GONE, the proof that nothing runs there, replaces a
+        pending change; any other is ignored while one is pending. While a change of the machine is
+        in flight, every new one is ignored.
         """
         replaces = taint == Taint.GONE
         self.pending.update(
@@ -78,7 +80,7 @@
         )
 
     def on_written(self, owner: Owner, status: int, revision: int | None, failed: Any) -> None:
-        """Handles the store's answer to a commit of taints: a sync will show its outcome.
+        """Handles the store's answer to a commit of taints: requests a sync, to see the outcome.
 
         `owner` is the owner of the leader's key when the commit was sent.
         """
@@ -87,12 +89,14 @@
     def on_taints_synced(self, owner: Owner, status: int, revision: int | None) -> None:
         """Handles the sync after a commit of taints that was answered with `status`.
 
-        Ignored if the leader's key has changed since. Writes the changes that became pending.
+        Writes the changes that became pending meanwhile; after a failed sync, requests another one.
+        Does nothing if the owner of the leader's key is no longer `owner`.
         """
         if self.leadership.owner != owner:
             return
         if revision is None:
-            # The replica may not show this write yet, and the next change is based on the replica.
+            # The sync failed, so the replica may not show this write yet. The next change is based
+            # on the replica, so it must wait.
             send_after(SYNC_RETRY_S, self.on_written, owner, status, None, None)
             return
         written, self.in_flight = self.in_flight, {}
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -19,7 +19,7 @@
 
     Attributes:
         taint: A Taint, or a stored value that is unknown to this version.
-        mod_revision: The mod revision of the key whose change set it.
+        mod_revision: The mod revision of its key after the change that set the taint.
         seen_at: When this controller's replica first showed it, by the monotonic clock.
     """
 
@@ -68,8 +68,8 @@
             if machine in new:
                 self.by_machine[machine] = taint_by_value[new[machine]]
             elif self.key_containing(machine) is None:
-                # No key contains the machine any more. If one did, the taint would only have moved
-                # to that key, and `by_machine` would already show it as stored there.
+                # No key contains the machine any more. If another key did, the taint would have
+                # moved there, and `by_machine` would already have that key's entry.
                 self.by_machine.pop(machine, None)
         return changed
 
--- a/emberglade/fleet/wire.py
+++ b/emberglade/fleet/wire.py
@@ -1,6 +1,7 @@
 """Field names, paths and keys of the cloud's API and of the fleet's records in the store.
 
-Other modules access them only through this one. Keys are without LIVE_PREFIX, as in the replica.
+Other modules don't use these names themselves, but the functions and constants of this one. Keys
+are without LIVE_PREFIX, as in the replica.
 """
 
 import math
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -3,9 +3,9 @@
 The previous version reads and rewrites records of format 1 only. Each controller of this version
 writes a reader key, which states that its process also reads format 2. Once the live process of
 every configured controller has done so, one transaction raises the format permanently. It is
-conditional on all reader keys and, where the limit on conditions allows it, on all node keys. With
-the node keys it fails if a controller returns to the previous version first, since the new process
-writes a new node key.
+conditional on all reader keys and, if the limit on conditions per transaction allows it, on all
+node keys. If a controller returns to the previous version before that, its new process writes a new
+node key, and the condition on this key makes the transaction fail.
 """
 
 import logging
@@ -32,7 +32,7 @@
 
 
 class ProcessKey(NamedTuple):
-    """A key that identifies a process of a controller."""
+    """The incarnation in a node key or reader key, and the key's mod revision."""
 
     incarnation: int | None
     mod_revision: int
@@ -48,8 +48,8 @@
 
     Attributes:
         raised: Whether the cluster uses the new format.
-        processes: {controller: the key of its live process}.
-        readers: {controller: the key of its process that reads the new format}.
+        processes: {controller: its node key, which names its live process}.
+        readers: {controller: its reader key, which names a process that reads the new format}.
     """
 
     def __init__(self, settings: "Settings", store: Store) -> None:
@@ -134,7 +134,8 @@
     def _conditions_for_raise(self) -> list[tuple[str, int]]:
         """The conditions `[(full key, mod_revision)]` of the transaction that raises the format.
 
-        Node keys, which are rewritten every few seconds, are included only if the limit allows it.
+        Node keys are included only if the limit on conditions per transaction allows it. They are
+        rewritten every few seconds, so the transaction may fail; it is then repeated.
         """
         names = self.settings.names
         conditions = [(LIVE_PREFIX + FORMAT_KEY, self._format_mod_revision)]
@@ -149,7 +150,7 @@
         return conditions
 
     def _commit(self, conditions: list[tuple[str, int]], key: str, record: wire.Record) -> None:
-        """Writes one key under `conditions`; the next step waits until a sync shows the result."""
+        """Writes one key under `conditions`; the next step waits for the sync after the commit."""
         self._is_committing = True
         send(
             self.store.on_commit,
@@ -160,7 +161,11 @@
         )
 
     def on_seen(self, revision: int | None) -> None:
-        """Handles the sync after a commit (`sync_after_commit`): takes the next step on success."""
+        """Handles the sync after a commit (`sync_after_commit`).
+
+        After a successful sync the replica shows the outcome, and the next step is taken. After a
+        failed one, that is left to the next tick or change.
+        """
         self._is_committing = False
         if revision is not None:
             self.advance()
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -21,7 +21,7 @@
 
 
 class NodeLease(ActorPart):
-    """The part of the member that requests, renews and replaces the lease.
+    """The part of the membership actor that requests, renews and replaces the lease.
 
     Attributes:
         id: The ID of the current lease; None while there is none.
@@ -39,15 +39,16 @@
     ) -> None:
         """Creates the part; the lease is requested by `start`.
 
-        Calls `on_identified(incarnation)` for the first lease, and `on_granted()` for every one.
+        Every grant of a lease calls `on_granted()`; the first one calls
+        `on_identified(incarnation)` before that.
         """
         super().__init__(actor)
         self.store = store
         self.on_identified, self.on_granted = on_identified, on_granted
         self.id: int | None = None
         self.incarnation: int | None = None
-        # The key of a crashed controller expires within a third of an agent's lease. In most cases
-        # the controller has restarted before that.
+        # The node key of a crashed controller expires within a third of an agent's lease. In most
+        # cases the controller has restarted before that.
         self.ttl_s = max(MIN_TTL_S, settings.lease_s / NODE_LEASES_PER_AGENT_LEASE)
 
     def start(self) -> None:
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -58,9 +58,10 @@
         self.node_key.rewrite()
 
     def on_table(self, table: Any, overflow: Sequence[Any]) -> None:
-        """Handles `table(table, overflow)` from the agents' tables: the table written every 5 s.
+        """Handles `table(table, overflow)` from the agent manager: writes the table to the store.
 
-        `table` contains counts and machines; `overflow` the values that don't fit in the node key.
+        A table is built every 5 s, or earlier if peers lack this controller's machines. `table`
+        contains counts and machines; `overflow` the values that don't fit in the node key.
         """
         self.node_key.set_table(table, overflow)
 
@@ -78,7 +79,7 @@
     # --- ownership
 
     def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Sets the planners for shards and leadership, used from the first view of peers on."""
+        """Sets the planners for shards and leadership, used once there is a view of peers."""
         self.ownership.set_planners(shard_planner, leader_planner)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
@@ -90,7 +91,7 @@
         self.ownership.apply_changes(changes, revision, is_snapshot)
 
     def on_liveness(self, view: "LivenessView") -> None:
-        """Handles `liveness(view)` from the peer monitor: a new view of peers."""
+        """Handles `liveness(view)` from the peer monitor: a new view of which peers are alive."""
         self.ownership.set_view(view)
 
     def on_peer_dead(self, name: str) -> None:
--- a/emberglade/membership/node_key.py
+++ b/emberglade/membership/node_key.py
@@ -33,7 +33,7 @@
 
 
 class NodeKey(ActorPart):
-    """The part of the member that writes the node key and the overflow values of its table.
+    """The part of the membership actor that writes the node key and its table's overflow values.
 
     Attributes:
         is_stale: Whether the key has to be written.
@@ -65,8 +65,8 @@
     def write_if_stale(self) -> None:
         """Writes the key with its table, and the first overflow values, if the key is stale.
 
-        If keys of overflow values are no longer needed, this transaction removes them instead of
-        writing overflow values, and the next one writes the first of these.
+        If some keys of overflow values are no longer needed, this transaction instead removes as
+        many of them as fit, and all overflow values are written by the next transactions.
         """
         if self._is_writing or self.lease.id is None or not self.is_stale:
             return
@@ -96,7 +96,7 @@
         )
 
     def _next_batch(self) -> list[OverflowValue]:
-        """Removes from `_unwritten` the overflow values that fit in one more transaction."""
+        """Takes the overflow values for the next transaction out of `_unwritten`."""
         limit_bytes = MAX_TRANSACTION_BYTES - self.settings.value_bytes
         size = 0
         batch: list[OverflowValue] = []
@@ -126,8 +126,10 @@
     def on_written(self, lease: int | None, status: int, revision: int | None, failed: Any) -> None:
         """Handles the store's answer to a write of the node key or overflow values.
 
-        Writes the next batch, if there is one. A rejected table is logged; after other failures the
-        key is written again on the next tick.
+        On success, writes the next batch, if there is one and the key has not become stale
+        meanwhile. If the lease has expired, requests a new one, under which the key is written
+        again. A table that the state service rejects is logged and not retried. After any other
+        failure the key is written again on the next tick.
         """
         is_current = lease == self.lease.id and not self.is_stale
         if status == 200 and self._unwritten and is_current:
--- a/emberglade/membership/owner.py
+++ b/emberglade/membership/owner.py
@@ -17,7 +17,7 @@
     mod_revision: int
 
     def is_process(self, node: str, incarnation: int | None) -> bool:
-        """Whether the owner is this process of this controller."""
+        """Whether the owner is the process `incarnation` of the controller `node`."""
         return self.node == node and self.incarnation == incarnation
 
 
--- a/emberglade/membership/ownership.py
+++ b/emberglade/membership/ownership.py
@@ -31,7 +31,10 @@
 
 
 def ownership_revision(changes: Iterable[Change], revision: int, is_snapshot: bool) -> int | None:
-    """The revision of the last change of a node, shard or leader key; None if there is none."""
+    """The revision of the last of `changes` to a node, shard or leader key; None if there is none.
+
+    A snapshot counts as a change of all keys at its own revision.
+    """
     if is_snapshot:
         return revision
     return max(
@@ -45,10 +48,10 @@
 
 
 class Ownership(ActorPart):
-    """The part of the member that tracks owners, and takes shards and leadership.
+    """The part of the membership actor that tracks owners, and takes shards and leadership.
 
-    Without a view of peers (failure detection off), a controller counts as alive while its node key
-    exists.
+    If failure detection is off, there is no view of peers: a controller counts as alive while its
+    node key exists.
 
     Attributes:
         nodes: {controller with a node key: incarnation of its live process}.
@@ -73,7 +76,7 @@
         self._is_taking_leadership = False
 
     def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Sets the planners for shards and leadership, used from the first view of peers on."""
+        """Sets the planners for shards and leadership, used once there is a view of peers."""
         self._shard_planner, self._leader_planner = shard_planner, leader_planner
 
     def set_view(self, view: "LivenessView") -> None:
@@ -125,7 +128,11 @@
     # --- what to take
 
     def desired_owner(self, shard: int) -> str | None:
-        """The shard's home controller if that has a node key, or else another one that has."""
+        """The controller that should own a shard, judged by the node keys alone.
+
+        That is the shard's home controller if it has a node key, else another controller that has
+        one; None if no controller has one.
+        """
         names = self.settings.names
         home = names[shard % len(names)]
         if home in self.nodes:
@@ -176,9 +183,9 @@
     def _may_take(self) -> bool:
         """Whether this process may take shards or leadership.
 
-        It needs a loaded replica, a lease and a node key that the replica shows. With failure
-        detection it also needs a view of peers that includes the last change of a node, shard or
-        leader key.
+        The replica must be loaded and contain the node key of this process, and there must be a
+        lease. With failure detection, the view of peers must also reflect the last change of a
+        node, shard or leader key.
         """
         if not self._is_loaded or self.lease.id is None:
             return False
@@ -186,9 +193,9 @@
             return False
         if self._shard_planner is None:
             return True
-        # Without this check, a controller that regains contact after a long time takes all shards
-        # as soon as its replica shows their owners, because its view is outdated
-        # (failure_detection/late_first_contact.txt).
+        # Without this check, a controller that is cut off while it starts takes the shards of all
+        # others once its replica is loaded, because its view does not reflect any heartbeat of
+        # their owners yet (failure_detection/late_first_contact.txt).
         return self._view is not None and self._view.revision >= self._revision
 
     # --- transactions
@@ -212,7 +219,11 @@
         )
 
     def on_shards_seen(self, revision: int | None) -> None:
-        """Handles the sync after taking shards (`sync_after_commit`): takes more on success."""
+        """Handles the sync after taking shards (`sync_after_commit`).
+
+        After a successful sync the replica shows the outcome, and further shards are taken where
+        needed. After a failed one, that is left to the next tick or change.
+        """
         self._is_taking_shards = False
         if revision is not None:
             self.acquire()
@@ -235,7 +246,8 @@
     ) -> None:
         """Handles the store's answer to a write of the leader's key under `lease`.
 
-        Requests a new lease if this one has expired. In every case a sync will show the outcome.
+        Requests a new lease if `lease` has expired. In every case requests a sync, after which the
+        replica shows the outcome of the write.
         """
         if status == 200:
             log.info("wrote the leader's key at revision %s; this controller is leader", revision)
@@ -244,5 +256,5 @@
         send(self.member.store.on_sync, callback(self.on_leader_seen))
 
     def on_leader_seen(self, revision: int | None) -> None:
-        """Handles the sync after a write of the leader's key: allows the next attempt."""
+        """Handles the sync after a write of the leader's key: allows the next such write."""
         self._is_taking_leadership = False
--- a/emberglade/membership/wire.py
+++ b/emberglade/membership/wire.py
@@ -1,8 +1,8 @@
 """Keys and records of membership in the store.
 
-Keys are without LIVE_PREFIX, as in the replica. Records are JSON objects. Other packages read the
-contents of tables, overflow values and shard records with functions of their own
-(`fleet/wire.py`, `agents/wire`).
+Keys are without LIVE_PREFIX, as in the replica. Records are JSON objects. The contents of tables,
+overflow values and shard records are also read by functions in other packages (`fleet/wire.py`,
+`agents/wire`).
 """
 
 from collections.abc import Mapping
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -53,7 +53,10 @@
             self.handlers[peer_paths.PROBE] = self._probe
 
     def route(self, method: str, path: str, body: bytes, reply: Reply) -> None:
-        """Handles one request with exactly one call of `reply(status, body)`."""
+        """Dispatches one request.
+
+        `reply(status, body)` is called exactly once, perhaps only after this method has returned.
+        """
         try:
             data = orjson.loads(body) if body else None
         except ValueError:
@@ -66,7 +69,10 @@
             handler(data, reply)
 
     def _machines(self, data: Any, reply: Reply) -> None:
-        """Answers with this controller's view of machines; a request may carry a heartbeat."""
+        """Answers with this controller's view of machines.
+
+        With failure detection, request and answer also carry heartbeats of the two controllers.
+        """
         if self.peer_monitor is not None:
             send_inline(self.peer_monitor.on_hear_question, data)
             reply = self.peer_monitor.reply_with_heartbeat(reply)
@@ -92,7 +98,10 @@
         reply(200, {})
 
     def _replica_changes(self, data: Any, reply: Reply) -> None:
-        """Answers with the changes that the replica of a peer without state service lacks."""
+        """Answers with the changes that the peer's replica lacks.
+
+        Peers request these while they have no contact with the state service.
+        """
         since = read_changes_request(data)
         if since is None:
             reply_no_such_path(reply)
--- a/emberglade/sizing/experts.py
+++ b/emberglade/sizing/experts.py
@@ -34,7 +34,7 @@
 
 
 def expert_family(min_lookback_s: float, max_lookback_s: float) -> tuple[Expert, ...]:
-    """All experts, with lookbacks that double from the shortest to the longest."""
+    """All experts. Lookbacks double from the shortest; the last one is exactly the longest."""
     return tuple(
         expert
         for lookback_s in _lookbacks(min_lookback_s, max_lookback_s)
@@ -56,7 +56,8 @@
 def nearest_rank(ordered: Sequence[int], percent: float) -> int:
     """The nearest-rank percentile of values in ascending order.
 
-    That is the smallest value that at least `percent` % of the values do not exceed.
+    That is the smallest value such that at least `percent` % of all values are less than or equal
+    to it.
     """
     return ordered[max(0, math.ceil(percent / 100 * len(ordered)) - 1)]
 
--- a/emberglade/sizing/sizer.py
+++ b/emberglade/sizing/sizer.py
@@ -1,8 +1,8 @@
 """Multiplicative weights over the experts, as in the Cackle paper, section 4.4.
 
-The demand is recorded every second. In each cost round, the weight of every expert is reduced by
-what its earlier target would have cost, every expert computes a new target, and one expert is drawn
-by weight.
+The demand is recorded every second. In each cost round, an expert's weight is reduced the more, the
+more its earlier target would have cost. Then every expert computes a new target, and one expert is
+drawn with a probability proportional to its weight.
 """
 
 import math
@@ -12,8 +12,8 @@
 
 from .experts import Expert, whole_machines
 
-# Cost rounds whose targets are kept. A round's cost is computed from the targets of a boot time
-# earlier, as its machines were requested then.
+# Number of cost rounds whose targets are kept. A round's cost is computed from the targets of one
+# boot time earlier, since machines that are requested then are available in this round.
 MAX_TARGET_ROUNDS = 64
 
 
@@ -111,12 +111,13 @@
         return targets
 
     def costs(self, boot_s: float) -> list[float] | None:
-        """The cost of each expert's target in the last round, or None without enough history.
+        """What each expert's target would have cost in the last round; None without enough history.
 
         Args:
             boot_s: The time from the request of a machine until it can run tasks, in seconds.
         """
-        # The machines allocated in the last round were requested a boot time earlier.
+        # The targets that determine how many machines the last round had are those of a boot time
+        # earlier.
         rounds_back = max(1, math.ceil(boot_s / self.cost_round_s))
         if len(self.target_history) < rounds_back or len(self.workload_history) < self.cost_round_s:
             return None
@@ -138,16 +139,17 @@
         )
 
     def _update_weights(self, costs: list[float]) -> None:
-        """Reduces each expert's weight by its regret: its cost minus the lowest cost.
+        """Reduces each expert's weight in proportion to its regret: its cost minus the lowest cost.
 
-        Regrets are relative to the largest one. That is bounded by `cost_spread`, as otherwise the
-        cost of the experts with multiplier 20 makes all other differences negligible.
+        Costs are capped at `cost_spread` times the lowest one, and regrets are divided by the
+        largest. Without the cap, the cost of the experts with multiplier 20 would make all other
+        differences negligible.
         """
         best = min(costs)
         largest = min(max(costs), self.cost_spread * best) - best
         if largest <= 0:
-            # Without demand the lowest cost is 0, so `cost_spread` gives no scale: every expert
-            # with a higher cost gets the full reduction.
+            # Without demand the lowest cost is 0, and so is the cap. Regrets are then divided by
+            # the smallest positive one, so every expert with a cost above 0 gets the full reduction.
             largest = min((cost - best for cost in costs if cost > best), default=1.0)
         self.weights = [
             weight * (1 - self.epsilon * min(1.0, (cost - best) / largest))
