--- a/emberglade/fleet/listing.py
+++ b/emberglade/fleet/listing.py
@@ -124,8 +124,8 @@
 
         The cloud lists a machine until it is gone. The record of a machine that this list lacks is
         removed in two cases: the machine was listed before, and now more than MAX_MISSED_LISTS
-        consecutive lists lack it; or it was requested longer ago than MAX_UNLISTED_LAGS, whether or
-        not it was ever listed.
+        consecutive lists lack it; or it was requested more than MAX_UNLISTED_LAGS lags ago, whether
+        or not it was ever listed.
         """
         max_unlisted_s = MAX_UNLISTED_LAGS * self.settings.list_lag_s
         for machine in list(self.machines.by_name.values()):
--- a/emberglade/fleet/liveness.py
+++ b/emberglade/fleet/liveness.py
@@ -1,4 +1,7 @@
-"""Taints machines without recent heartbeats; lets their tasks move once their leases expired."""
+"""Taints machines without recent heartbeats.
+
+The tasks of such a machine may move once the machine's leases have provably expired.
+"""
 
 import logging
 from typing import TYPE_CHECKING
--- a/emberglade/fleet/scale_out.py
+++ b/emberglade/fleet/scale_out.py
@@ -250,7 +250,7 @@
     def _record_outcome(
         self, name: str, request: ScaleOutRequest, machines: list[str], requested_at: float
     ) -> None:
-        """Records a request's machines; a capacity pool with too few goes into back-off."""
+        """Records a request's machines; a pool that provided too few goes into back-off."""
         machine_type, zone, spot, number = request
         for machine in machines:
             self.machines.by_name.setdefault(
--- a/emberglade/peer_routes.py
+++ b/emberglade/peer_routes.py
@@ -100,7 +100,7 @@
     def _replica_changes(self, data: Any, reply: Reply) -> None:
         """Answers with the changes that the peer's replica lacks.
 
-        Peers request these while they have no contact with the state service.
+        A peer requests these while the state service does not answer it.
         """
         since = read_changes_request(data)
         if since is None:
--- a/emberglade/sizing/sizer.py
+++ b/emberglade/sizing/sizer.py
@@ -149,7 +149,7 @@
         largest = min(max(costs), self.cost_spread * best) - best
         if largest <= 0:
             # Without demand the lowest cost is 0, and so is the cap. Regrets are then divided by
-            # the smallest positive one, so every expert with a cost above 0 gets the full reduction.
+            # the smallest positive one: every expert with a cost above 0 gets the full reduction.
             largest = min((cost - best for cost in costs if cost > best), default=1.0)
         self.weights = [
             weight * (1 - self.epsilon * min(1.0, (cost - best) / largest))
