--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -40,8 +40,8 @@
         epsilon: Learning rate of the experts' weights, above 0 and at most 0.5.
         cost_round_s: Length of a cost round, in seconds, at least 1.
         pool_premium: Cost of unmet demand, as a multiple of a machine's price.
-        hold_idle_s: How long a machine above the targets must be idle before it is scaled in, in
-            seconds.
+        hold_idle_s: How long a machine in excess of the target number must be idle before it is
+            drained, in order to be scaled in, in seconds.
         min_lookback_s: Shortest lookback of an expert, in seconds, at least 1.
         max_lookback_s: Longest lookback of an expert, in seconds.
         boot_guess_s: Boot time of machines for which the catalog has none, in seconds.
@@ -51,8 +51,8 @@
         failure_detection: Whether controllers detect each other's failures by heartbeats.
         suspect_after: Shortest time without a heartbeat after which a peer is suspected, as a
             multiple of the interval of the exchange between controllers.
-        confirm_after: Time without a heartbeat after which a peer whose key has expired may be
-            considered dead, as a multiple of the duration of an agent's lease.
+        confirm_after: Time without a heartbeat after which a peer whose membership key has
+            expired may be considered dead, as a multiple of the duration of an agent's lease.
         suspect_phi: The suspicion level (phi accrual) from which a peer is suspected.
         failure_domain: Networks that are failure domains. A controller outside of them belongs to
             the failure domain of its zone.
--- a/emberglade/config/settings.py
+++ b/emberglade/config/settings.py
@@ -85,7 +85,8 @@
     Attributes:
         kind: What it limits, as the platform names it: "wait", "finished" and others.
         job_class: The class.
-        within_s: Time limit from the first attempt to submit the job, in seconds, or None.
+        within_s: Time limit from the first attempt to submit the job, in seconds; None if the
+            objective has no time limit.
         share: Share of the jobs that must meet the objective.
     """
 
@@ -142,7 +143,7 @@
         teams: The teams, by name.
         objectives: The service-level objectives.
         agent_heartbeat_s: Interval of an agent's heartbeats, in seconds.
-        lease_s: How long an agent keeps its tasks without an answer, in seconds.
+        lease_s: How long an agent keeps its tasks without an answer to its heartbeats, in seconds.
         cancel_s: Time within which a cancelled job's tasks must end, in seconds.
         state_rps: Requests per second to the state service, of all controllers together.
         state_write_rps: Keys written per second, of all controllers together.
@@ -150,7 +151,8 @@
         txn_ops: Maximum number of writes in a transaction; it may have four times as many
             conditions.
         cloud_rps: Requests per second to the cloud.
-        list_lag_s: Age of the cloud's list of machines, in seconds; sometimes twice that.
+        list_lag_s: Usual age of the cloud's list of machines, in seconds; the list is sometimes
+            twice as old.
         cpu: CPU cores that this controller's process may use.
         mem_mb: Memory that this controller's process may use, in MB.
         fd_limit: File descriptors that this controller's process may have open.
@@ -190,7 +192,7 @@
 
     @property
     def max_staleness_s(self) -> float:
-        """How long a controller without the state service may answer agents, in seconds.
+        """How long a controller may answer agents without the state service, in seconds.
 
         After a cancellation is accepted, the job's tasks must end within `cancel_s`. An agent that
         is answered by a controller without knowledge of the cancellation keeps the tasks for
--- a/emberglade/config/toml_table.py
+++ b/emberglade/config/toml_table.py
@@ -12,8 +12,9 @@
 class TomlTable:
     """One table of a file.
 
-    The methods return a field's value as their type, or `default` if the field is missing. They
-    raise SettingsError if the value is invalid, or if the field is missing and has no default.
+    A method named after a type returns a field's value as that type, or `default` if the field is
+    missing. It raises SettingsError if the value is invalid, or if the field is missing and there
+    is no default. `raw_value` and `tables` have a default of their own.
     """
 
     def __init__(self, file: object, name: str, data: Any) -> None:
--- a/emberglade/main.py
+++ b/emberglade/main.py
@@ -17,8 +17,8 @@
     small_quota_warnings,
 )
 
-# Features that the command line can enable too, because reading the operators' file imports a
-# library that is not needed otherwise.
+# Features that can be enabled on the command line as well as in the operators' file, because
+# reading that file imports the protobuf library, which is not needed otherwise.
 FEATURES = ("failure-detection",)
 
 LOG_LEVELS = {"ERROR": logging.ERROR, "DEBUG": logging.DEBUG}  # other values mean INFO
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -14,15 +14,15 @@
 
 log = logging.getLogger("emberglade.memory")
 
-# Shares of the memory limit: memory is low once use is above HIGH_WATERMARK, and until use is no
-# longer above LOW_WATERMARK.
+# Shares of the memory limit. Memory becomes low when use rises above HIGH_WATERMARK, and normal
+# again when use falls to LOW_WATERMARK or below.
 HIGH_WATERMARK = 0.85
 LOW_WATERMARK = 0.75
 CHECK_INTERVAL_S = 2.0
 
 
 class MemoryGuard:
-    """Checks the process's memory use, and notifies the user API when it becomes low or normal."""
+    """Checks the process's memory use; notifies the user API when memory becomes low or normal."""
 
     def __init__(
         self,
--- a/emberglade/process.py
+++ b/emberglade/process.py
@@ -20,7 +20,9 @@
 GC_THRESHOLDS = (50_000, 20, 50)
 
 MAX_ANSWER_TIMEOUT_S = 3.0
-FRONT_ANSWER_MARGIN_S = 0.5  # so that a front request outlasts its request to the store
+# Added to the time-out of requests to the front server, so that a request still waits when the
+# request to the store that it caused times out.
+FRONT_ANSWER_MARGIN_S = 0.5
 
 # Threads of each client; each thread has its own connection.
 STORE_THREADS = 6
@@ -34,12 +36,15 @@
 class DescriptorBudget:
     """How the process's file descriptors are divided.
 
+    The descriptors not listed here are for clients, listeners and the platform itself.
+
     Attributes:
         agent_connections: Connections to agents that are kept open for commands.
-        agent_threads: Threads for commands to agents; a machine that hangs can block one each.
+        agent_threads: Threads for commands to agents; each machine that hangs can block one of
+            them.
         internal: Connections of the other controllers.
-        front: Connections of users and agents. A single remaining controller has to serve all
-            agents. The other descriptors are for clients, listeners and the platform itself.
+        front: Connections of users and agents. They get most of the descriptors, because a single
+            remaining controller has to serve all agents.
         users: How many of the front connections users may have.
     """
 
--- a/emberglade/user_api/acceptance.py
+++ b/emberglade/user_api/acceptance.py
@@ -20,16 +20,19 @@
 
 log = logging.getLogger("emberglade.user_api")
 
-# The number of open submissions of a controller is limited to what its share of the store's write
-# rate can commit in OPEN_SUBMISSIONS_S, because further ones would time out. The limit is at least
-# MIN_OPEN_SUBMISSIONS.
+# A controller has at most as many open submissions as its share of the store's write rate can
+# commit in OPEN_SUBMISSIONS_S, because submissions beyond that would time out. The limit is at
+# least MIN_OPEN_SUBMISSIONS.
 MIN_OPEN_SUBMISSIONS = 8
 OPEN_SUBMISSIONS_S = 2.0
 STORE_BUSY = too_many_requests("too many requests at once")
 
 
 def never_accepted_conditions(job_id: str) -> list[tuple[str, int]]:
-    """Transaction conditions `[(full key, mod revision)]` that hold if a job was never accepted."""
+    """Transaction conditions that hold if a job was never accepted.
+
+    Each is (key with its prefix, 0); the mod revision 0 means that the key does not exist.
+    """
     return [
         (LIVE_PREFIX + job_key(job_id), 0),
         (LIVE_PREFIX + waiting_key(job_id), 0),
@@ -65,7 +68,10 @@
         self.open_submissions -= 1
 
     def commit(self, spec: JobSpec, reply: Reply) -> None:
-        """Commits a job whose dependencies, if any, are done, unless it was accepted before."""
+        """Commits a job unless it was accepted before.
+
+        The job has no dependencies, or all of them are done.
+        """
         job = Job(spec, chunk_size_for(spec, self.settings.value_bytes))
         send(
             self.store.on_commit,
--- a/emberglade/user_api/answers.py
+++ b/emberglade/user_api/answers.py
@@ -37,7 +37,7 @@
 
 
 def too_many_requests(reason: str) -> Answer:
-    """The answer to a request above the limit of open requests."""
+    """The answer to a request that exceeds a limit of this controller or of the state service."""
     return Answer(429, wire.error(reason), RETRY_AFTER_S)
 
 
--- a/emberglade/user_api/api.py
+++ b/emberglade/user_api/api.py
@@ -1,6 +1,6 @@
 """The user API as one actor.
 
-An answer reports only committed state, read after the request arrived. A request that can't be
+An answer reports only committed state that is no older than the request. A request that can't be
 served now is not queued, but answered immediately, with `Retry-After`.
 """
 
@@ -29,7 +29,8 @@
         lookup: Answers polls of a job's state.
         submissions: Handles submissions.
         cancellations: Handles cancellations.
-        routes: Dispatches the front server's requests to these and to the agent manager.
+        routes: Dispatches the requests that users, agents and health checks send to the front
+            server: to the three handlers above or to the agent manager.
     """
 
     def __init__(self, settings: Settings, store: Store, agents: "AgentManager") -> None:
@@ -57,7 +58,8 @@
     def on_memory_pressure(self, memory_is_low: bool) -> None:
         """Handles `memory_pressure(memory_is_low)` from the memory guard.
 
-        While memory is low, no job is accepted here. The cache of final states is cleared.
+        While memory is low, this controller accepts no new job. The cache of final states is
+        cleared when memory becomes low.
         """
         self.submissions.memory_is_low = memory_is_low
         if memory_is_low:
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -1,6 +1,7 @@
 """Users' cancellations.
 
-A cancellation is committed to the store, and confirmed once this controller's replica shows it.
+A cancellation is committed to the store. It is confirmed to the user once this controller's replica
+shows it.
 """
 
 import logging
@@ -61,7 +62,8 @@
     ) -> None:
         """Handles a sync that was requested for a cancellation; `revision` is None if it failed.
 
-        `on_cancel` requests one before the commit, and `on_cancel_committed` one after it.
+        `on_cancel` requests a sync before the commit, and `on_cancel_committed` another one after
+        the commit.
         """
         if revision is None:
             STORE_UNAVAILABLE.send(reply)
@@ -91,7 +93,7 @@
     def cancel_waiting(self, job_id: str, reply: Reply, retries: int) -> None:
         """Commits the cancellation of a waiting job.
 
-        Such a job has no tasks, so its final record is written at once.
+        None of its tasks has been placed, so its final record is written at once.
         """
         waiting = self.view.graph.waiting[job_id]
         key = LIVE_PREFIX + waiting_key(job_id)
@@ -119,12 +121,14 @@
         """Handles the store's answer to the commit of a cancellation."""
         if status == 200:
             log.info("job %s cancelled by its user", job_id)
-            # The cancellation is confirmed only once this controller's own replica shows it: other
-            # controllers rely on the replica's revision to know that they miss no confirmed
-            # cancellation, and halts go to every machine that the replica names.
+            # The cancellation is confirmed only once this controller's own replica shows it, for
+            # two reasons. Other controllers compare the revision of this replica with that of their
+            # own to know that they miss no cancellation confirmed here. And halts are sent to the
+            # machines on which this replica shows tasks of the job.
             send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
         elif status == 409 and retries < MAX_RETRIES:
-            # The job's owner wrote the record in between.
+            # The job's record changed between the sync and the commit, for example because the
+            # job's owner wrote it.
             self.on_cancel(job_id, reply, retries + 1)
         else:
             STORE_UNAVAILABLE.send(reply)
--- a/emberglade/user_api/committed_jobs.py
+++ b/emberglade/user_api/committed_jobs.py
@@ -21,10 +21,10 @@
 
 
 def count_tasks(record: dict[str, Any], chunks: Chunks) -> TaskCounts:
-    """Counts a live job's tasks in all its chunks.
+    """Counts the done and the bound tasks of a live job, in all its chunks.
 
-    The first chunk is part of the job's record. Of `chunks`, only those of the record's generation
-    are counted.
+    The first chunk is part of the job's record. `chunks` are the other ones; those of another
+    generation than the record's are ignored.
     """
     generation = jobs_wire.read_generation(record)
     own_chunks = [
--- a/emberglade/user_api/committed_view.py
+++ b/emberglade/user_api/committed_view.py
@@ -23,7 +23,8 @@
     Attributes:
         record: The value of the job's own key.
         mod_revision: The revision at which that key last changed.
-        chunks: Its further chunks, of every layout: (generation, number) -> value.
+        chunks: The job's chunks other than the first, which is part of `record`:
+            (generation, number) -> value. Chunks of all generations are included.
     """
 
     record: dict[str, Any]
@@ -74,7 +75,7 @@
             job.mod_revision = mod_revision
 
     def _apply_chunk(self, key: str, data: dict[str, Any] | None) -> None:
-        """Stores a further chunk; only the task counts in answers to users use it."""
+        """Stores a chunk other than a job's first, for the task counts in answers to users."""
         job_id, generation, number = jobs_wire.read_chunk_key(key)
         job = self.live_jobs.get(job_id)
         if job is not None:
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -72,7 +72,10 @@
     def on_dependency_read(
         self, dependency: str, status: int, data: Any, mod_revision: int | None
     ) -> None:
-        """Handles the store's answer to a read of one final key; 404 if the key does not exist."""
+        """Handles the store's answer to a read of one final key.
+
+        `status` is 404 if the key does not exist.
+        """
         final = read_final(status, data)
         if final is not None:
             self.graph.resolve(dependency, final.outcome)
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -1,8 +1,8 @@
 """Submissions of jobs that depend on other jobs.
 
 A job can only depend on jobs that were accepted before it, and the dependencies of an accepted job
-never change. So there are no dependency cycles: the job of a cycle that was accepted first would
-depend on one accepted later.
+never change. So there are no dependency cycles: in a cycle, the job accepted first would depend on
+a job accepted later.
 """
 
 import logging
@@ -58,7 +58,7 @@
 
 
 class DependentSubmissions(ActorPart):
-    """Accepts jobs that depend on others, provided that those were accepted."""
+    """Accepts jobs with dependencies, provided that all these dependencies were accepted."""
 
     actor: ReplicaSubscriber
 
@@ -91,7 +91,7 @@
     def on_dependencies_synced(self, submission: DependentSubmission, revision: int | None) -> None:
         """Handles the sync that `submit` requested; `revision` is None if it failed.
 
-        After the sync, the replica shows all jobs that were accepted before it.
+        The replica now shows all unfinished jobs that were accepted before the sync was requested.
         """
         job_id = submission.spec.id
         if revision is None:
@@ -171,10 +171,11 @@
     def write_segments(
         self, submission: DependentSubmission, first_mod_revision: int | None
     ) -> None:
-        """Writes the remaining segments, the first one last, and then the job itself.
+        """Writes the remaining segments, the first one last, and then the job's record.
 
-        The job's key is committed on condition that the first segment has not changed since it was
-        written at revision `first_mod_revision`.
+        `first_mod_revision` is the revision of the previous transaction with segments. Once all
+        are written, that transaction included the first segment, and the job's record is committed
+        on condition that the first segment has not changed since.
         """
         if not submission.segments:
             self.write_waiting(submission, first_mod_revision)
@@ -239,7 +240,8 @@
             dependency in graph.unresolved or graph.unresolved_dependencies_of(dependency)
             for dependency in dependencies
         ):
-            # Another controller may have reported that one of the dependencies is cancelled.
+            # A dependency may have been cancelled, and another controller may have reported this
+            # job as cancelled already, so the job's state is looked up.
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         else:
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.PENDING)))
--- a/emberglade/user_api/job_state.py
+++ b/emberglade/user_api/job_state.py
@@ -34,7 +34,7 @@
     """Why a look-up returned no JobState."""
 
     NEVER_ACCEPTED = enum.auto()  # no job of that id was ever accepted
-    UNAVAILABLE = enum.auto()  # can't be determined now; the user should retry
+    UNAVAILABLE = enum.auto()  # the state can't be determined now; the user should retry
 
 
 LookupResult = JobState | LookupFailure
--- a/emberglade/user_api/lookup.py
+++ b/emberglade/user_api/lookup.py
@@ -1,4 +1,7 @@
-"""Looks up the state of live, waiting and finished jobs, read after the request arrived."""
+"""Looks up the state of live, waiting and finished jobs, as of the request or later.
+
+Final states never change, so they may come from a cache.
+"""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -41,7 +44,7 @@
             self.states.popitem(last=False)
 
     def clear(self) -> None:
-        """Empties the cache; final states are read from the store again on demand."""
+        """Empties the cache; look-ups then read final states from the store again."""
         self.states.clear()
 
 
@@ -73,7 +76,8 @@
         self.view = view
         self.dependency_outcomes = dependency_outcomes
         self.final_states = FinalStates()
-        # Open look-ups share syncs; with more of them than a few syncs serve, some would time out.
+        # Look-ups that wait at the same time share a sync. If more were open than a few syncs can
+        # serve, some would time out.
         self.open_lookups = 0
         self.max_open_lookups = int(OPEN_LOOKUPS_S * settings.state_rps)
 
--- a/emberglade/user_api/submissions.py
+++ b/emberglade/user_api/submissions.py
@@ -63,8 +63,8 @@
         """Answers a malformed submission.
 
         A repeat of an accepted submission is answered with its job's state even if its body is
-        malformed. Otherwise a malformed repeat for a finished job gets 400 while the state service
-        does not answer (dependencies/random_faults.txt, seed 730).
+        malformed. Without this look-up, a malformed repeat for a finished job would get 400 while
+        the state service does not answer (dependencies/random_faults.txt, seed 730).
         """
         job_id = wire.read_id(data)
         if job_id is None:
@@ -73,7 +73,7 @@
             self.lookup.answer(job_id, reply, if_never_accepted=answer)
 
     def _submit(self, submission: wire.Submission, reply: Reply) -> None:
-        """Accepts a well-formed submission, or answers why it can't be, now or permanently."""
+        """Accepts a well-formed submission, or answers why it can't be accepted now or ever."""
         spec = submission.spec
         final = self.lookup.final_states.get(spec.id)
         if final is not None:
@@ -81,7 +81,7 @@
             return
         reason = self.refusal_reason(spec)
         if reason is not None:
-            # A job that was accepted earlier is not refused, even if the limits have changed.
+            # A job that was accepted earlier is not refused, even if the limits have changed since.
             self.lookup.answer(spec.id, reply, if_never_accepted=refused(reason))
         elif not self.view.machine_types:
             CATALOG_NOT_READ.send(reply)
--- a/tests/broken_builds/__init__.py
+++ b/tests/broken_builds/__init__.py
@@ -1,7 +1,7 @@
 """Deliberately broken builds, which verify that the scenarios detect the loss of a guard.
 
 Each function removes one guard from the service with pytest's monkeypatch. Scenario lines
-`guard NAME RULE` and `broken_build NAME` refer to it by name.
+`guard NAME RULE` and `broken_build NAME` refer to the functions by name.
 """
 
 import pytest
--- a/tests/broken_builds/agents.py
+++ b/tests/broken_builds/agents.py
@@ -39,7 +39,7 @@
 
 
 def trusts_empty_replicas(patch):
-    """A peer that was just restarted and has no replica counts as no newer than this controller."""
+    """The missing replica of a restarted peer counts as no newer than this controller's replica."""
 
     def compare_replicas(self, revision):
         for peer, view in self.direct_views.items():
@@ -56,7 +56,7 @@
 
 
 def starts_without_sync(patch):
-    """Answers to agents start the tasks in the replica without a read barrier."""
+    """Answers to agents start the tasks that the replica shows, without a read barrier first."""
     original = Reconciler.reconcile
     patch.setattr(
         Reconciler, "reconcile", lambda self, record, synced: original(self, record, True)
--- a/tests/broken_builds/jobs.py
+++ b/tests/broken_builds/jobs.py
@@ -63,7 +63,7 @@
 
 
 def unfenced_commits(patch):
-    """The result of an unanswered commit is read while it may still be applied later."""
+    """The result of an unanswered commit is read while the commit may still be applied."""
     patch.setattr(
         CommitSettlement,
         "on_fence",
--- a/tests/stand_ins/cluster.py
+++ b/tests/stand_ins/cluster.py
@@ -29,7 +29,7 @@
     Attributes:
         names: The controllers' names.
         previous: The controllers that run the previous version.
-        processes: The current process of each controller; after a crash, the one that ended.
+        processes: The current process of each controller; while a controller is down, its last one.
         controllers: The controller object in that process.
     """
 
@@ -140,7 +140,10 @@
         self.crash(name, seconds)
 
     def pause(self, name: str, seconds: float) -> None:
-        """Pauses a process while its clocks go on; then it handles all messages that arrived."""
+        """Pauses a process while its clocks go on.
+
+        After the pause, it handles all messages that arrived meanwhile.
+        """
         self.processes[name].pause(self.world.now + seconds)
 
     def leader(self) -> str | None:
--- a/tests/stand_ins/combined_faults.py
+++ b/tests/stand_ins/combined_faults.py
@@ -86,7 +86,7 @@
 
 
 def crash_leaders(fault: CombinedFault) -> None:
-    """The current leader crashes, ten times in a row."""
+    """Ten times in a row, the controller that is leader at the time crashes."""
     cluster = fault.cluster
     for number in range(LEADER_CRASHES):
         delay = number * fault.seconds / LEADER_CRASHES
--- a/tests/stand_ins/invalid_requests.py
+++ b/tests/stand_ins/invalid_requests.py
@@ -9,7 +9,7 @@
 
 
 class InvalidRequests:
-    """Sends random invalid requests; no job that they submit may be accepted."""
+    """Sends random invalid requests; no job of an invalid submission may be accepted."""
 
     def __init__(self, users: Users, team: str) -> None:
         self.users = users
--- a/tests/stand_ins/job_ledger.py
+++ b/tests/stand_ins/job_ledger.py
@@ -17,7 +17,7 @@
     """The history of all jobs by id; times are in seconds of the world's clock.
 
     Attributes:
-        jobs: The submission, from the first attempt to send it.
+        jobs: The submission, recorded when it is first sent.
         submitted_at: When the submission was first sent.
         accepted_at: When a user first got an answer that the job is accepted.
         cancel_requested: The jobs whose cancellation a user has requested.
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -81,8 +81,8 @@
     def check_pending(self, faults_ended_at: float) -> None:
         """Checks that no task that could run stays pending for long.
 
-        A task could run if a machine has capacity for it within its team's quota. The time counts
-        from the end of the faults.
+        A task could run if a machine has capacity for it within its team's quota. Only time after
+        the end of the faults counts.
         """
         observer, now = self.observer, self.world.now
         placed, team_cpus = self.placed_tasks()
@@ -112,7 +112,11 @@
         return placed, team_cpus
 
     def could_run(self, job_id: str, job: Submission, begun: int, team_cpus: float) -> bool:
-        """Whether one more task of a job, of which `begun` have been placed or done, could run."""
+        """Whether one more task of a job could run.
+
+        `begun` is the number of its tasks that are placed or done. Jobs whose allowed zones depend
+        on their other tasks are not checked; for them the result is False.
+        """
         observer = self.observer
         if job_id in observer.final or observer.is_to_be_cancelled(job_id):
             return False
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -11,7 +11,8 @@
 from .state_wire import LEADER, LIVE_PREFIX, SHARD, SHARD_PREFIX, Transaction
 
 # Times as shares of the duration of an agent's lease.
-# A controller can operate its shards if its last answer from the state service is younger.
+# A controller can operate its shards if its last answer from the state service is younger than
+# this.
 MAX_SERVED_AGE_SHARE = 2 / 9
 # The roles of a controller whose process has ended must have other owners within this time.
 MAX_UNOWNED_SHARE = 1.0
@@ -54,7 +55,7 @@
         self.state.audits.append(self.audit)
 
     def watch(self) -> None:
-        """Also records failovers from operational controllers, unowned roles, and flapping."""
+        """Enables checks for failovers from operational controllers, unowned roles and flapping."""
         self.watching = True
         self.world.at(FIRST_CHECK_S, self.check_unowned)
 
@@ -96,7 +97,7 @@
 
     @staticmethod
     def job_keys(transaction: Transaction) -> list[str]:
-        """The keys of job records that a transaction writes."""
+        """The keys of job records and chunks that a transaction writes."""
         keys = [write.key for write in transaction.writes]
         return [key for key in keys if key.startswith(state_wire.JOB_PREFIXES)]
 
@@ -108,12 +109,13 @@
     def check_epochs(
         self, transaction: Transaction, source: str, owners: dict[str, str | None]
     ) -> None:
-        """Checks that a commit conditioned on a shard's epoch is its owner's or claims the shard.
+        """Checks that only a shard's owner commits on its epoch, except to claim the shard.
 
         Args:
             transaction: The committed transaction.
             source: The controller that sent it.
-            owners: The owners, before it, of the shards whose epochs it has as conditions.
+            owners: The owners, before the transaction, of the shards on whose epochs it has
+                conditions.
         """
         claimed = self.claimed_roles(transaction)
         stale_owners = {
@@ -126,12 +128,13 @@
             )
 
     def check_records(self, transaction: Transaction, source: str, existing: set[str]) -> None:
-        """Checks that commits that change existing job records depend on an epoch or cancel jobs.
+        """Checks that existing job records change only on a shard's epoch or by a cancellation.
 
         Args:
             transaction: The committed transaction.
             source: The controller that sent it.
-            existing: The keys of job records that it writes and that existed before it.
+            existing: The keys of job records and chunks that the transaction writes, and that
+                existed before it.
         """
         # Chunks to which no record refers any more are removed without a condition on an epoch.
         changed = [
@@ -244,7 +247,10 @@
         return {role for role, owner in owned.items() if owner == controller}
 
     def failover_s(self, controller: str, moment: float) -> float:
-        """The time until all roles of a controller had other owners; infinite if some have not."""
+        """The time from `moment` until all roles of a controller had other owners.
+
+        It is infinite if the controller still owns some of them.
+        """
         remaining = self.owned_at(controller, moment)
         assert remaining, f"{controller} owned no role at {moment}"
         for change in self.changes:
--- a/tests/stand_ins/previous_version.py
+++ b/tests/stand_ins/previous_version.py
@@ -34,7 +34,7 @@
     """Checks that the previous version reads a value correctly.
 
     Args:
-        key: The key without its prefix.
+        key: The key without the prefix that all live keys have.
         data: Its value; None if it was removed.
         chunk_sizes: The known chunk size of each job, which must not change.
 
--- a/tests/stand_ins/random_faults.py
+++ b/tests/stand_ins/random_faults.py
@@ -21,8 +21,8 @@
 
     Args:
         cluster: The cluster that they affect.
-        faults: The number of faults of a controller or a few machines.
-        mass_faults: The number of faults of a share of all machines at once.
+        faults: The number of faults to draw from KINDS.
+        mass_faults: The number of faults to draw from MASS_KINDS.
         until: When the scenario ends.
     """
     world, rng = cluster.world, cluster.world.random
--- a/tests/stand_ins/real_time_world.py
+++ b/tests/stand_ins/real_time_world.py
@@ -80,7 +80,7 @@
         )
 
     def serve(self, name: str, source: str, port: int = 0) -> int:
-        """Returns the port at which a stand-in serves one client, which identifies the client.
+        """Returns the port at which a stand-in serves one client; the port identifies the client.
 
         Args:
             name: The stand-in.
--- a/tests/stand_ins/simulated_process.py
+++ b/tests/stand_ins/simulated_process.py
@@ -41,7 +41,7 @@
         return WALL_CLOCK_START_S + self.world.now
 
     def spawn(self, actor: Actor, name: str) -> None:
-        """Makes this the system of an actor and sends it `on_begin`."""
+        """Makes this the system of an actor, and sends `on_begin` to the actor."""
         actor.system = self
         actor._post = lambda delay, handler, args: self.world.at(
             delay / self.rate, self.deliver, handler, args
--- a/tests/stand_ins/state_service.py
+++ b/tests/stand_ins/state_service.py
@@ -44,8 +44,8 @@
             carried out late, possibly after newer ones.
         late_applied: The number of late transactions that changed a key.
         malformed_chance: The probability of a malformed answer.
-        limits_lowered: Whether the limits were lowered. Until then a transaction above them fails
-            the run; afterwards it is refused.
+        limits_lowered: Whether the limits were lowered. Until then a transaction that exceeds them
+            fails the run; afterwards such a transaction is refused.
         refused_sizes: (controller, reason) of each transaction refused since the limits were
             lowered.
         refused_transactions: The number of transactions refused for exceeding TRANSACTION_BYTES.
@@ -203,7 +203,7 @@
         self.late_applied += self.revision > before
 
     def transact(self, transaction: Transaction, source: str) -> Answer:
-        """Carries out a transaction; the audits run before it, and again after a commit."""
+        """Carries out a transaction; audits run before it, and their callbacks after a commit."""
         commit_callbacks = [audit(transaction, source) for audit in self.audits]
         status, body = self.commit(transaction, source)
         if status == 200:
--- a/tests/stand_ins/state_watches.py
+++ b/tests/stand_ins/state_watches.py
@@ -43,7 +43,10 @@
         del self.changes[:-KEPT_CHANGES]
 
     def open(self, request: wire.WatchRequest, source: str, reply: Reply) -> None:
-        """Holds a watch open until there is a change or its wait time has passed."""
+        """Holds a watch open until there is a change or its wait time has passed.
+
+        A watch whose changes are no longer all in the history is answered with 410 at once.
+        """
         if self.changes and request.since < self.changes[0][0] - 1:
             reply(410, {})
             return
--- a/tests/stand_ins/state_wire.py
+++ b/tests/stand_ins/state_wire.py
@@ -52,7 +52,7 @@
 
 
 def write_failed_conditions(keys: list[str], revision: int) -> dict[str, Any]:
-    """Builds the answer to a transaction of which these keys' conditions do not match."""
+    """Builds the answer to a transaction whose conditions on these keys do not match."""
     return {"failed": keys, "ledger_rev": revision}
 
 
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -20,7 +20,8 @@
     """One attempt of a task on a machine.
 
     Attributes:
-        serial: The number of its start on this machine; events of other starts are ignored.
+        serial: Number of this start among all task starts on the machine. An event that was
+            scheduled for another start of the task is ignored.
     """
 
     attempt: int
--- a/tests/stand_ins/worker.py
+++ b/tests/stand_ins/worker.py
@@ -281,7 +281,7 @@
         self.world.at(delay, self.send_heartbeat, self.heartbeat_count)
 
     def switch_controller(self, target: str | None) -> None:
-        """Sends the next heartbeat to the controller that the answer names, or to the next one."""
+        """Sends the next heartbeat to `target`, or to the next controller in the list."""
         controllers = self.settings.controllers
         if target in controllers and target != controllers[self.controller]:
             self.controller = controllers.index(target)
--- a/tests/stand_ins/world.py
+++ b/tests/stand_ins/world.py
@@ -77,7 +77,8 @@
         random: The random number generator that all stand-ins of a run share.
         now: Seconds since the world started.
         hosts: The handler of each host by its name; None while its process is down.
-        powered_off: Hosts whose machine is off: while down, they don't refuse connections either.
+        powered_off: Hosts whose machine is off: connections to them get no answer at all, while a
+            host whose process alone is down refuses them.
         drops: One-way faults that drop all messages.
         blocked_connections: One-way faults that prevent connections from being opened.
         repeat_chance: The probability that a request is duplicated, with a delay.
--- a/tools/precompile_bytecode.py
+++ b/tools/precompile_bytecode.py
@@ -26,7 +26,7 @@
 sys.pycache_prefix = os.path.join(TARGET, "bytecode")
 sys.dont_write_bytecode = False
 
-# A controller imports this one at start only if failure detection is enabled.
+# A controller imports `emberglade.failure_detection` at start only if the feature is enabled.
 import emberglade.failure_detection  # noqa: E402, F401
 import emberglade.main  # noqa: E402, F401
 import emberglade.process  # noqa: E402, F401
