--- a/emberglade/config/operators.py
+++ b/emberglade/config/operators.py
@@ -33,8 +33,8 @@
 class Operators:
     """The operators' settings; the attributes have the names of the file's fields.
 
-    The defaults are those of DESIGN-emberglade, which marks some of them as open. The experts are
-    those of `emberglade/sizing`.
+    The defaults are those of DESIGN-emberglade, which marks some of them as open. The experts
+    size the pools of machines; `emberglade/sizing` defines them.
 
     Attributes:
         epsilon: Learning rate of the experts' weights, above 0 and at most 0.5.
@@ -47,7 +47,7 @@
         boot_guess_s: Boot time of machines for which the catalog has none, in seconds.
         seed: Seed of the random number generator that draws experts.
         cost_spread: Cap on an expert's cost, as a multiple of the best expert's cost.
-        share: Share of the total weight that is redistributed evenly in each cost round.
+        share: Share of the experts' total weight that is redistributed evenly in each cost round.
         failure_detection: Whether controllers detect each other's failures by heartbeats.
         suspect_after: Shortest time without a heartbeat after which a peer is suspected, as a
             multiple of the interval of the exchange between controllers.
--- a/tests/broken_builds/failure_detection.py
+++ b/tests/broken_builds/failure_detection.py
@@ -54,7 +54,7 @@
 
 
 def no_startup_grace(patch):
-    """Startup counts as complete at once, so peers without a key and heartbeats count as not serving."""
+    """Startup counts as complete at once, so peers not known yet count as not serving."""
     original = Peer.serves
     patch.setattr(Peer, "serves", lambda self, now, startup_complete: original(self, now, True))
 
--- a/tests/stand_ins/deployment.py
+++ b/tests/stand_ins/deployment.py
@@ -79,7 +79,7 @@
 
         Args:
             name: The controller.
-            reads_announced: Whether it already respects the announced limits.
+            reads_announced: Whether the controller already respects the announced limits.
         """
         write_rps, value_bytes, txn_ops = self.write_rps, self.value_bytes, self.txn_ops
         if reads_announced:
--- a/tests/stand_ins/liveness_checks.py
+++ b/tests/stand_ins/liveness_checks.py
@@ -10,7 +10,7 @@
 CHECK_INTERVAL_S = 1.0
 # PROTOCOL: how long requests about one job may fail while most other requests get answers.
 MAX_FAILING_S = 90
-# The same once all faults have ended, whether or not other requests get answers.
+# The same limit once all faults have ended, whether or not other requests get answers.
 MAX_FAILING_AFTER_FAULTS_S = 75
 MAX_PENDING_S = 90  # how long a task may be pending while a machine has capacity for it
 ANSWERS_KEPT_S = 90
--- a/tests/stand_ins/observer.py
+++ b/tests/stand_ins/observer.py
@@ -1,7 +1,7 @@
 """Observes a run, independently of the service, and records each violation of a rule.
 
-Rules of PROTOCOL have the names that it gives them (`ran_twice`, `went_back`, ...); the other rules
-are this project's.
+The rules that PROTOCOL defines have the same names here (`ran_twice`, `went_back`, ...); the other
+rules are this project's.
 """
 
 from collections.abc import Callable
--- a/tests/stand_ins/ownership.py
+++ b/tests/stand_ins/ownership.py
@@ -249,7 +249,7 @@
     def failover_s(self, controller: str, moment: float) -> float:
         """The time from `moment` until all roles of a controller had other owners.
 
-        It is infinite if the controller still owns some of them.
+        It is infinite if some of them have had no other owner since.
         """
         remaining = self.owned_at(controller, moment)
         assert remaining, f"{controller} owned no role at {moment}"
--- a/tests/stand_ins/serve_loopback.py
+++ b/tests/stand_ins/serve_loopback.py
@@ -2,9 +2,10 @@
 
     python3 tests/stand_ins/serve_loopback.py examples/settings.toml
 
-The state service, the cloud and its machines' workers run in real time, on the ports that the
-controller's settings file names. They keep their state in memory only, so end the controller with
-this process. Violations of PROTOCOL's rules are printed.
+The state service, the cloud and its machines' workers run in real time. The state service and the
+cloud listen on the ports that the controller's settings file names. The stand-ins keep their state
+in memory only, so when this process ends, end the controller too. Violations of the observer's
+rules are printed.
 """
 
 import argparse
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -58,7 +58,7 @@
             del self.by_name[command.task]
 
     def start(self, command: Command, present: TaskAttempt | None) -> None:
-        """Starts a task, or refuses it."""
+        """Starts a task, or refuses to; a repeated command for the same attempt has no effect."""
         name = command.task
         if present is not None:
             if present.attempt != command.attempt:
