--- a/emberglade/agents/agent_records.py
+++ b/emberglade/agents/agent_records.py
@@ -15,11 +15,13 @@
         heartbeat: The newest message.
         tasks: The tasks in it; None until they have been parsed.
         heartbeat_at: When it arrived.
-        contact_at: When this controller last received a message from the machine or answered it,
-            and so may have renewed its lease.
-        settled: Its last heartbeat needed no action and none is pending.
-        unreachable: This controller's answers do not seem to reach it.
-        probe_token: A fencing token that its heartbeats will show once answers reach it.
+        contact_at: When this controller last received a message from the machine, or last sent it
+            an answer, which may have renewed its lease.
+        settled: The newest heartbeat led to no task update and no command, so an identical one
+            needs no action while the replica does not change.
+        unreachable: This controller's answers do not seem to reach the machine.
+        probe_token: The fencing token offered to an unreachable machine, to detect when it receives
+            answers again; None if none has been offered.
     """
 
     __slots__ = (
@@ -67,9 +69,9 @@
 
         These are the machines that sent a heartbeat here within `within_s`. A machine whose last
         heartbeat here is older, but younger than FORGET_AFTER_LEASES leases, is included only if
-        no controller has a newer message: agents move from controller to controller, and without
-        this limit each controller would soon report all machines. `machines` restricts the result
-        to these names.
+        no controller is known to have received a newer message: agents move from controller to
+        controller, and without this limit each controller would soon report all machines.
+        `machines` restricts the result to these names.
         """
         records: Iterable[tuple[str, AgentRecord]] = self.by_machine.items()
         if machines is not None:
@@ -93,7 +95,7 @@
         return values
 
     def forget_old(self, now: float) -> None:
-        """Drops machines without a heartbeat here for FORGET_AFTER_LEASES leases."""
+        """Drops records of machines that sent no heartbeat here for FORGET_AFTER_LEASES leases."""
         forget_after_s = FORGET_AFTER_LEASES * self.settings.lease_s
         old = [
             name
--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -19,8 +19,10 @@
 
     Attributes:
         stop: KEEP, STOP or SAVE.
-        stop_revision: The revision at which the stop was first seen.
-        agent_epoch: The machine's agent epoch; the binding is void in a later one.
+        stop_revision: The mod revision of the stored value in which the stop was first seen; unused
+            with KEEP.
+        agent_epoch: The machine's agent epoch for which the task was bound; the binding is void in
+            later epochs.
     """
 
     attempt: int
@@ -100,7 +102,7 @@
         jobs: {job: LiveJob}.
         by_machine: {machine: {(job, task): DesiredTask}}; machines without tasks are absent.
         changed_machines: Machines whose bindings or taint changed since their last heartbeat here.
-        changed: The ChangedBindings of the change of the replica that is being applied.
+        changed: The new bindings and new stops in the changes that are being applied.
     """
 
     def __init__(self, cancelled: CancelledJobs) -> None:
@@ -116,7 +118,10 @@
         return self.by_machine.get(machine, {})
 
     def stop_of(self, key: TaskKey, desired: DesiredTask) -> tuple[StopMode, int]:
-        """(how a bound task is to be stopped, the revision at which that was first seen)."""
+        """(how a bound task is to be stopped, the revision at which this stop was first seen).
+
+        A task is stopped by its binding or by the cancellation of its job.
+        """
         cancellation = self.cancelled.by_job.get(key[0])
         if cancellation is None:
             return desired.stop, desired.stop_revision
@@ -125,7 +130,7 @@
         return StopMode.STOP, cancellation.revision
 
     def take_changed(self) -> list[ChangedBinding]:
-        """Removes and returns the bindings that changed since the last call."""
+        """Removes and returns the new bindings and new stops since the last call."""
         changed, self.changed = self.changed, []
         return changed
 
@@ -186,7 +191,10 @@
     def _change_layout(
         self, job_id: str, job: LiveJob, generation: str, record: dict, mod_revision: int
     ) -> None:
-        """Switches to the chunks that the record names; tasks bound in both layouts stay bound."""
+        """Switches to the chunks of the generation that the job's record names.
+
+        Tasks that are bound in both layouts stay bound.
+        """
         old = dict(job.bindings())
         chunks = {
             number: jobs_wire.binding_rows(chunk)
@@ -224,7 +232,7 @@
                 self._bind((job_id, task), row, mod_revision)
 
     def _unbind(self, key: TaskKey, row: list) -> DesiredTask:
-        """Removes a binding and returns its desired state."""
+        """Removes a task's binding and returns the desired state that the task had."""
         machine = row[ROW_MACHINE]
         bound = self.by_machine[machine]
         before = bound.pop(key)
--- a/emberglade/agents/cancelled_jobs.py
+++ b/emberglade/agents/cancelled_jobs.py
@@ -4,8 +4,8 @@
 
 from ..actors import Actor, ActorPart
 
-# After this many heartbeat intervals, controllers that did not confirm the cancellation themselves
-# halt the job too.
+# A controller that did not itself confirm a cancellation to a user halts the job's tasks too, this
+# many heartbeat intervals after it learned of the cancellation.
 HALT_DELAY_HEARTBEATS = 3
 
 
@@ -16,7 +16,7 @@
     Attributes:
         revision: The revision at which the cancellation was seen.
         halt_due_at: When this controller starts to halt the job's tasks directly.
-        ended: (task, attempt) pairs that the machine's own agent reported as ended.
+        ended: The (task, attempt) pairs that have ended according to their machines' agents.
     """
 
     revision: int
@@ -29,7 +29,8 @@
 
     Attributes:
         by_job: {live job in the replica: its Cancellation}.
-        announced: {job: revision}, announced by peers and not yet shown by the replica.
+        announced: {job: revision} of cancellations that peers announced and the replica does not
+            show yet.
     """
 
     def __init__(self, actor: Actor, agent_heartbeat_s: float) -> None:
@@ -42,9 +43,9 @@
         return job_id in self.by_job or job_id in self.announced
 
     def add(self, job_id: str, revision: int) -> None:
-        """Records the cancellation of a job in the replica; its tasks are halted after a delay.
+        """Records the cancellation of a live job; this controller halts its tasks after a delay.
 
-        Before that, the controller that confirms the cancellation halts them.
+        The delay leaves the halts to the controller that confirms the cancellation to a user.
         """
         self.by_job[job_id] = Cancellation(revision, self.now() + self.halt_delay_s)
 
@@ -58,7 +59,7 @@
         return cancellation.revision if cancellation is not None else self.announced[job_id]
 
     def due(self, now: float) -> list[str]:
-        """The jobs whose tasks this controller has to halt directly."""
+        """The jobs whose tasks this controller has to halt directly by now."""
         return [
             job_id
             for job_id, cancellation in self.by_job.items()
@@ -71,6 +72,6 @@
             cancellation.halt_due_at = min(cancellation.halt_due_at, now)
 
     def forget_announced(self, revision: int) -> None:
-        """Drops announcements that the replica, which is at `revision` now, shows itself."""
+        """Drops announced cancellations that the replica, now at `revision`, shows itself."""
         for job_id in [job_id for job_id, seen in self.announced.items() if seen <= revision]:
             del self.announced[job_id]
--- a/emberglade/agents/committed_state.py
+++ b/emberglade/agents/committed_state.py
@@ -19,7 +19,7 @@
 
 @dataclass
 class ReplicaChange:
-    """What follows from a change of the replica, besides the new CommittedState.
+    """What the agent manager has to act on after a change of the replica was applied.
 
     Attributes:
         bindings: New bindings, and bindings that have to be stopped.
@@ -42,7 +42,8 @@
         owners: {shard: controller}.
         machine_types: {name: MachineType}, from the catalog.
         controllers: The controllers whose keys exist.
-        tables: {controller: {key: value}}: its own key and the overflow keys of its table.
+        tables: {controller: {key: value}}: the stored values of each controller's status table,
+            under the controller's own key and the overflow keys.
         revision: The newest revision that the replica shows; -1 while there is no replica.
     """
 
@@ -66,7 +67,7 @@
     def note_announced(self, job_id: str, revision: int) -> None:
         """Records a cancellation that a peer has announced."""
         if revision <= self.revision:
-            return  # the replica shows it already, unless the job is finished
+            return  # the replica shows the cancellation already, or the job is finished
         self.cancelled.announced[job_id] = revision
         job = self.bindings.jobs.get(job_id)
         if job is not None and job_id not in self.cancelled.by_job:
@@ -84,7 +85,7 @@
         return change
 
     def _forget_missing(self, events: list) -> None:
-        """Drops whatever a snapshot of the replica no longer contains."""
+        """Drops jobs that a snapshot does not contain, and all controllers and taints."""
         self.bindings.keep_only(
             jobs_wire.job_id_of(key)
             for key, data, _ in events
@@ -130,7 +131,7 @@
             self.tables.setdefault(node, {})[key] = data
 
     def _apply_overflow(self, key: str, data: Any, change: ReplicaChange) -> None:
-        """Applies a further value of a controller's table."""
+        """Applies an overflow value, which is any value of a controller's table but the first."""
         node = records.overflow_owner(key)
         if data is None:
             self.tables.get(node, {}).pop(key, None)
--- a/emberglade/agents/direct_commands.py
+++ b/emberglade/agents/direct_commands.py
@@ -21,11 +21,11 @@
 class DirectCommands(AgentPart):
     """Starts newly bound tasks and stops preempted ones, for jobs that this controller owns.
 
-    The fencing token is the revision of the replica that shows the binding. The binding ends either
-    by a later commit, which is fenced with its own, higher revision, or with the agent epoch that
-    the message names. After either, a delayed start has no effect, however late it arrives
-    (docs/safety.md, 6). A stop names an attempt that is never started again, so it does no harm at
-    any time.
+    The fencing token of a message is the revision of the replica that shows the binding. A binding
+    ends either by a later commit, whose higher revision the agent then receives as a fencing token,
+    or with the agent epoch that the message names. Once the agent has that token or is in a later
+    epoch, it rejects a delayed start, however late the start arrives (docs/safety.md, 6). A stop
+    names an attempt that is never started again, so it does no harm, however late it arrives.
     """
 
     def __init__(
@@ -53,8 +53,9 @@
     def _command_for(self, machine: str, key: TaskKey, changed: DesiredTask) -> Command | None:
         """The command for a new binding or stop, if this controller owns the job; else None.
 
-        The command follows from the current binding, not from `changed`: if a binding and its stop
-        arrived in one change, the start was sent with a fencing token above that of the stop
+        The command follows from the current binding, not from `changed`. If it followed from
+        `changed`, and a binding and its stop arrived in one change of the replica, the start would
+        be sent with a fencing token above that of the stop
         (protocol_rules/bound_and_stopped.txt).
         """
         bindings = self.committed.bindings
@@ -107,7 +108,8 @@
     ) -> tuple[AgentHeartbeat, dict[TaskKey, TaskStatus]] | None:
         """Processes the heartbeat in an agent's answer.
 
-        Updates the machine's record if the heartbeat is newer, and notifies the owners of its jobs.
+        Updates the machine's record if the heartbeat is newer than the one in it, and notifies the
+        owners of the jobs with tasks bound to the machine.
 
         Returns:
             The heartbeat and its tasks; None if the answer contains no valid heartbeat.
--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -1,10 +1,11 @@
 """Halts of cancelled jobs' tasks, sent directly to their machines.
 
 A cancellation reaches a task in the next answer to its machine's heartbeat, if the controller that
-answers has seen it. A controller without contact with the store may not have seen it while agents
-still send it their heartbeats. So the controller that confirms a cancellation to a user halts the
-tasks itself and notifies its peers. Every other controller that knows of the cancellation halts
-them HALT_DELAY_HEARTBEATS later if the job's record still shows them (docs/safety.md, 8).
+answers knows of the cancellation. A controller without contact with the store may still receive
+agents' heartbeats and not know of it. So the controller that confirms a cancellation to a user
+halts the tasks itself and notifies its peers. Every other controller that knows of the cancellation
+waits HALT_DELAY_HEARTBEATS heartbeat intervals and then halts the tasks that the replica still
+shows as bound (docs/safety.md, 8).
 """
 
 from typing import Any, NamedTuple
@@ -21,7 +22,8 @@
 
 # HTTP status: the agent has seen a higher fencing token, or is in another agent epoch.
 COMMANDS_REFUSED = 409
-DESCRIPTORS_PER_HALT = 128  # one unanswered halt per this many file descriptors of the limit
+# One unanswered halt is allowed per this many file descriptors that the process may open.
+DESCRIPTORS_PER_HALT = 128
 
 
 class SentHalt(NamedTuple):
@@ -51,7 +53,8 @@
         self.direct_commands = direct_commands
         self.last_halts: dict[str, SentHalt] = {}  # by machine
         self.awaiting_answer: set[str] = set()  # machines with an unanswered halt
-        # Each unresponsive machine blocks a thread until the timeout; starts need threads as well.
+        # A halt sent to an unresponsive machine blocks a thread until its timeout; direct starts
+        # need these threads as well.
         self.max_awaiting = max(2, self.settings.fd_limit // DESCRIPTORS_PER_HALT)
         self.halts_deferred = False  # halts are pending because too many are unanswered
 
@@ -72,7 +75,7 @@
         self.halt_job(job_id)
 
     def take_over_halts(self) -> None:
-        """Sends all pending halts: a dead peer may not have sent its own."""
+        """Halts all cancelled jobs without delay: a dead peer may not have sent its halts."""
         self.committed.cancelled.advance_all(self.now())
         self._halt_due_jobs()
 
@@ -133,8 +136,8 @@
     def _send_halts(self, machine: str, agent_epoch: int, addr: str, fencing_token: int) -> None:
         """Halts all of a machine's cancelled tasks in one message.
 
-        The message's fencing token is at least the revision of the cancellation, so that no start
-        from before the cancellation is accepted afterwards, however late it arrives.
+        The message's fencing token is at least the revision of each of their cancellations, so that
+        no start from before a cancellation is accepted afterwards, however late it arrives.
         """
         commands = []
         for key, desired in self.committed.bindings.of_machine(machine).items():
@@ -164,7 +167,7 @@
         status: int,
         body: Any,
     ) -> None:
-        """Handles an agent's answer to a direct halt: records ended tasks, or sends it again."""
+        """Handles an agent's answer to a direct halt: records ended tasks, or repeats the halt."""
         self.awaiting_answer.discard(machine)
         answer = self.direct_commands.apply_answer(machine, status, body)
         if answer is None:
@@ -175,7 +178,8 @@
             and heartbeat.agent_epoch == agent_epoch
             and heartbeat.fencing_token > fencing_token
         ):
-            # The agent has seen a newer fencing token. A halt of a cancelled task is always valid.
+            # The agent has seen a higher fencing token. A halt of a cancelled job's task is always
+            # valid, so it is sent again with that token.
             self._send_halts(machine, agent_epoch, addr, heartbeat.fencing_token)
             return
         self._note_ended(machine, heartbeat, tasks)
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -1,8 +1,8 @@
 """Answers agents' heartbeats.
 
 An agent may send its heartbeats to any controller. The commands in an answer are derived only from
-the replica. A start is sent only if the replica was synced after the heartbeat arrived;
-docs/safety.md gives the reasons.
+the replica and from cancellations that peers announced. An answer contains a start only if the
+replica was synced after the heartbeat arrived; docs/safety.md gives the reasons.
 """
 
 import itertools
@@ -98,7 +98,7 @@
         """Rejects or redirects a heartbeat that this controller must not or should not process.
 
         Returns:
-            Whether the heartbeat was answered here.
+            Whether the heartbeat was rejected or redirected, and so is already answered.
         """
         if connected_peer is not None and not self._is_caught_up(now):
             reply(421, agent_wire.write_redirect(connected_peer))
@@ -107,8 +107,9 @@
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
             # If `may_answer` is false, this controller's commands could be older than a confirmed
-            # cancellation. If its key is missing, peers rely on it not answering tainted machines
-            # when they conclude that the leases of these machines have expired.
+            # cancellation. If this controller's key is missing from the store, peers conclude
+            # that tainted machines' leases have expired; they rely on this controller not answering
+            # these machines.
             reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
             return True
         peer = self.routing.peer_in_zone_of(heartbeat, now) if not tainted else None
@@ -120,15 +121,15 @@
     def _is_caught_up(self, now: float) -> bool:
         """Whether this controller's replica was recently at least as new as those of all peers.
 
-        The limit allows for the timeout of a sync, because a peer that loses contact with the state
-        service may answer questions late by that timeout
+        The time that counts as recent includes the timeout of a sync, because a peer that loses
+        contact with the state service may answer questions late by that timeout
         (combined_faults/cancel_before_outage_timeouts.txt, seed 2).
         """
         recent_s = self.settings.lease_s / 4 + self.settings.agent_heartbeat_s
         return now - self.evidence.caught_up_since() <= recent_s
 
     def _is_outdated(self, heartbeat: AgentHeartbeat, last_seen: LastSeen | None) -> bool:
-        """Whether this is a delayed duplicate, or its machine was already returned to the cloud.
+        """Whether a heartbeat is a delayed duplicate, or its machine was returned to the cloud.
 
         Such a heartbeat is no evidence that the machine is alive (docs/safety.md, 11).
         """
@@ -206,8 +207,8 @@
         only_starts = result.sync_need is SyncNeed.START and not result.commands
         if only_starts and connected_peer is not None:
             # This controller's replica is as new as those of its peers, but a start needs a sync,
-            # which needs contact with the state service. In all other cases here the agent is not
-            # redirected: if it can't reach the peer, its lease expires while it tries
+            # which needs contact with the state service. In all other cases this method does not
+            # redirect the agent: if it can't reach the peer, its lease expires while it tries
             # (combined_faults/cancel_before_outage_timeouts.txt).
             reply(421, agent_wire.write_redirect(connected_peer))
         elif result.sync_need is not None:
--- a/emberglade/agents/inventory.py
+++ b/emberglade/agents/inventory.py
@@ -84,14 +84,14 @@
                 names.clear()
 
     def notify_job_manager(self) -> None:
-        """Sends the job manager all machines that are known, after dropping outdated ones."""
+        """Drops outdated records; sends the job manager all machines of types in the catalog."""
         now = self.now()
         self.records.forget_old(now)
         self.routing.forget_old(now)
         self.evidence.forget_old(now)
         recent_s = 3 * self.settings.agent_heartbeat_s + 1
         if self.evidence.lacks_recent_answers(now):
-            # Tables arrive less often than answers.
+            # Some machines may be known only from tables, which arrive less often than answers.
             recent_s += TABLE_INTERVAL_S
         machine_types = self.committed.machine_types
         self.machines = {
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -2,8 +2,9 @@
 
 Part of the agent manager; receives no messages of its own. Information about a machine comes from
 three sources: its heartbeats to this controller, peers' answers to questions, and the tables that
-every controller writes to the store. The newest version (agent epoch, sequence) is kept; a
-heartbeat that is not newer is a delayed duplicate and no evidence that the machine is alive.
+every controller writes to the store. The status with the highest version (agent epoch, sequence) is
+kept; a heartbeat that is not newer is a delayed duplicate and no evidence that the machine is
+alive.
 """
 
 from collections import deque
@@ -26,8 +27,8 @@
     """The status of a machine in the newest message that any controller received from it.
 
     Attributes:
-        contact_at: When a controller last received a message from it or answered it, by the clock
-            of this controller.
+        contact_at: When a controller last received a message from the machine or answered it, by
+            the clock of this controller.
     """
 
     status: MachineStatus
@@ -43,8 +44,8 @@
 class PeerMachineView:
     """A peer's view of all machines, or of those that it was asked about.
 
-    It was made after `asked_at` and before `received_at`, by the clock of this controller. The
-    other fields are those of MachineView.
+    The view was made after `asked_at` and before `received_at`, by the clock of this controller.
+    The other fields are those of MachineView.
 
     Attributes:
         active_machines: How many machines had recently been in contact with that peer.
@@ -60,15 +61,15 @@
     active_machines: int = 0
 
     def last_answered(self, machine: str) -> float:
-        """The latest moment at which that controller may have been in contact with the machine.
+        """The latest moment at which the peer may have been in contact with the machine.
 
-        A controller that does not know the machine may have answered it before its own restart.
+        If the peer does not know the machine, its previous process may have answered the machine.
         """
         status = self.machines.get(machine)
         return self.received_at - (self.up_s if status is None else min(self.up_s, status.age_s))
 
     def contact_age_at(self, now: float) -> float:
-        """Seconds since that controller's last sync, if none was answered after this view."""
+        """Seconds since the peer sent its last answered sync, if there was none after this view."""
         return self.contact_age_s + now - self.received_at
 
 
@@ -84,7 +85,7 @@
 
 # A bound on when one controller may have answered one machine: (the latest moment at which it may
 # have done so, the moment up to which that is known). Plain tuples, because thousands of machines
-# may wait for proof, each with several bounds for every peer.
+# may wait for proof that their leases have expired, each with several bounds for every peer.
 AnswerBound = tuple[float, float]
 
 
@@ -156,7 +157,7 @@
         if asked_about is None:
             self.direct_views[peer] = answer
         else:
-            # The answer does not cover other machines; it does not state that they are unknown.
+            # The answer states nothing about other machines, not even that they are unknown.
             self.partial_views[peer] = asked_about, answer
         for machine, status in answer.machines.items():
             self.note_machine(machine, status, received_at - status.age_s)
@@ -165,7 +166,7 @@
     def add_table(
         self, peer: str, received_at: float, age_s: float, view: MachineView | None
     ) -> None:
-        """Adds the view in a peer's table, which is `age_s` old by the wall clocks.
+        """Adds the view in a peer's table, which is `age_s` old by the controllers' wall clocks.
 
         `view` is None if the table is malformed.
 
@@ -227,7 +228,7 @@
         )
 
     def lacks_recent_answers(self, now: float) -> bool:
-        """Whether a peer has not answered recently, so that its tables are the only source."""
+        """Whether some peer has not answered recently; its tables are then the newest source."""
         recent_s = 4 * self.settings.agent_heartbeat_s
         return any(
             peer.name not in self.direct_views
@@ -246,9 +247,10 @@
         """Whether every lease that a controller may have renewed for this machine has expired.
 
         Each controller states, from a replica that shows the taint, when it was last in contact
-        with the machine. For a controller that can't be asked, it suffices that its own key is
-        missing: if its replica shows this and the taint, it does not answer this machine; if its
-        replica is older, it stops answering agents within `max_staleness_s` (docs/safety.md, 7).
+        with the machine. For a controller that can't be asked, it suffices that its key is
+        missing from the store. If that controller's replica shows this and the taint, the
+        controller does not answer this machine; if its replica is older, the controller stops
+        answering agents within `max_staleness_s` (docs/safety.md, 7).
         """
         lease_s = self.settings.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         last_answered, known_until = own_contact_at, now
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -32,9 +32,9 @@
     ) -> None:
         """Calls `reply({machine: MachineLiveness}, slack_s)`.
 
-        Heartbeats of the last `slack_s` may not be known here, because tables are older than peers'
-        answers would be. So the leader must count that time neither as a lack of heartbeats nor as
-        evidence that the machine is alive.
+        Heartbeats of the last `slack_s` seconds may not be known here, because tables are older
+        than peers' answers would be. So the leader must count that time neither as a lack of
+        heartbeats nor as evidence that the machine is alive.
         """
         now = self.now()
         slack_s = TABLE_INTERVAL_S if self.evidence.lacks_recent_answers(now) else 0.0
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -1,4 +1,4 @@
-"""The agent manager: the actor that builds this package's parts and receives all its messages."""
+"""The agent manager: the actor that builds this package's parts and receives their messages."""
 
 from collections.abc import Callable
 from typing import Any
@@ -76,7 +76,7 @@
             self, shared, store, self.routing, reconciler, self.updates, self.inventory
         )
 
-    # --- messages from the actor system, the store and the member
+    # --- messages from the actor system, the store and the membership actor
 
     def on_begin(self) -> None:
         """Handles `begin` from the actor system: subscribes to the store and starts the timers."""
@@ -96,7 +96,7 @@
         self.inventory.update_if_due()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member; tables' numbers contain it."""
+        """Handles `identity(incarnation)` from the membership actor; tables' numbers contain it."""
         super().on_identity(incarnation)
         self.tables.incarnation = incarnation
 
@@ -107,7 +107,8 @@
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
-        Applies the changes, delivers task updates, reads changed tables and sends new commands.
+        Applies the changes, delivers task updates and reads changed tables. Sends direct commands
+        for new bindings and stops, except after a snapshot.
         """
         committed = self.committed
         change = committed.apply(changes, revision, is_snapshot)
@@ -171,7 +172,7 @@
         reply(self.committed.revision >= 0 and connected_peer is None)
 
     def on_ask_stop(self, update: TaskUpdate) -> None:
-        """Handles `ask_stop(update)` from the job manager: forwards it to the job's owner."""
+        """Handles `ask_stop(update)` from the job manager: forwards `update` to the job's owner."""
         self.updates.forward(update)
 
     def on_ask_liveness(self, reply: Callable[..., Any], tainted_only: bool = False) -> None:
--- a/emberglade/agents/peer_exchange.py
+++ b/emberglade/agents/peer_exchange.py
@@ -15,8 +15,8 @@
 log = logging.getLogger("emberglade.agents")
 
 MAX_MACHINES_PER_QUESTION = 1000  # keeps a question well below 64 KiB
-# Peers are asked about lost machines four times per heartbeat interval, or four times in this time
-# if that is shorter.
+# Peers are asked about lost machines four times per heartbeat interval, or four times per this time
+# if it is shorter than the heartbeat interval.
 MAX_PROOF_INTERVAL_S = 1.0
 
 
@@ -82,7 +82,7 @@
         ]
 
     def _next_lost_machines(self, lost: list[str]) -> list[str]:
-        """The machines of the next question: all of `lost`, or its next part if it is too long."""
+        """The machines of the next question: `lost`, or the next part of it if it is too long."""
         first = self.next_lost_index if self.next_lost_index < len(lost) else 0
         self.next_lost_index = first + MAX_MACHINES_PER_QUESTION
         return lost[first : first + MAX_MACHINES_PER_QUESTION]
@@ -127,7 +127,7 @@
             self._fetch_changes(name)
 
     def _fetch_changes(self, peer: str) -> None:
-        """Fetches changes from a peer with a newer replica if no recent sync was answered."""
+        """Fetches changes from a peer with a newer replica, unless a recent sync was answered."""
         revision = self.committed.revision
         contact_age_s = self.now() - self.evidence.last_sync_sent_at
         if (
@@ -147,7 +147,7 @@
     # --- answering
 
     def answer_question(self, question: MachineQuestion, reply: Callable[[int, dict], Any]) -> None:
-        """Answers a peer from a replica synced after the question arrived.
+        """Answers a peer, normally from a replica synced after the question arrived.
 
         Without contact with the store, a sync may take longer than the peer waits, and the peer
         needs the replica's revision at once; so the answer is sent without a sync
@@ -163,7 +163,7 @@
     def on_question_synced(
         self, machines: list[str] | None, reply: Callable[[int, dict], Any], revision: int | None
     ) -> None:
-        """Handles the end of a sync that a question waits for; `revision` is None if it failed."""
+        """Answers a question after its sync; `revision` is None if that failed or was left out."""
         now = self.now()
         reply(
             200,
--- a/emberglade/agents/reachability.py
+++ b/emberglade/agents/reachability.py
@@ -58,7 +58,7 @@
             self.inventory.schedule_update()
 
     def _probe(self, record: AgentRecord, heartbeat: AgentHeartbeat) -> None:
-        """Offers an unreachable machine a new fencing token, or detects that it received one."""
+        """Offers an unreachable machine a fencing token, or detects that the token arrived."""
         if record.probe_token is None:
             if self.committed.revision > heartbeat.fencing_token:
                 record.probe_token = self.committed.revision
--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -1,7 +1,8 @@
 """Reconciliation: compares the tasks on a machine with those that are committed for it.
 
-The differences become commands. What is committed is read from the replica alone, which may be
-outdated; docs/safety.md, 4 to 6, explains why no command can do harm, however late it arrives.
+The differences become commands. What is committed is read from the replica, which may be
+outdated, and from cancellations that peers announced; docs/safety.md, 4 to 6, explains why no
+command can do harm, however late it arrives.
 """
 
 import logging
@@ -32,7 +33,7 @@
 
 
 class SyncNeed(Enum):
-    """Commands that would need a replica synced after the heartbeat arrived."""
+    """The kind of command that has to wait for a sync made after the heartbeat arrived."""
 
     CLEAR = "clear"  # to clear or halt an attempt that the replica does not bind to the machine
     START = "start"
@@ -43,7 +44,7 @@
     """The answer to an agent.
 
     Attributes:
-        sync_need: The further commands that a sync would allow.
+        sync_need: The kind of further commands that a sync would allow; None if there are none.
     """
 
     fencing_token: int
@@ -124,7 +125,7 @@
         status: TaskStatus,
         synced: bool,
     ) -> None:
-        """Handles an attempt that is not bound to the machine, as far as the replica shows."""
+        """Handles an attempt on a machine that, according to the replica, is not bound to it."""
         exited = status.state is EXITED
         cancelled = self.committed.cancelled
         if not exited and key[0] in cancelled:
@@ -135,7 +136,7 @@
         elif not synced:
             result.sync_need = result.sync_need or SyncNeed.CLEAR
         elif exited:
-            # The fencing token rejects a delayed start of this attempt that arrives later.
+            # Once the agent has this fencing token, it rejects a delayed start of this attempt.
             result.fence(self.committed.revision)
             result.commands.append(ClearTask(key, status.attempt))
         else:
--- a/emberglade/agents/routing.py
+++ b/emberglade/agents/routing.py
@@ -9,7 +9,8 @@
 from .wire.agents import AgentHeartbeat
 
 REDIRECT_INTERVAL_LEASES = 4  # minimum time between redirects of a machine to its own zone
-# No machine is redirected to a controller that has more than this multiple of an even share.
+# No machine is redirected to a controller that already has more than this multiple of an even share
+# of all machines.
 MAX_SHARE_FACTOR = 3
 
 
@@ -31,10 +32,10 @@
         """Whether this controller is allowed to answer agents (docs/safety.md, 8).
 
         The replica must show every cancellation that was confirmed to a user more than
-        `max_staleness_s` ago. This is certain in two cases: a sync sent within that time was
-        answered; or every peer, asked within that time, stated that its replica is not newer than
-        this one. The latter suffices because a controller confirms to users only what its own
-        replica shows.
+        `max_staleness_s` ago. This is certain in two cases: a sync sent within the last
+        `max_staleness_s` was answered; or every peer, asked within the last `max_staleness_s`,
+        stated that its replica is not newer than this one. The latter suffices because a controller
+        confirms to users only what its own replica shows.
         """
         if self.committed.revision < 0:
             return False
@@ -61,8 +62,8 @@
         """A controller in the machine's zone that its agent should use instead of this one, if any.
 
         If a zone is partitioned from the others, only a controller inside it can renew the leases
-        of its machines. Without this redirect most of the machines used controllers outside; with
-        five controllers, an agent took longer than a lease to find the one inside
+        of its machines. Without this redirect, most of these machines would use controllers
+        outside; with five controllers, an agent took longer than a lease to find the one inside
         (agents/zone_partitioned_of_five.txt). A machine is redirected at most once every
         REDIRECT_INTERVAL_LEASES leases, so a machine that can't reach the controller in its zone
         can use this one.
@@ -111,8 +112,8 @@
             and peer not in self.suspected
             and view is not None
             and self._has_contact(view, now)
-            # If no machine is in contact with it, at most one per quarter of a lease is redirected
-            # to it, which shows whether machines can reach it.
+            # If no machine is in contact with the peer, at most one machine per quarter of a lease
+            # is redirected to it, which shows whether machines can reach it.
             and bool(
                 view.active_machines
                 or now - self.peer_redirected_to_at.get(peer, NEVER) > self.settings.lease_s / 4
--- a/emberglade/agents/tables.py
+++ b/emberglade/agents/tables.py
@@ -114,7 +114,7 @@
         return values
 
     def read(self, node: str) -> None:
-        """Reads a controller's table from the replica, unless some of its values are missing."""
+        """Reads a peer's table from the replica; ignores a table that lacks some of its values."""
         if node == self.settings.node:
             return
         stored = self.committed.tables.get(node, {})
--- a/emberglade/agents/update_forwarding.py
+++ b/emberglade/agents/update_forwarding.py
@@ -19,7 +19,7 @@
 
 MAX_UPDATES_PER_MESSAGE = 200
 VALUE_OVERHEAD_BYTES = 256  # field and controller names in the value with undelivered updates
-MAX_BATCHES_PER_HEARTBEAT = 20  # updates between two batches are sent together
+MAX_BATCHES_PER_HEARTBEAT = 20  # updates between two sends are sent together
 
 
 class UpdateForwarding(AgentPart):
@@ -77,7 +77,8 @@
             and stop != StopMode.KEEP
             and heartbeat.fencing_token >= stop_revision
         ):
-            # The binding's agent epoch has ended, or a start would be fenced: it will never run.
+            # The attempt is not on the machine and can't start there any more: the binding's agent
+            # epoch has ended, or the agent would reject a start by its fencing token.
             return TaskGone(*key, desired.attempt, heartbeat.machine)
         if stop == StopMode.KEEP and heartbeat.spot_notice_s is not None:
             return StopRequested(*key, desired.attempt, StopMode.SAVE, "its machine is taken back")
@@ -119,12 +120,16 @@
         if status == 200:
             self.undelivered.pop(node, None)
             return
-        # Later heartbeats repeat updates that were not recorded, so the latest of each key suffice.
+        # Later heartbeats repeat updates that were not committed, so only the latest update of each
+        # key is kept.
         undelivered = self.undelivered.setdefault(node, {})
         undelivered.update((update.key, update) for update in updates)
 
     def write_undelivered(self) -> None:
-        """Stores the updates that could not be sent to jobs' owners, as many as fit one value."""
+        """Stores as many of the updates that could not be sent to jobs' owners as fit one value.
+
+        The others are dropped; they are sent again when a later heartbeat or request repeats them.
+        """
         undelivered, self.undelivered = self.undelivered, {}
         bytes_left = self.settings.value_bytes - VALUE_OVERHEAD_BYTES
         rows: dict[str, list] = {}
--- a/emberglade/agents/wire/peers.py
+++ b/emberglade/agents/wire/peers.py
@@ -41,7 +41,7 @@
 class MachineQuestion(NamedTuple):
     """A peer's question: about all machines, or only some."""
 
-    asker: str | None  # not sent by the previous version
+    asker: str | None  # None: from a peer of the previous version, which does not send its name
     machines: list[str] | None  # None: all machines
 
 
@@ -101,8 +101,9 @@
     Attributes:
         up_s: Seconds since its process began.
         contact_age_s: Seconds since it sent its last answered sync.
-        revision: In an answer: the revision of a sync made for the question, None if there was
-            none. In a table: the revision of the replica that the table was made from.
+        revision: In an answer: the revision of a sync made for the question, None if that
+            sync failed or was left out. In a table: the revision of the replica that the table was
+            made from.
         machines: By name.
         replica_revision: The revision of its replica; NO_REPLICA if it has none or sent none.
     """
@@ -121,7 +122,7 @@
     replica_revision: int,
     machines: dict[str, tuple],
 ) -> dict:
-    """The answer to a question: a MachineView's fields; `machines` holds `machine_values`."""
+    """The answer to a question: a MachineView's fields; `machines` is {name: `machine_values`}."""
     return {
         "up": up_s,
         "contact": min(MAX_CONTACT_AGE_S, contact_age_s),
--- a/emberglade/agents/wire/records.py
+++ b/emberglade/agents/wire/records.py
@@ -10,7 +10,7 @@
 
 __all__ = ["NODE_PREFIX", "SHARD_PREFIX", "node_key"]
 
-OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a further value of a controller's table
+OVERFLOW_PREFIX = "r/"  # r/NODE/NUMBER: a value of NODE's table other than the first
 UNDELIVERED_PREFIX = "f/"  # f/NODE: task updates that NODE could not send to the jobs' owners
 
 
--- a/emberglade/agents/wire/tables.py
+++ b/emberglade/agents/wire/tables.py
@@ -9,8 +9,9 @@
 
 from . import peers, records
 
-# The number of further values stated in a table without machines. That many never arrive, so
-# neither this version nor the previous one considers the table a complete list of machines.
+# A table without machines states this as the number of its values other than the first. That many
+# never arrive, so neither this version nor the previous one considers the table a complete list of
+# machines.
 NEVER_COMPLETE = 9999
 
 
@@ -21,11 +22,11 @@
         number: Unique among the tables of a controller.
         demand: {(machine type, spot): machines needed}.
         shortage: {(machine type, spot, zone): machines missing in that zone}.
-        wall_time: Wall-clock time at which it was made, in seconds since 1970.
+        wall_time: Wall-clock time at which the table was made, in seconds since 1970.
         up_s: Seconds since the controller's process began.
-        contact_age_s: Seconds since it sent its last answered sync.
+        contact_age_s: Seconds since the controller sent its last answered sync.
         revision: The revision of the replica that the table was made from.
-        machine_types: The names that machines' values refer to by index.
+        machine_types: The names of machine types that machines' values refer to by index.
     """
 
     number: str
@@ -65,7 +66,7 @@
 
 
 def write_overflow_value(number: str, machines: dict[str, list]) -> dict:
-    """A further value of the table with this number."""
+    """A value, other than the first, of the table with this number."""
     return {"t": number, "m": machines}
 
 
@@ -121,12 +122,12 @@
 
 
 def read_table(node: str, stored: dict[str, Any], zones: list[str]) -> TableView | None:
-    """The machines of a controller's table, or None while it is not complete.
+    """The machines of a controller's table, or None while the table is not complete.
 
     Args:
         node: The controller.
         stored: The values of its key and its overflow keys, by key.
-        zones: The names that machines' values refer to by index.
+        zones: The names of zones that machines' values refer to by index.
 
     Raises:
         KeyError, TypeError, ValueError, IndexError: The table is malformed.
--- a/emberglade/placement/capacity.py
+++ b/emberglade/placement/capacity.py
@@ -1,6 +1,7 @@
 """The cluster's capacity: what all bound tasks use of the machines and of the teams' quotas.
 
-It is updated task by task and never recomputed.
+It is updated task by task. Only the free resources of a machine that is new or
+changed its type are computed from all tasks bound to it.
 """
 
 from collections import defaultdict
@@ -37,9 +38,9 @@
 class ClusterCapacity:
     """What every bound task uses: per machine, per team.
 
-    Bound tasks are counted only by `add` and `remove`. `reserve` and `release` change the same
-    amounts temporarily: the caller must later undo each by calling the other with the same
-    arguments.
+    `add` and `remove` count bound tasks. Other callers of `reserve` and `release` change the same
+    amounts only temporarily: they must later undo each call by calling the other method with the
+    same arguments.
 
     Attributes:
         teams: The teams with their quotas and guarantees, by name.
@@ -48,7 +49,8 @@
         replicas: How many service tasks are bound to each of these machines.
         team_usage: What each team's tasks use.
         bound_tasks: {machine: {(job id, task): BoundTask}}, also for machines that no longer exist.
-        zones: The zone of each machine, kept as long as tasks may be bound to it.
+        zones: The zone of each current machine, and of other machines as long as tasks are bound
+            to them.
     """
 
     def __init__(self, teams: dict[str, "Team"]) -> None:
--- a/emberglade/placement/capacity_buffer.py
+++ b/emberglade/placement/capacity_buffer.py
@@ -34,7 +34,7 @@
     machine_types: dict[str, MachineType],
     wall_time: float,
 ) -> list[ExpectedTasks]:
-    """The tasks expected within a boot time, for classes with a `wait` objective below that time.
+    """The tasks expected within a boot time, for classes with a shorter `wait` objective.
 
     Tasks are counted by image, since free capacity on a machine that would have to fetch the image
     first does not help.
@@ -42,7 +42,7 @@
     Args:
         jobs: All live jobs; those submitted recently give the expected rate.
         objectives: All objectives.
-        machine_types: The catalog, by name; the longest boot time counts.
+        machine_types: The catalog, by name; the longest boot time of all its types is used.
         wall_time: The wall-clock time, in seconds since 1970.
 
     Returns:
@@ -69,7 +69,7 @@
 def _arrivals(
     jobs: "Iterable[Job]", classes: set[str], since: float
 ) -> "Iterable[tuple[Job, int]]":
-    """The latest job and the number of tasks submitted after `since`, by class and image."""
+    """By class and image: the latest job, and how many tasks were submitted after `since`."""
     arrivals: dict[tuple[str, str], tuple[Job, int]] = {}
     for job in jobs:
         spec = job.spec
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -57,7 +57,7 @@
 
     Args:
         jobs: The jobs that are counted.
-        expected: Tasks that are not submitted yet and are counted with them.
+        expected: Tasks that are not submitted yet and are counted as well.
         machine_types: The catalog, by name.
         teams: The teams by name; tasks beyond their team's quota are not counted.
 
--- a/emberglade/placement/images.py
+++ b/emberglade/placement/images.py
@@ -30,6 +30,6 @@
         return image in self._caches.get(machine, ())
 
     def keep_only(self, machines: Container[str]) -> None:
-        """Drops all other machines."""
+        """Drops the images of all machines other than these."""
         for name in [name for name in self._caches if name not in machines]:
             del self._caches[name]
--- a/emberglade/placement/machines.py
+++ b/emberglade/placement/machines.py
@@ -68,9 +68,9 @@
         type: Its machine type.
         zone: Its zone.
         spot: Whether the cloud may reclaim it.
-        agent_epoch: The incarnation of its agent, for which new bindings are valid.
-        schedulable: Whether it was recently in contact, receives answers, and has no spot
-            notice.
+        agent_epoch: The newest known epoch of its agent; new bindings are valid in this epoch only.
+        schedulable: Whether it was recently in contact with a controller, receives the answers to
+            its heartbeats, and has no spot notice.
     """
 
     name: str
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -88,8 +88,8 @@
             and free.ram_gb > ROUNDING_TOLERANCE
         }
         self._changes: list[_Change] = []
-        # Requirements that no machine could satisfy; within a round, capacity only shrinks until
-        # `release` clears this set.
+        # Requirements of jobs for which `place` found fewer machines than requested. They are not
+        # tried again until `release` frees capacity and clears this set.
         self._unplaceable: set[tuple[Any, ...]] = set()
 
     def __enter__(self) -> "PlacementRound":
@@ -127,12 +127,12 @@
         return machines
 
     def undo_place(self, machines: list[str]) -> None:
-        """Undoes the `place` just made, given the machines that it returned."""
+        """Undoes the last change, a call of `place`, given the machines that it returned."""
         if machines:
             self._undo_change(self._changes.pop())
 
     def release(self, spec: "JobSpec", name: str) -> None:
-        """Counts a bound task as ended for the rest of the round, except in rules on zones."""
+        """Counts a bound task as ended for the rest of the round; rules on zones still count it."""
         self.capacity.release(spec, name)
         self._changes.append(_Change(spec, [name], reserved=False))
         self._unplaceable.clear()
--- a/emberglade/placement/preemption_rules.py
+++ b/emberglade/placement/preemption_rules.py
@@ -1,8 +1,8 @@
 """Guarantees, and which tasks may be preempted for which, under PROTOCOL's rules.
 
-A task may be stopped for a task of a higher priority. Whatever its priority, a task of a team that
-exceeds its guarantee may also be stopped for a task of another team that stays within its own
-guarantee. No other task is stopped to free capacity.
+A task may be stopped for a task of a higher priority, which is a lower number. Whatever its
+priority, a task of a team that exceeds its guarantee may also be stopped for a task of another team
+that stays within its own guarantee. No other task is stopped to free capacity.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 def guaranteed_jobs(jobs: "Iterable[Job]", teams: dict[str, "Team"]) -> set[str]:
-    """The ids of the jobs that fit into their team's guarantee with the team's earlier jobs."""
+    """The ids of the jobs that, with all earlier jobs of their team, fit into its guarantee."""
     usages: dict[str, TeamUsage] = {}
     guaranteed = set()
     for job in sorted(jobs, key=lambda job: (job.spec.submitted_at, job.id)):
@@ -62,7 +62,11 @@
 
 
 def _is_beyond_guarantee(victim: "JobSpec", team: "Team", capacity: ClusterCapacity) -> bool:
-    """Whether a team still uses all of its guarantee without one task of a job."""
+    """Whether a team exceeds its guarantee by at least one task of the job `victim`.
+
+    Without that task, it would still use all of its guaranteed processors, or more than its
+    guaranteed GPUs.
+    """
     usage = capacity.usage_of(victim.team)
     return (
         usage.cpus - victim.cpus >= team.guaranteed_cpus - ROUNDING_TOLERANCE
@@ -81,7 +85,7 @@
 class PreemptionRules:
     """Caches the results of `may_preempt` within one round, by the preemption classes of both jobs.
 
-    The results are valid as long as no task is bound or unbound.
+    The results are valid as long as the usage of the teams in `capacity` does not change.
     """
 
     def __init__(self, capacity: ClusterCapacity, teams: dict[str, "Team"]) -> None:
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -24,10 +24,10 @@
 
 
 def victim_cost(spec: "JobSpec", recently_bound: bool) -> tuple[int, bool, bool]:
-    """The key for the cost of stopping a task, the lowest first.
+    """The cost of stopping a task, as a sort key: the cheapest task to stop comes first.
 
-    The lowest priority first, then jobs that save checkpoints, then tasks that were not recently
-    bound.
+    Tasks of a lower priority are cheaper. Within a priority, tasks of jobs that save checkpoints
+    are cheaper than others. Where that does not decide, tasks not bound recently are cheaper.
     """
     return -spec.priority, spec.checkpoint_interval_s <= 0, recently_bound
 
@@ -144,7 +144,7 @@
             last = victims[-1]
             cost = victim_cost(last.job.spec, is_recently_bound(last))
             candidates.append(((image_missing, cost, len(victims), name), victims))
-    # No two costs are equal, since each contains its machine's name.
+    # No two candidates compare as equal, since each contains its machine's name.
     return min(candidates)[1] if candidates else None
 
 
@@ -158,7 +158,10 @@
         self._may_preempt: dict[str, bool] = {}  # by the id of the victims' job
 
     def victims_on(self, name: str, bound_tasks: list[BoundTask]) -> list[BoundTask]:
-        """The first of a machine's tasks whose end frees enough capacity; empty if none do."""
+        """The first of a machine's stoppable tasks whose end together frees enough capacity.
+
+        Empty if all of them would not suffice, or if enough capacity is free already.
+        """
         spec = self.job.spec
         free = self.capacity.free[name]
         victims: list[BoundTask] = []
--- a/emberglade/placement/zones.py
+++ b/emberglade/placement/zones.py
@@ -1,4 +1,4 @@
-"""Rules on the zones of a job's tasks: all in one zone, or at most half of them in any zone."""
+"""Rules on the zones of a job's tasks: all in one zone, or at most half (rounded up) per zone."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -29,7 +29,7 @@
     Args:
         spec: The job.
         counts: The number of its tasks by zone.
-        zone: The zone of the further task.
+        zone: The zone of the additional task.
     """
     if spec.single_zone and counts and zone not in counts:
         return False
