--- a/emberglade/agents/direct_halts.py
+++ b/emberglade/agents/direct_halts.py
@@ -80,7 +80,7 @@
         self._halt_due_jobs()
 
     def on_repeat_halts(self) -> None:
-        """Handles `repeat_halts`, a timer of half a heartbeat interval."""
+        """Handles `repeat_halts`, a timer: sends due halts again every half heartbeat interval."""
         send_after(self.settings.agent_heartbeat_s / 2, self.on_repeat_halts)
         self.committed.cancelled.forget_announced(self.committed.revision)
         self.last_halts = {
--- a/emberglade/agents/heartbeats.py
+++ b/emberglade/agents/heartbeats.py
@@ -107,7 +107,7 @@
         own_key_missing = self.settings.node not in self.committed.controllers
         if not self.routing.may_answer(now) or (tainted and own_key_missing):
             # If `may_answer` is false, this controller's commands could be older than a confirmed
-            # cancellation. If this controller's key is missing from the store, peers conclude
+            # cancellation. If its key is missing from the store, peers may conclude
             # that tainted machines' leases have expired; they rely on this controller not answering
             # these machines.
             reply(503, agent_wire.write_error("no contact with the state service"), RETRY_AFTER_S)
--- a/emberglade/agents/lease_evidence.py
+++ b/emberglade/agents/lease_evidence.py
@@ -280,8 +280,8 @@
         missing_since = self.key_missing_since.get(peer)
         if missing_since is not None:
             # If this peer were ignored, a lease that it renewed could be considered expired: the
-            # machine may since have moved to a controller whose own statement is older
-            # (protocol_rules/isolated_controller.txt).
+            # agent may since send its heartbeats to another controller, whose newest statement is
+            # from before that change (protocol_rules/isolated_controller.txt).
             both_seen_at = max(missing_since, taint_seen_at)
             last_answered = both_seen_at + self.settings.max_staleness_s * CLOCK_DRIFT
             bounds.append((last_answered, self.last_sync_sent_at))
--- a/emberglade/agents/liveness.py
+++ b/emberglade/agents/liveness.py
@@ -30,7 +30,7 @@
     def answer(
         self, reply: Callable[[dict[str, MachineLiveness], float], Any], tainted_only: bool
     ) -> None:
-        """Calls `reply({machine: MachineLiveness}, slack_s)`.
+        """Calls `reply({machine: MachineLiveness}, slack_s)`; `tainted_only` omits other machines.
 
         Heartbeats of the last `slack_s` seconds may not be known here, because tables are older
         than peers' answers would be. So the leader must count that time neither as a lack of
--- a/emberglade/agents/manager.py
+++ b/emberglade/agents/manager.py
@@ -167,7 +167,10 @@
         self.routing.suspected = view.suspected
 
     def on_ready(self, reply: Callable[[bool], Any]) -> None:
-        """Handles `ready(reply)` from the user API: whether this controller can serve users."""
+        """Handles `ready(reply)` from the user API: whether this controller can serve users.
+
+        True if this controller has a replica, unless only a peer is in contact with the store.
+        """
         connected_peer = self.routing.connected_peer(self.now())
         reply(self.committed.revision >= 0 and connected_peer is None)
 
--- a/emberglade/placement/placement_round.py
+++ b/emberglade/placement/placement_round.py
@@ -12,8 +12,8 @@
     from ..jobs.job import Job
     from ..jobs.job_spec import JobSpec
 
-# A job is late if less than this share of its estimated run time is left until it is due: estimates
-# are often wrong by half.
+# A job is late if less than this share of its estimated run time is left until it is due. The share
+# is less than 1 because estimates are often wrong by half.
 MIN_ESTIMATE_SHARE = 0.6
 
 
--- a/emberglade/placement/victims.py
+++ b/emberglade/placement/victims.py
@@ -47,7 +47,7 @@
     teams: dict[str, "Team"],
     is_recently_bound: IsRecentlyBound,
 ) -> list[BoundTask]:
-    """Victims of the same team whose end brings one task of a job within the team's quota.
+    """Victims of a job's own team whose end brings one more task of the job within its quota.
 
     Returns:
         The victims, the first to be stopped first; all possible ones if they are not enough.
