--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -1,10 +1,11 @@
 """Actors: objects with private state that communicate by messages.
 
 A message is a deferred call of one of the actor's handlers, the methods `on_<message>`:
-`send(store.on_sync, reply)` makes the store run `on_sync(reply)` in its own turn. An actor never
-calls another actor's methods directly. `ThreadSystem` gives each actor a thread, a mailbox and a
-turn; the tests run the same actors on simulated time. For the reasons not to use Pykka see
-docs/design.md, "Libraries".
+`send(store.on_sync, reply)` makes the store run `on_sync(reply)` in its own turn. A turn is the
+handling of one message; an actor's turns never overlap. An actor sends messages to another actor's
+handlers, and never calls them directly. `ThreadSystem` gives each actor a thread and a mailbox; the
+tests run the same actors on simulated time. For the reasons not to use Pykka see docs/design.md,
+"Libraries".
 """
 
 import heapq
@@ -97,7 +98,7 @@
 ) -> None:
     """Sends a message to an actor, which runs `handler` with these arguments in its own turn.
 
-    Messages of one sender are handled in the order of sending.
+    Messages that one sender sends to an actor with `send` are handled in the order of sending.
     """
     assert not kwargs, "messages have no keyword arguments"
     _receiver(handler)._post(0.0, handler, args)
@@ -111,8 +112,8 @@
 def send_inline(handler: Handler, *args: Any) -> None:
     """Like `send`, but handles the message in the caller's thread if the actor is idle.
 
-    The actor still handles one message at a time, in its own turn. This saves two thread switches
-    per heartbeat, which cost more than handling the heartbeat itself.
+    The actor still handles one message at a time. For the heartbeat of an agent, this saves two
+    thread switches, which cost more than handling the heartbeat itself.
     """
     actor = _receiver(handler)
     if actor._send_inline is None:
@@ -122,7 +123,7 @@
 
 
 def callback(handler: Handler, *context: Any) -> Callable[..., None]:
-    """Returns a callable that sends `handler` the `context` followed by its own arguments."""
+    """Returns a callable that sends `handler` the `context` and then the callable's arguments."""
     post = _receiver(handler)._post
     return lambda *result: post(0.0, handler, context + result)
 
@@ -159,7 +160,7 @@
 
 @dataclass(slots=True)
 class HandlerUsage:
-    """The time spent in one handler, including time it was blocked, and its number of calls."""
+    """How long one handler has run, including the time it was blocked, and its number of calls."""
 
     seconds: float = 0.0
     count: int = 0
@@ -169,7 +170,7 @@
     """One actor's thread, mailbox, timers and turn.
 
     Attributes:
-        usage: The usage of each handler since it was last cleared, by the handler's name.
+        usage: The usage of each handler, by the handler's name, since this dict was last cleared.
     """
 
     def __init__(self, actor: Actor, name: str, now: Callable[[], float]) -> None:
@@ -211,7 +212,7 @@
             if wait_s is not None and wait_s <= 0:
                 timer = heapq.heappop(self._timers)
                 self._deliver_in_turn(timer.handler, timer.args)
-                # Take one message from the mailbox between timers, or they could starve it.
+                # Take one message after each timer; otherwise, timers could starve the mailbox.
                 wait_s = 0.0
             try:
                 due, handler, args = self._mailbox.get(wait_s != 0.0, wait_s)
@@ -251,7 +252,7 @@
 
 
 class ThreadSystem:
-    """Runs each actor on a thread of its own, with the system's clocks.
+    """Runs each actor on a thread of its own, with the clocks of the operating system.
 
     `seed` initializes the random numbers; None for a random seed.
     """
@@ -266,8 +267,9 @@
     def spawn(self, actors: Iterable[tuple[Actor, str]]) -> None:
         """Starts actors, given as (actor, name); all have a mailbox before the first one starts.
 
-        Without this order, a process that gets its lease at once may send its identity to actors
-        that have no mailbox yet, and those never receive it (actors/message_before_begin.txt).
+        Without this order, a process that is granted its lease at once may send the message
+        `identity` to actors that have no mailbox yet, and the message is lost
+        (actors/message_before_begin.txt).
         """
         threads = [self._prepare(actor, name) for actor, name in actors]
         for thread in threads:
--- a/emberglade/failure_detection/arrivals.py
+++ b/emberglade/failure_detection/arrivals.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 WINDOW_INTERVALS = 64
-MIN_SAMPLES = 4  # with fewer, only the configured bounds apply
+MIN_SAMPLES = 4  # with fewer intervals, only the configured bounds apply
 # Minimum standard deviation as a share of the heartbeat interval; timers are no more precise.
 MIN_DEVIATION_SHARE = 0.1
 QUANTILE_ITERATIONS = 4
@@ -24,8 +24,8 @@
     def timeout_at_phi(self, phi: float) -> float:
         """Seconds without a heartbeat after which the suspicion level reaches `phi`.
 
-        At that level, the probability that a heartbeat still arrives is 10^-phi. Zero with fewer
-        than MIN_SAMPLES intervals.
+        At that level, the estimated probability that the next heartbeat still arrives is 10^-phi.
+        Returns zero while there are fewer than MIN_SAMPLES intervals.
         """
         count = len(self.intervals_s)
         if count < MIN_SAMPLES:
@@ -40,7 +40,7 @@
     """The value that a standard normal variable exceeds with probability 10^-phi.
 
     Solves an approximation of the tail, Q(x) = exp(-x*x/2) / (x*sqrt(2*pi)), by iteration. The
-    result is within 2 % for phi >= 1.
+    result is above the exact value: by 15 % for phi = 1, and by at most 2.2 % for phi >= 2.
     """
     target = phi * math.log(10)
     quantile = math.sqrt(2 * target)
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -12,8 +12,10 @@
 
 MAX_PHI = 16.0
 # `serves_without_key_s` as a share of an agent's lease. A controller's lease at the state service
-# is 1/3 of an agent's and is renewed every third of its length. When it expires, the last renewal
-# is at least 2/3 of its length ago, which is 2/9 of an agent's lease.
+# is 1/3 as long as an agent's and is renewed every third of its length. While the controller has
+# contact with the state service, the last renewal is therefore at most 1/3 of the length ago. So
+# when the lease expires, the last contact is at least 2/3 of the length ago, which is 2/9 of an
+# agent's lease.
 SERVES_WITHOUT_KEY_LEASES = 2 / 9
 FAILBACK_DOUBLINGS = 6  # outages double a controller's failback delay at most this many times
 
@@ -26,8 +28,9 @@
         heartbeat_s: The interval of the peer exchange, whose messages carry the heartbeats.
         suspect_s: Minimum time without a heartbeat before a peer is suspected.
         confirm_s: Time without a heartbeat after which a peer whose key has expired may be
-            declared dead.
-        suspect_phi: The suspicion level (phi) from which on a peer is suspected.
+            declared dead even if it refuses no connections.
+        suspect_phi: A peer is suspected when its suspicion level (phi) reaches this, but not before
+            `suspect_s` and not after `confirm_s` without a heartbeat.
         serves_without_key_s: A peer whose key is missing counts as serving only if its last
             contact with the state service was less than this long before it was last known to be
             alive.
@@ -43,7 +46,7 @@
 
     @property
     def min_failback_delay_s(self) -> float:
-        """How long a controller must serve after its first outage before it takes shards back."""
+        """How long a controller must serve after its first outage to take home shards back."""
         return self.confirm_s
 
     @property
@@ -64,7 +67,7 @@
         _refuse_contradiction(operators, suspect_s, confirm_s)
     return DetectionBounds(
         heartbeat_s=heartbeat_s,
-        # With very short leases the defaults contradict each other; then the smaller bound applies.
+        # With very short leases the defaults contradict each other; then suspect_s is confirm_s.
         suspect_s=min(suspect_s, confirm_s),
         confirm_s=confirm_s,
         suspect_phi=operators.suspect_phi,
@@ -79,7 +82,7 @@
 
 
 def _refuse_contradiction(operators: "Operators", suspect_s: float, confirm_s: float) -> None:
-    """Raises DetectionError if operators set one of the two contradicting bounds."""
+    """Raises DetectionError unless both of the contradicting bounds have their default values."""
     defaults = type(operators)()
     if operators.suspect_after != defaults.suspect_after:
         reason = f"is {suspect_s:g} s, above confirm_after ({confirm_s:g} s)"
@@ -102,7 +105,7 @@
 
 
 def failure_domains(settings: "Settings", operators: "Operators") -> FailureDomains:
-    """The failure domains of all controllers; raises DetectionError for an invalid network."""
+    """The failure domains of all controllers; raises DetectionError for invalid settings."""
     addresses = {peer.name: peer.address[0] for peer in settings.peers}
     addresses[settings.node] = settings.internal[0]
     zones = {peer.name: peer.zone for peer in settings.peers}
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -17,8 +17,8 @@
 
     Args:
         peer: The suspected peer.
-        relays: The controllers that this one can ask to probe it now.
-        key_expired: Whether the peer's key has expired, as the state service recently showed.
+        relays: The controllers that this one can ask to probe the peer now.
+        key_expired: Whether the peer's key is missing from a replica that was recently synced.
         domains: The failure domains of all controllers.
         now: The monotonic time, in seconds.
     """
@@ -26,7 +26,8 @@
     if key_expired and refuses:
         # Two independent sources: the state service, and the machine, where nothing listens on the
         # port any more. Without this rule, failover after the loss of most controllers is slower
-        # than with keys alone (failure_detection/majority_lost.txt).
+        # than without failure detection, where an expired key alone suffices
+        # (failure_detection/majority_lost.txt).
         return "refuses connections, and its key has expired"
     if not relays:
         # No relay can be asked, so only the state service can provide further evidence.
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -23,10 +23,10 @@
 from .view import IndirectProbe, LivenessView, Transition, TurnResult
 
 # Heartbeat intervals after the start in which this controller takes no home shards back, because
-# the heartbeats of peers must first report its failback delay.
+# it learns its failback delay only from the heartbeats of its peers.
 FAILBACK_GRACE_INTERVALS = 2
-# Heartbeat intervals since this controller's last contact with the state service within which a key
-# that is missing from the replica counts as expired.
+# A key that is missing from the replica counts as expired only if this controller's last contact
+# with the state service was at most this many heartbeat intervals ago.
 RECENT_CONTACT_INTERVALS = 2
 
 
@@ -34,7 +34,7 @@
     """Derives the state of each other controller from heartbeats, keys, calls and probes.
 
     Attributes:
-        peers: The record of each other controller, by name.
+        peers: What is known about each other controller, by name.
         health: Tracks whether this controller itself is slow.
         store_contact_at: When this controller last had contact with the state service.
     """
@@ -56,19 +56,22 @@
         self._new_transitions: list[Transition] = []  # since the last turn
 
     def start(self, now: float) -> None:
-        """Starts the startup period, and the time in which no home shards are taken back."""
+        """Starts the startup period, and a wait before this controller takes home shards back.
+
+        In the startup period, a peer without a key and without heartbeats counts as serving.
+        """
         self._began_at = now
         grace_s = FAILBACK_GRACE_INTERVALS * self.bounds.heartbeat_s
         self._failback_at = max(self._failback_at, now + grace_s)
 
     def note_first_replica(self, now: float) -> None:
-        """Restarts the startup period: from the first replica on, a missing key is meaningful."""
+        """Restarts the startup period, because only a replica shows which keys are missing."""
         self.start(now)
 
     # --- inputs
 
     def peer(self, name: str) -> Peer:
-        """The record of the peer `name`.
+        """What is known about the peer `name`.
 
         Raises:
             MalformedPeerMessageError: `name` is not another controller of this cluster.
@@ -78,7 +81,7 @@
         return self.peers[name]
 
     def receive_heartbeat(self, heartbeat: Heartbeat, now: float, wall_time: float) -> bool:
-        """Applies a heartbeat received from its sender.
+        """Applies a heartbeat that this controller received directly from its sender.
 
         Returns:
             False if the heartbeat was ignored, because it is a duplicate, arrived out of order or
@@ -142,7 +145,7 @@
         return True
 
     def _note_alive(self, peer: Peer, at: float, now: float, reason: str) -> None:
-        """Notes evidence that a peer was alive; recent evidence refutes a suspicion."""
+        """Notes evidence that a peer was alive at `at`; if it is recent, the peer becomes ALIVE."""
         peer.note_alive(at)
         overdue = peer.time_since_alive_s(now) >= peer.suspicion_timeout_s()
         if not overdue and peer.state is not PeerState.ALIVE:
--- a/emberglade/failure_detection/domains.py
+++ b/emberglade/failure_detection/domains.py
@@ -51,7 +51,8 @@
             zones: The zone of each controller, by its name.
 
         Raises:
-            DetectionError: A row is invalid, or no controller is in its domain's networks.
+            DetectionError: A row is invalid, two networks overlap, or a domain's networks contain
+                no controller.
         """
         domains = dict(zones)
         if rows:
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,7 +1,8 @@
 """Failover plans: which shards this controller takes, and when it takes leadership.
 
-Both planners decide from a liveness view. Their only state is when each claim was last written,
-since when a shard or the leadership has been free, and which controller was the last leader.
+A claim is the key that the owner of a shard writes, or the leader. Both planners decide from the
+claims and a liveness view. They only remember when they last saw each claim change, since when a
+shard or the leadership has been free, and which controller was the last leader.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,17 +12,17 @@
 
 NEVER = float("-inf")
 LEADERSHIP = "leadership"  # the name of the leader's claim in the claim history
-# Additional heartbeat intervals that a slow controller waits before it writes a missing leader's
-# key, if some serving controller is not slow.
+# If the leader's key is missing, additional heartbeat intervals that a slow controller waits before
+# it writes the key, if some serving controller is not slow.
 SLOW_DELAY_INTERVALS = 2
 
 
 class ClaimHistory:
     """Records when this controller last saw the key of each claim (shard or leadership) change.
 
-    The writer of a recent claim was alive when it wrote, whatever the last view shows. Without this
-    check, a peer with a view a quarter of a second old takes back the shards that a returned
-    controller has just taken (failure_detection/beside_previous_version.txt).
+    The writer of a recent claim was alive when it wrote, whatever the last view shows. Without the
+    check `is_fresh`, a peer whose view is a quarter of a second old takes the shards back that a
+    controller has just taken after its return (failure_detection/beside_previous_version.txt).
     """
 
     def __init__(self, heartbeat_s: float) -> None:
@@ -37,16 +38,19 @@
             self._mod_revisions[name] = owner.mod_revision
 
     def is_fresh(self, name: int | str, now: float) -> bool:
-        """Whether the claim was written less than a heartbeat interval ago."""
+        """Whether this controller saw the claim change less than a heartbeat interval ago."""
         return now - self._written_at.get(name, NEVER) < self.heartbeat_s
 
 
 class ShardPlanner:
-    """Assigns free shards to the serving controllers with the fewest, and returns home shards.
+    """Decides which free shards this controller takes, and which home shards it takes back.
+
+    A free shard goes to its home if that serves, else to a serving controller, preferably one that
+    is not slow and owns few shards.
 
     A shard is free in each of these cases:
     - its owner is a previous process of this controller;
-    - its owner does not serve;
+    - it has no owner, or its owner does not serve;
     - its owner is slow and is not the shard's home, and some serving controller is not slow.
 
     A shard whose key another controller has just written is not free.
@@ -151,8 +155,8 @@
         rank = successors.index(self.node)
         if not view.may_fail_over and not (owner is NO_OWNER and rank == 0):
             return False
-        # Views may differ briefly. Later successors wait longer, and take the shard only if the
-        # earlier ones did not.
+        # The views of the controllers may differ briefly. Later successors wait longer, and take
+        # the shard only if the earlier ones did not.
         return now - self._free_since[shard] >= rank * self.heartbeat_s
 
     def _is_failback_due(self, shard: int, owner: Owner, view: LivenessView) -> bool:
@@ -208,8 +212,9 @@
         return successors.index(self.node)
 
     def _takeover_delay_s(self, view: LivenessView) -> float:
-        """How long this controller waits for others to take a missing leader's key."""
-        # If only the previous leader's lease expired, its process takes leadership again by itself.
+        """How long the leader's key must be missing before this controller writes it."""
+        # If only the previous leader's lease expired and its process still runs, that process takes
+        # leadership again by itself.
         left_to_previous = (
             self._previous_leader.node != self.node and self._previous_leader.node in view.serving
         )
--- a/emberglade/failure_detection/heartbeats.py
+++ b/emberglade/failure_detection/heartbeats.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger("emberglade.failure_detection")
 
-MAX_CONTACT_AGE_S = 1e6  # sent by a process that had no contact with the state service yet
+MAX_CONTACT_AGE_S = 1e6  # maximum that is sent; stands for "no contact yet"
 UNKNOWN_SENDER = "an unknown sender"
 
 
@@ -40,7 +40,8 @@
             return None
         now = self.now()
         self._sequence += 1
-        # The age excludes a pause of this process, since contact resumes as soon as it runs again.
+        # The age of the contact excludes a pause of this process, because a process that runs again
+        # is in contact again at once.
         pause_s = self.detector.health.recent_pause_s(now, now - self.turn_due)
         contact_age_s = max(0.0, now - self.detector.store_contact_at - pause_s)
         return Heartbeat(
--- a/emberglade/failure_detection/local_health.py
+++ b/emberglade/failure_detection/local_health.py
@@ -51,7 +51,10 @@
         return self.score >= SLOW_SCORE
 
     def recent_pause_s(self, now: float, overdue_s: float) -> float:
-        """Duration of a recent or current pause; `overdue_s`: the delay of the next turn so far."""
+        """The longer of a recent pause and the current delay, in seconds; zero if there is neither.
+
+        `overdue_s` is the time since the next turn was due, negative if it is not due yet.
+        """
         return max(overdue_s, self._pause_s if self.recently_paused(now) else 0.0)
 
     def recently_paused(self, now: float) -> bool:
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -44,10 +44,10 @@
 
     peer: str
     state: PeerState
-    # Version of the newest heartbeat that the sender received directly; None if there is none.
+    # Version of the newest heartbeat that the sender received from the peer itself, or None.
     version: HeartbeatVersion | None
     age_s: float  # time since that heartbeat was sent
-    # Age of the peer's contact with the state service when that heartbeat was sent.
+    # Time from the peer's last contact with the state service until that heartbeat was sent.
     store_contact_age_s: float
     failback_delay_s: float  # how much longer the peer must serve before it takes shards back
 
@@ -58,7 +58,7 @@
     sender: str
     version: HeartbeatVersion
     sent_wall_time: float  # seconds since 1970
-    store_contact_age_s: float  # time since its last answered sync with the state service
+    store_contact_age_s: float  # time since its last answered sync, not counting a recent pause
     slow: bool  # whether the sender's own detection loop runs late
     opinions: tuple[Opinion, ...]
 
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -1,4 +1,4 @@
-"""The actor that exchanges heartbeats, and notifies the process's other actors of liveness."""
+"""The actor that exchanges heartbeats, and notifies other actors of which peers are alive."""
 
 import logging
 from collections import Counter
@@ -29,7 +29,10 @@
 
 
 class MonitoredLink:
-    """A link to a peer that adds heartbeats to machine queries and passes other calls through."""
+    """A link to a peer that adds heartbeats to machine queries and passes other calls through.
+
+    A machine query requests a peer's view of the machines (`peer_paths.MACHINES`).
+    """
 
     def __init__(self, monitor: "PeerMonitor", peer: str, link: "Client") -> None:
         self.monitor, self.peer, self.link = monitor, peer, link
@@ -83,7 +86,10 @@
         self.schedule_turn()
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member: heartbeats contain it from now on."""
+        """Handles `identity(incarnation)` from the membership actor.
+
+        The incarnation becomes part of this process's heartbeats.
+        """
         super().on_identity(incarnation)
         self.heartbeats.lease = incarnation
 
@@ -97,7 +103,8 @@
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         The first replica restarts the detector's startup period. Node keys show the detector
-        which process of each peer is registered; a change of ownership publishes a new view.
+        which process of each peer is registered. A change of a node, shard or leader key publishes
+        a new view.
         """
         now = self.now()
         if self.heartbeats.first_revision is None:
@@ -203,7 +210,7 @@
     def on_hear_question(self, data: Any) -> None:
         """Handles `hear_question(data)` from the server: a query of a peer was received.
 
-        Applies the heartbeat that it carries; the query itself is answered elsewhere.
+        Applies the heartbeat that the query carries, if any; the agent manager answers the query.
         """
         if wire.has_heartbeat(data):
             self.receiver.receive(wire.read_sender(data), data)
--- a/emberglade/failure_detection/peer.py
+++ b/emberglade/failure_detection/peer.py
@@ -1,4 +1,4 @@
-"""The record of one other controller."""
+"""What this controller knows about one other controller."""
 
 from collections import deque
 from collections.abc import Collection
@@ -27,7 +27,7 @@
 
     Attributes:
         state: The state of the peer, as this controller sees it.
-        version: The version of the newest heartbeat that any controller received.
+        version: The version of the peer's newest heartbeat, whichever controller received it.
         direct_version: The version of the newest heartbeat that this controller received itself.
         direct_sent_at: When that heartbeat was sent.
         direct_store_contact_at: The peer's last contact with the state service, as that heartbeat
@@ -86,7 +86,10 @@
         self.probed_at = NEVER
 
     def note_version(self, version: HeartbeatVersion) -> bool:
-        """Notes a heartbeat that any controller received; False if its incarnation is outdated."""
+        """Notes the version of a heartbeat, whichever controller received it.
+
+        Returns False if a previous process of the peer sent the heartbeat.
+        """
         if self.version is None:
             self.version = version
             return True
@@ -187,9 +190,9 @@
         self._was_serving = serving
 
     def failback_delay_s(self, now: float) -> float:
-        """How long the peer must still serve before it takes its shards back.
+        """How long the peer must still serve before it takes its home shards back.
 
-        The delay doubles with each recent outage, up to `max_failback_delay_s`.
+        The delay doubles with each recent outage after the first, up to `max_failback_delay_s`.
         """
         oldest_s = 2 * self.bounds.max_failback_delay_s
         outages = sum(now - at < oldest_s for at in self._outages)
--- a/emberglade/failure_detection/probes.py
+++ b/emberglade/failure_detection/probes.py
@@ -1,4 +1,4 @@
-"""Pings and indirect probes, which check whether a suspected peer is alive.
+"""Pings and indirect probes, which check whether a peer is alive.
 
 A ping goes to the peer itself. A probe asks a relay whether it reaches the peer; the relay pings
 the peer unless it knows the outcome from the last heartbeat interval. Heartbeats in responses are
@@ -84,7 +84,7 @@
     def note_call_outcome(self, peer: str, status: int, ended_early: bool) -> None:
         """Notes the outcome of a call to a peer; pings the peer at once if the connection broke.
 
-        `ended_early`: the call ended long before its timeout.
+        `ended_early`: the call ended more than a heartbeat interval before its timeout.
         """
         outcome = outcome_of(status)
         self.detector.note_call_outcome(peer, outcome, self.now())
@@ -96,7 +96,8 @@
     def on_ping(self, data: Any, reply: "Reply") -> None:
         """Handles `ping(data, reply)` from the server: a peer checks that this process is alive.
 
-        Applies the heartbeat that the ping carries, and replies with one.
+        Applies the heartbeat that the ping carries, if any. The reply carries a heartbeat of this
+        process, unless its incarnation is still unknown.
         """
         if wire.has_heartbeat(data):
             self.receiver.receive("", data)
--- a/emberglade/failure_detection/relays.py
+++ b/emberglade/failure_detection/relays.py
@@ -8,10 +8,10 @@
 
 
 def choose_relays(node: str, alive: Iterable[str], domains: FailureDomains) -> tuple[str, ...]:
-    """The relays of `node`: up to MAX_RELAYS, from other failure domains than its own.
+    """The relays of `node`: up to MAX_RELAYS controllers outside its failure domain.
 
-    Relays in different domains come first. `alive` are the controllers that are considered alive,
-    without the target.
+    One controller of each other domain comes first, then the rest. `alive` are the controllers that
+    are considered alive, without the one to be probed.
     """
     own = domains.of(node)
     others = sorted(name for name in alive if domains.of(name) != own)
--- a/emberglade/failure_detection/wire.py
+++ b/emberglade/failure_detection/wire.py
@@ -21,9 +21,9 @@
 
 Member = TypeVar("Member", bound=enum.Enum)
 
-HEARTBEAT_FIELD = "heartbeat"  # a field of requests and responses; the previous version ignores it
+HEARTBEAT_FIELD = "heartbeat"  # in requests and responses; ignored by the previous version
 
-# A heartbeat has one row per controller; a message with more rows than this is invalid.
+# A heartbeat has one opinion per other controller; a message with more than this is invalid.
 MAX_OPINIONS = 1000
 OPINION_FIELDS = 6
 MAX_COUNT = 2**64  # exclusive
@@ -146,7 +146,10 @@
 
 
 def _read_member(kind: type[Member], value: Any, error: str) -> Member:
-    """The enumeration member with this value; `error` begins the message if there is none."""
+    """The enumeration member with this value.
+
+    If there is none, raises MalformedPeerMessageError with a text that starts with `error`.
+    """
     try:
         return kind(value)
     except ValueError:
@@ -191,7 +194,7 @@
 
 
 def has_heartbeat(body: Any) -> bool:
-    """Whether a message carries a heartbeat; messages of the previous version carry none."""
+    """Whether a message carries a heartbeat; the previous version sends none."""
     return isinstance(body, dict) and HEARTBEAT_FIELD in body
 
 
--- a/emberglade/state/__init__.py
+++ b/emberglade/state/__init__.py
@@ -1,4 +1,7 @@
-"""The client of the state service: a local replica of the live keys, commits, reads, budgets."""
+"""The client of the state service: reads, commits, budgets, and a replica of the live keys.
+
+The live keys are those that every controller follows; the budgets limit the rate of requests.
+"""
 
 from .replica_subscriber import ReplicaSubscriber
 from .requests import Priority
--- a/emberglade/state/full_read.py
+++ b/emberglade/state/full_read.py
@@ -1,4 +1,4 @@
-"""Reads all live keys in pages: when the process starts, and after it missed changes."""
+"""Reads all live keys in pages: when the process starts, and after the replica missed changes."""
 
 from collections.abc import Callable
 from typing import Any
--- a/emberglade/state/read_barrier.py
+++ b/emberglade/state/read_barrier.py
@@ -35,8 +35,8 @@
 def sync_interval_s(settings: "Settings") -> float:
     """The minimum time between two syncs of one controller.
 
-    However many actors request syncs, they take at most half of the controller's even share of
-    requests; the rest is left for commits.
+    However many actors request syncs, the syncs use at most half of the controller's even share of
+    the request rate (the rate divided by the number of controllers); the rest is left for commits.
     """
     return SYNC_BUDGET_DIVISOR * settings.cluster_size / settings.state_rps
 
@@ -67,8 +67,8 @@
         self.requests, self.replica, self.subscribers = requests, replica, subscribers
         self.apply, self.reload_replica = apply, reload_replica
         self.interval_s = sync_interval_s(settings)
-        # Without waiters, polling less often for changes of others saves most requests of an idle
-        # service.
+        # Without waiters, polling less often for changes by other controllers saves most requests
+        # of an idle service.
         self.idle_interval_s = max(3 * self.interval_s, settings.agent_heartbeat_s / 8)
         self._waiters: list[SyncReply] = []  # for the next sync
         self._in_flight: dict[int, Sync] = {}  # by the sync's number
@@ -80,7 +80,8 @@
     def wait(self, reply: SyncReply) -> None:
         """Calls `reply(revision)` once the replica shows all changes committed before this call.
 
-        Calls `reply(None)` if the sync failed, or if too many wait while the replica is not loaded.
+        Calls `reply(None)` if the sync failed. While the replica is not loaded, at most
+        MAX_WAITING_UNLOADED replies wait; then the oldest is called with None for each new one.
         """
         self._waiters.append(reply)
         if self.replica.is_loaded:
@@ -89,7 +90,7 @@
             self._waiters.pop(0)(None)
 
     def schedule(self) -> None:
-        """Schedules the next sync after the interval, even if an earlier one is unanswered."""
+        """Schedules the next sync, unless one is scheduled or MAX_IN_FLIGHT syncs are in flight."""
         if self._is_scheduled or len(self._in_flight) >= MAX_IN_FLIGHT:
             return
         self._is_scheduled = True
@@ -98,7 +99,7 @@
         send_after(max(0.0, self._last_sent_at + interval_s - self.now()), self.on_send_sync)
 
     def schedule_if_idle(self) -> None:
-        """Schedules a sync if none was sent for `idle_interval_s`, to see changes of others."""
+        """Schedules a sync if none was sent for `idle_interval_s`, to see others' commits."""
         if self.replica.is_loaded and self.now() - self._last_sent_at > self.idle_interval_s:
             self.schedule()
 
@@ -117,9 +118,9 @@
     def on_synced(self, number: int, status: int, body: Any) -> None:
         """Handles the response to the sync numbered `number`, from the state service.
 
-        If the replica's revision is too old, the replica is reloaded and the waiters wait for the
-        next sync. Otherwise each of them receives the replica's revision, or None if the sync
-        failed.
+        If the state service no longer keeps all changes after the replica's revision, the replica
+        is reloaded and the waiters wait for the next sync. Otherwise each waiter receives the
+        replica's revision, or None if the sync failed.
         """
         sync = self._in_flight.pop(number)
         if status == CHANGES_TOO_OLD and self.replica.is_loaded:
--- a/emberglade/state/replica_subscriber.py
+++ b/emberglade/state/replica_subscriber.py
@@ -31,7 +31,10 @@
         send(self.store.on_subscribe, self)
 
     def on_identity(self, incarnation: int) -> None:
-        """Handles `identity(incarnation)` from the member, once the incarnation is known."""
+        """Handles `identity(incarnation)` from the membership actor.
+
+        The message is sent when this process gets its first lease, whose ID is the incarnation.
+        """
         self.incarnation = incarnation
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -21,7 +21,7 @@
 class Priority(enum.IntEnum):
     """The priority of a request; lower values are sent first."""
 
-    HEARTBEATS = 0  # also the store's own reads, syncs and leases
+    HEARTBEATS = 0  # the store's own requests: full reads, syncs and leases
     DECISIONS = 1  # controllers' decisions
     SUBMISSIONS = 2  # users' submissions
 
@@ -153,7 +153,8 @@
     def on_answered(self, request: Request, status: int, body: Any) -> None:
         """Handles the state service's response to one request, from the client.
 
-        A 429 pauses all requests for `pause_s` and lowers the rate of the budget concerned.
+        A 429 pauses all requests for `pause_s`. It also lowers the rate of the write budget if the
+        request contained writes, else that of the request budget.
         """
         self._in_flight -= 1
         if status == TOO_MANY_REQUESTS:
--- a/emberglade/state/store.py
+++ b/emberglade/state/store.py
@@ -2,7 +2,8 @@
 
 `sync` is the read barrier of the service: it is answered only when the replica shows every change
 made before the sync was requested. Subscribers receive `changed(changes, revision, is_snapshot)`
-before the answer, so an actor that requests a sync then acts on a state no older than its request.
+before the answer. An actor that acts on the answer therefore knows a state no older than its
+request.
 """
 
 import logging
@@ -57,7 +58,8 @@
     def __init__(self, settings: "Settings", client: "Client") -> None:
         self.settings = settings
         # A peer without access to the state service polls for changes about every second. The
-        # changes of a whole lease at the full write rate are far more than those between two polls.
+        # replica keeps the changes of a whole lease duration at the full write rate, which are far
+        # more than those between two polls.
         changes_per_lease = int(settings.state_write_rps * settings.lease_s)
         self.replica = Replica(max(MIN_RECENT_CHANGES, changes_per_lease))
         self.subscribers = Subscribers()
@@ -117,7 +119,7 @@
         """Handles `sync(reply)`: the read barrier.
 
         Calls `reply(revision)` once the replica shows all changes committed up to now, or
-        `reply(None)` if the sync failed or if too many wait while the replica is not loaded.
+        `reply(None)` if the sync failed, or if too many newer syncs wait for the replica to load.
         """
         self.barrier.wait(reply)
 
@@ -130,7 +132,7 @@
     # --- changes exchanged between peers while the state service is unavailable to one of them
 
     def on_changes_for_peer(self, since: int, reply: "Reply") -> None:
-        """Handles `changes_for_peer(since, reply)` from the node's server, for a peer controller.
+        """Handles `changes_for_peer(since, reply)` from this controller's server, for a peer.
 
         Replies 200 with the changes after `since` in the state service's format, or 410 if some of
         them are no longer kept.
--- a/emberglade/state/token_bucket.py
+++ b/emberglade/state/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose rate grows above the even share until the service refuses a request."""
+"""A token bucket whose rate grows, and is halved whenever the service refuses a request."""
 
 GROWTH_PER_S = 1.1  # factor by which the rate grows per second
 MAX_GROWTH_S = 60.0  # at most this much of the time between two calls increases the rate
@@ -10,8 +10,8 @@
     """Limits one kind of request, in requests (or writes) per second.
 
     `rate` is the total rate of the service, shared by `nodes` controllers; `burst` is the size of
-    the bucket in tokens. The bucket's rate starts at the even share and grows by GROWTH_PER_S up to
-    MAX_SHARE of the total, until the service refuses a request.
+    the bucket in tokens. The bucket's rate starts at the even share (`rate / nodes`) and grows by
+    GROWTH_PER_S up to MAX_SHARE of the total. `back_off` lowers it, and it grows again from there.
     """
 
     def __init__(self, rate: float, nodes: int, burst: float) -> None:
@@ -43,7 +43,10 @@
         self._tokens -= amount
 
     def back_off(self, now: float) -> None:
-        """Halves the rate, to no less than the even share, after the service refused a request."""
+        """Lowers the rate and empties the bucket, after the service refused a request.
+
+        The rate is halved, but not below the even share.
+        """
         self._fill(now)
         self._rate = max(self._even_share, self._rate / 2)
         self._tokens = min(self._tokens, 0.0)
--- a/emberglade/state/wire.py
+++ b/emberglade/state/wire.py
@@ -1,7 +1,7 @@
 """The wire format of the state service: the only module that knows its paths and field names.
 
 Keys that are passed to a function include their prefix. A key's `mod_revision` is the revision of
-the store in which it was last written. Invalid bodies are read as None; the caller then retries.
+the store in which it was last written. Functions that read a body return None if it is invalid.
 """
 
 import urllib.parse
@@ -63,13 +63,19 @@
 
 
 def list_path(prefix: str, after: str, limit: int) -> str:
-    """The path that lists up to `limit` keys in order; `after` includes the prefix, or is empty."""
+    """The path that lists up to `limit` keys under `prefix` in order, starting after `after`.
+
+    `after` is a key with its prefix, or empty to start from the first key.
+    """
     start = f"&since={urllib.parse.quote(after, safe='/')}" if after else ""
     return f"/store?under={urllib.parse.quote(prefix, safe='/')}{start}&limit={limit}"
 
 
 def follow_path(prefix: str, since: int, wait_ms: int) -> str:
-    """The path that returns the changes after `since`; waits up to `wait_ms` if there are none."""
+    """The path that returns the changes after the revision `since`.
+
+    While there are none, the state service waits up to `wait_ms` before it responds.
+    """
     return f"/follow?under={urllib.parse.quote(prefix, safe='/')}&since={since}&wait_ms={wait_ms}"
 
 
@@ -158,7 +164,7 @@
 def read_changes(body: Any, prefix: str = "") -> Changes | None:
     """Decodes the changes that the state service or a peer sent; None if the body is invalid.
 
-    Keys without `prefix` are ignored.
+    Changes of keys without `prefix` are ignored; the prefix is removed from all other keys.
     """
     at = revision(body)
     if at is None:
--- a/emberglade/transport/admission.py
+++ b/emberglade/transport/admission.py
@@ -19,7 +19,8 @@
 log = logging.getLogger("emberglade.transport")
 
 MAX_ACCEPTS_PER_EVENT = 64  # open connections are served before more are accepted
-# Least recently used connections, of users and of others, that are checked for eviction.
+# How many of the least recently used connections are checked for eviction: first this many of
+# users' connections, then this many of the others.
 EVICTION_CANDIDATES = 16
 ACCEPT_PAUSE_S = 0.02
 # Above this share of the connection limit, connections are closed after each response.
@@ -96,7 +97,8 @@
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             is_full = len(self) >= self.limits.max_connections
             if is_full and self._find_evictable(now) is None and self._awaits_first_request():
-                # Read these first; meanwhile new connections wait in the listen backlog.
+                # Wait for the first requests of the open connections; meanwhile new connections
+                # wait in the listen backlog.
                 self.pause_accepting(now)
                 return
             sock = self._accept(now)
@@ -147,7 +149,10 @@
     # --- admission and eviction
 
     def admit(self, connection: ServerConnection, path: str) -> bool:
-        """Marks a connection as just used; False if the limit on users' connections forbids it."""
+        """Marks a connection as just used, and as a user's if the path is a user's.
+
+        Returns False, without marking it, if there are too many users' connections already.
+        """
         if connection.is_user:
             self._users.move_to_end(connection)
         elif not self.is_user_path(path):
--- a/emberglade/transport/client.py
+++ b/emberglade/transport/client.py
@@ -158,8 +158,9 @@
     ) -> None:
         """Queues a call to `address` (host:port); `reply(status, body)` is called on a pool thread.
 
-        `timeout` is in seconds. The status is NO_ANSWER if the connection is refused, or at once
-        if the backlog (four calls per thread) is full.
+        `timeout` is in seconds. The status is NO_ANSWER if there is no response, even if the
+        connection was refused. It is NO_ANSWER at once if the backlog (four calls per thread) is
+        full.
         """
         self._calls.put(Call(address, method, path, body, timeout, reply))
 
--- a/emberglade/transport/client_connection.py
+++ b/emberglade/transport/client_connection.py
@@ -36,7 +36,7 @@
 
     status: int
     body: Any  # decoded; None if there is no body or it is not JSON
-    close: bool  # whether the server closes the connection after it
+    close: bool  # whether the server closes the connection after this response
 
 
 class Connection:
--- a/emberglade/transport/connection.py
+++ b/emberglade/transport/connection.py
@@ -53,7 +53,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the socket was closed here."""
+        """Whether the server has closed its socket of this connection."""
         return self.sock.fileno() < 0
 
     @property
--- a/emberglade/transport/server.py
+++ b/emberglade/transport/server.py
@@ -45,9 +45,10 @@
     `route(method, path, body, reply)` must cause exactly one `reply(status, data, retry_after_s)`,
     from any thread and at any later time.
 
-    `admission.py` describes what happens at the connection limit. At most `max_user_connections`
-    may send requests to paths that `is_user_path` accepts; further ones get 503 and are closed, so
-    that users do not take the connections of agents.
+    `admission.py` describes what happens at the connection limit. Requests to paths that
+    `is_user_path` accepts are served on at most `max_user_connections` connections. On any other
+    connection, such a request gets 503 and the connection is closed, so that users do not take the
+    connections of agents.
 
     Attributes:
         connections: The open connections.
@@ -64,7 +65,7 @@
         is_user_path: Callable[[str], bool] = lambda path: False,
     ) -> None:
         self.route, self.limits = route, limits
-        # When another controller stops, all its agents connect here at once.
+        # When another controller stops, its agents connect to the remaining controllers at once.
         self.request_queue_size = max(MIN_LISTEN_BACKLOG, limits.max_connections // 2)
         super().__init__(address, socketserver.BaseRequestHandler)
         self.server_port = self.server_address[1]
@@ -107,7 +108,11 @@
                 self.connections.close_idle(now)
 
     def _select_timeout_s(self, next_sweep: float) -> float:
-        """Seconds until the next sweep, answer deadline or end of a pause of accepting."""
+        """Seconds until the server's thread must act without an event; zero if that is overdue.
+
+        That is at the next sweep (which closes idle connections), at the first answer deadline, or
+        at the end of a pause of accepting, whichever comes first.
+        """
         due = next_sweep
         if self._unanswered:
             due = min(due, self._unanswered[0].deadline)
--- a/emberglade/transport/waker.py
+++ b/emberglade/transport/waker.py
@@ -15,7 +15,7 @@
     """
 
     def __init__(self, selector: selectors.BaseSelector) -> None:
-        """Registers the pipe in `selector`, with the waker itself as the key's data."""
+        """Registers the pipe in `selector`, with the waker as the data of the selector key."""
         self._reader, self._writer = os.pipe()
         self._waiting_thread: int | None = None
         os.set_blocking(self._reader, False)
