--- a/emberglade/actors.py
+++ b/emberglade/actors.py
@@ -66,7 +66,7 @@
     """A component of an actor with one responsibility, which runs in the actor's turn.
 
     Its handlers `on_<message>` receive messages like the actor's own handlers. An actor and its
-    parts handle one message at a time.
+    parts together handle one message at a time.
 
     Attributes:
         actor: The actor that it is a part of.
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -165,7 +165,7 @@
             and peer.version is not None
             and lease != peer.version.incarnation.lease
         ):
-            # The key belongs to a new process, which sends no heartbeats or whose first one has not
+            # The key belongs to a new process: either it sends no heartbeats, or none of them has
             # arrived yet.
             peer.begin_incarnation()
             self._set_state(peer, PeerState.UNKNOWN, "its key belongs to another process")
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,8 +1,8 @@
 """Failover plans: which shards this controller takes, and when it takes leadership.
 
-A claim is the key that the owner of a shard writes, or the leader. Both planners decide from the
-claims and a liveness view. They only remember when they last saw each claim change, since when a
-shard or the leadership has been free, and which controller was the last leader.
+A claim is a shard's key, which the shard's owner writes, or the leader's key. Both planners decide
+from the claims and a liveness view. They only remember when they last saw each claim change, since
+when a shard or the leadership has been free, and which controller was the last leader.
 """
 
 from collections.abc import Iterable, Mapping
--- a/emberglade/failure_detection/view.py
+++ b/emberglade/failure_detection/view.py
@@ -12,8 +12,10 @@
         states: The state of each other controller.
         serving: The controllers that can commit, this one included.
         slow: The controllers that should not take over shards or leadership.
-        may_fail_over: Whether this controller's own view is reliable enough for failover.
-        may_fail_back: Whether this controller has served long enough to take its home shards back.
+        may_fail_over: Whether this controller's view is reliable enough for failover, because this
+            process was not paused recently.
+        may_fail_back: Whether this controller may take its home shards back: it has served long
+            enough, was not paused recently, and does not suspect most of its peers.
         revision: The revision of the last change of a node's key, a shard's key or the leader's key
             that this view reflects.
     """
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -99,9 +99,10 @@
     def _queues_in_order(self, now: float) -> Iterator[tuple[deque[Request], int]]:
         """Yields (queue, maximum number of requests to send from it) in the order of service.
 
-        The order is that of the priorities, except that one submission that has waited long goes
-        first. Without this, decisions use up all writes for seconds after the loss of a third of
-        the machines, and submissions are answered too late (fleet/third_of_machines_fail.txt).
+        The order is that of the priorities, with one exception: if the oldest submission has waited
+        long and none was sent recently, it goes first. Without this exception, decisions use up the
+        write budget for seconds after the loss of a third of the machines, and submissions are
+        answered too late (fleet/third_of_machines_fail.txt).
         """
         submissions = self._queues[Priority.SUBMISSIONS]
         if (
