--- a/emberglade/agents/bindings.py
+++ b/emberglade/agents/bindings.py
@@ -19,8 +19,8 @@
 
     Attributes:
         stop: KEEP, STOP or SAVE.
-        stop_revision: The mod revision of the stored value in which the stop was first seen; unused
-            with KEEP.
+        stop_revision: The mod revision of the job's record or chunk that first showed this
+            controller the stop; unused with KEEP.
         agent_epoch: The machine's agent epoch for which the task was bound; the binding is void in
             later epochs.
     """
@@ -37,10 +37,12 @@
 
 
 class LiveJob:
-    """The part of a live job's record that determines commands to agents.
+    """The parts of a live job's record and chunks that determine commands to agents.
+
+    The record contains the first chunk; the other chunks have keys of their own.
 
     Attributes:
-        generation: Identifies the current layout of its chunks.
+        generation: Identifies the layout of the job's chunks; changes when the job is rechunked.
         chunks: {number of a chunk: {task: its binding's row as stored}}.
     """
 
@@ -58,14 +60,14 @@
 
 
 class EarlyChunks:
-    """Chunks received before their job's record, or before the record names their layout."""
+    """Chunks received before their job's record, or before the record names their generation."""
 
     def __init__(self) -> None:
         # job -> {(generation, number): (chunk, mod revision)}
         self.by_job: dict[str, dict[tuple[str, int], tuple[dict, int]]] = {}
 
     def add(self, job_id: str, generation: str, number: int, chunk: dict, revision: int) -> None:
-        """Keeps a chunk until its job's record names its layout."""
+        """Keeps a chunk until its job's record names its generation."""
         self.by_job.setdefault(job_id, {})[(generation, number)] = (chunk, revision)
 
     def discard(self, job_id: str, generation: str, number: int) -> None:
@@ -76,7 +78,7 @@
             self._forget_if_empty(job_id)
 
     def take(self, job_id: str, generation: str) -> dict[int, tuple[dict, int]]:
-        """Removes and returns {number: (chunk, mod revision)} of a job's chunks of this layout."""
+        """Removes and returns {number: (chunk, mod revision)} of a job's chunks of a generation."""
         chunks = self.by_job.get(job_id, {})
         taken = {
             number: chunks.pop((chunk_generation, number))
@@ -101,7 +103,8 @@
     Attributes:
         jobs: {job: LiveJob}.
         by_machine: {machine: {(job, task): DesiredTask}}; machines without tasks are absent.
-        changed_machines: Machines whose bindings or taint changed since their last heartbeat here.
+        changed_machines: Machines whose bindings or taint changed, or one of whose jobs was
+            cancelled, since this controller last compared their tasks with the bindings.
         changed: The new bindings and new stops in the changes that are being applied.
     """
 
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -1,8 +1,9 @@
 """Failover plans: which shards this controller takes, and when it takes leadership.
 
 A claim is a shard's key, which the shard's owner writes, or the leader's key. Both planners decide
-from the claims and a liveness view. They only remember when they last saw each claim change, since
-when a shard or the leadership has been free, and which controller was the last leader.
+from the claims and a liveness view. Each planner keeps a history of the changes of its claims, and
+the time since which a shard or the leadership has been free. The leader planner also keeps the last
+leader that it saw.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,17 +13,19 @@
 
 NEVER = float("-inf")
 LEADERSHIP = "leadership"  # the name of the leader's claim in the claim history
-# If the leader's key is missing, additional heartbeat intervals that a slow controller waits before
-# it writes the key, if some serving controller is not slow.
+# Heartbeat intervals that a slow controller waits before it writes the missing leader's key, if
+# some serving controller is not slow. One more interval is added if the previous leader is another
+# controller that serves.
 SLOW_DELAY_INTERVALS = 2
 
 
 class ClaimHistory:
-    """Records when this controller last saw the key of each claim (shard or leadership) change.
+    """Records when this controller last saw each claim (a shard's key or the leader's key) change.
 
-    The writer of a recent claim was alive when it wrote, whatever the last view shows. Without the
-    check `is_fresh`, a peer whose view is a quarter of a second old takes the shards back that a
-    controller has just taken after its return (failure_detection/beside_previous_version.txt).
+    The writer of a recent claim was alive when it wrote, whatever the last view shows. Suppose that
+    a controller returns and takes shards. In the view of a peer, which may be a quarter of a second
+    old, the returned controller does not serve yet. Without the check `is_fresh`, that peer takes
+    the shards from it again (tests/scenarios/failure_detection/beside_previous_version.txt).
     """
 
     def __init__(self, heartbeat_s: float) -> None:
@@ -48,12 +51,11 @@
     A free shard goes to its home if that serves, else to a serving controller, preferably one that
     is not slow and owns few shards.
 
-    A shard is free in each of these cases:
-    - its owner is a previous process of this controller;
+    A shard that this process owns is not free. A shard whose owner is a previous process of this
+    controller is free. Any other shard is free if its claim is not fresh (`ClaimHistory.is_fresh`)
+    and one of these conditions holds:
     - it has no owner, or its owner does not serve;
     - its owner is slow and is not the shard's home, and some serving controller is not slow.
-
-    A shard whose key another controller has just written is not free.
     """
 
     def __init__(
@@ -172,8 +174,12 @@
 class LeaderPlanner:
     """Decides when this controller takes leadership.
 
-    It may do so if the leader's key is missing, or if the leader does not serve or is a previous
-    process of this controller.
+    It does so in each of these cases:
+    - the leader is a previous process of this controller;
+    - the leader's key has been missing for the delay that `_takeover_delay_s` returns;
+    - the leader does not serve, its claim is not fresh, the view allows failover
+      (`may_fail_over`), and the controllers that come before this one in the order of succession
+      have not taken leadership within one heartbeat interval each.
     """
 
     def __init__(self, node: str, heartbeat_s: float) -> None:
@@ -213,8 +219,8 @@
 
     def _takeover_delay_s(self, view: LivenessView) -> float:
         """How long the leader's key must be missing before this controller writes it."""
-        # If only the previous leader's lease expired and its process still runs, that process takes
-        # leadership again by itself.
+        # A previous leader that still serves takes leadership again by itself: it may only have
+        # lost its lease. One heartbeat interval is left to it.
         left_to_previous = (
             self._previous_leader.node != self.node and self._previous_leader.node in view.serving
         )
--- a/emberglade/fleet/autoscaler.py
+++ b/emberglade/fleet/autoscaler.py
@@ -1,9 +1,9 @@
 """The autoscaler of the fleet: it runs on every controller, and acts only on the leader.
 
 Every write is conditional on the mod revision of the leader's key, so a previous leader can no
-longer write. Requests that a previous leader still sends to the cloud do no harm: the names of
-requests are never reused, and the tasks of a machine that it scales in move only after the current
-leader has tainted that machine.
+longer write. Requests that a previous leader still sends to the cloud do no harm. The names of
+requests are never reused. If a previous leader scales in a machine, the tasks of that machine move
+only after the current leader has tainted it.
 """
 
 import logging
@@ -34,9 +34,10 @@
 
 START_DELAY_S = 0.5
 TICK_S = 1.0
-# Ticks from the start of a leadership until its first cost round, unless a cost round is shorter. A
-# new leader does not wait for the length of a round: after a start or failover, no request for
-# machines is pending.
+# Ticks from the start of a leadership until its first cost round is due; a shorter `cost_round_s`
+# replaces this value. The first round does not wait for a whole `cost_round_s`, because a new
+# leader has no requests for machines pending and sends none before that round. If the catalog or a
+# complete list of machines is missing when a round is due, the round is skipped.
 FIRST_ROUND_TICKS = 3
 
 
@@ -44,12 +45,13 @@
     """Sizes the fleet while this controller is leader; otherwise only follows the leader's writes.
 
     Its parts run in the actor's turns. They share the leadership state, the committed taints and
-    the machine records; all other state is private to one part.
+    the machine records. A part that uses another part receives it in its constructor.
 
     Attributes:
         is_loaded: Whether the replica has been read.
-        ticks: Counter of seconds as leader; a cost round is due at multiples of `cost_round_s`. It
-            starts close to such a multiple, so that the first round of a leadership is due early.
+        ticks: Ticks as leader, plus the value that `_begin_leadership` starts from. A cost round is
+            due when `ticks` is a multiple of `cost_round_s`. The start value makes the first round
+            of a leadership due after FIRST_ROUND_TICKS.
     """
 
     def __init__(
@@ -109,7 +111,8 @@
         """Handles `changed(changes, revision, is_snapshot)` from the store.
 
         Applies changes of taints, the leader's key, the catalog, the record format and the
-        controllers' tables, and then begins or ends leadership as the leader's key states.
+        controllers' records, which contain their demand tables. Then begins or ends leadership as
+        the leader's key states.
         """
         self.is_loaded = True
         if is_snapshot:
@@ -145,8 +148,9 @@
         self.taint_writer.begin_leadership()
         self.listing.begin_leadership()
         self.ticks = max(0, int(self.operators.cost_round_s) - FIRST_ROUND_TICKS)
-        # The records of this leadership are empty, but the agent manager knows the heartbeats that
-        # all controllers received.
+        # Tainted machines are checked at once: their tasks may be allowed to move. The machine
+        # records were just discarded, but the agent manager knows the heartbeats that all
+        # controllers received. Ticks request the liveness of all machines.
         self.liveness.request_liveness(tainted_only=True)
         if not self.catalog.machine_types:
             # Controllers can't validate submissions before a catalog is stored.
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -27,7 +27,8 @@
 class TaskLifecycle(ActorPart):
     """Changes the bindings of the jobs that this controller owns.
 
-    The changes follow from status updates of the agents and from the leader's taints.
+    The changes follow from task updates, preemption and the leader's taints. A task update results
+    from an agent's heartbeat, or is a stop request of another controller that preempts the task.
     """
 
     def __init__(
@@ -120,7 +121,10 @@
         ]
 
     def apply_taints(self, machines: Iterable[str]) -> None:
-        """Releases the tasks of machines with expired leases; stops those of draining machines.
+        """Releases the tasks of machines that can't run them any more, and drains machines.
+
+        A machine can't run its tasks any more if its lease has expired (taint "ended") or if it was
+        scaled in (taint "gone"). The tasks of a machine with taint "drain" are stopped.
 
         Only tasks of jobs that this controller owns are changed.
         """
@@ -147,7 +151,7 @@
         for machine, names in list(released.items())[:MAX_MACHINES_LOGGED]
     ]
     log.info(
-        "rescheduling %d tasks of %d machines whose leases have expired: %s%s",
+        "rescheduling %d tasks of %d machines that can't run them any more: %s%s",
         sum(map(len, released.values())),
         len(released),
         ", ".join(shown),
--- a/emberglade/membership/lease.py
+++ b/emberglade/membership/lease.py
@@ -47,8 +47,8 @@
         self.on_identified, self.on_granted = on_identified, on_granted
         self.id: int | None = None
         self.incarnation: int | None = None
-        # The node key of a crashed controller expires within a third of an agent's lease. In most
-        # cases the controller has restarted before that.
+        # When a controller crashes, its lease and the keys under it expire within this time. In
+        # most cases the controller has restarted before that.
         self.ttl_s = max(MIN_TTL_S, settings.lease_s / NODE_LEASES_PER_AGENT_LEASE)
 
     def start(self) -> None:
@@ -57,7 +57,10 @@
         send_after(self.ttl_s / RENEWALS_PER_TTL, self.on_renew)
 
     def on_request(self) -> None:
-        """Handles `request`, sent to itself: requests a lease from the store."""
+        """Handles `request`, sent to itself for a retry: requests a lease from the store.
+
+        `start` and `_replace` call this method directly.
+        """
         ttl_ms = int(self.ttl_s * MS_PER_S)
         send(self.store.on_grant_lease, ttl_ms, callback(self.on_answer))
 
--- a/emberglade/memory_guard.py
+++ b/emberglade/memory_guard.py
@@ -1,8 +1,9 @@
 """Reduces memory use when memory is low, before the platform kills the process.
 
 The cache of final states is cleared, since the store has them, and new submissions get 503. Polls
-and cancellations are still served: even if the process is killed and restarted as a result, this
-interrupts their users for less time than refusing their requests for minutes.
+and cancellations are still served, although the platform may kill the process as a result. The
+restart interrupts the users of the API for less time than refusing polls and cancellations for
+minutes would.
 """
 
 import logging
@@ -37,7 +38,7 @@
         self.describe = describe
         self.resident = resident
         self.interval_s = interval_s
-        self.is_low = False
+        self.is_low = False  # whether memory is scarce, as the watermarks define it
 
     def start(self) -> None:
         """Starts a thread that checks memory use until the process ends."""
--- a/emberglade/placement/demand.py
+++ b/emberglade/placement/demand.py
@@ -1,7 +1,7 @@
-"""The capacity that running and pending tasks require, in machines per pool.
+"""The capacity that unfinished and expected tasks require, in machines per pool.
 
-A pool is a pair of a machine type and whether jobs may use spot machines of it. Demand is counted
-per machine type, and separately for jobs that can't run on spot machines.
+Each machine type has two pools: one for jobs that may use spot machines of it, and one for jobs
+that may not. Tasks beyond their team's quota are not counted.
 """
 
 from collections.abc import Iterable, Iterator
@@ -53,7 +53,7 @@
     machine_types: dict[str, MachineType],
     teams: dict[str, "Team"],
 ) -> dict[Pool, float]:
-    """How many machines the jobs' unfinished tasks require.
+    """How many machines the jobs' unfinished tasks and the expected tasks require.
 
     Args:
         jobs: The jobs that are counted.
@@ -82,7 +82,10 @@
 def _requested_tasks(
     jobs: "Iterable[Job]", expected: list[ExpectedTasks]
 ) -> "Iterator[tuple[JobSpec, float]]":
-    """Yields jobs and their unfinished tasks by priority and age, then the expected tasks."""
+    """Yields (specification, number of tasks) of unfinished tasks, then of expected tasks.
+
+    The unfinished tasks are ordered by the priority and age of their jobs.
+    """
     for job in sorted(jobs, key=lambda job: (job.spec.priority, job.spec.submitted_at)):
         yield job.spec, job.spec.tasks - job.done_count()
     for job, tasks in expected:
@@ -138,7 +141,11 @@
 
 
 def _only_zone(job: "Job", capacity: ClusterCapacity) -> str | None:
-    """The only zone in which a job's tasks can run, or None if there are several."""
+    """The zone that a job's pending tasks must run in, or None if no zone is fixed.
+
+    The zone is named by the specification, or it is the zone where tasks of a `single_zone` job are
+    already bound.
+    """
     if job.spec.zone is None and job.spec.single_zone:
         return next(iter(capacity.zones_of(job).counts), None)
     return job.spec.zone
@@ -147,7 +154,10 @@
 def _tasks_without_capacity(
     spec: "JobSpec", tasks: int, zone: str, capacity: ClusterCapacity, usable: set[str]
 ) -> int:
-    """How many of a job's tasks do not fit on the usable machines of a zone."""
+    """How many of a job's tasks do not fit on the usable machines of a zone.
+
+    The result is zero or negative if all of them fit.
+    """
     for name in usable:
         machine = capacity.machines[name]
         if machine.zone == zone and machine.is_allowed_for(spec):
--- a/emberglade/state/full_read.py
+++ b/emberglade/state/full_read.py
@@ -35,9 +35,10 @@
         self._request_page("", [], None)
 
     def _request_page(self, after: str, found: list[Change], first_revision: int | None) -> None:
-        """Requests the keys after `after` (a key without LIVE_PREFIX; empty for the first page).
+        """Requests the page that follows the key `after`.
 
-        `found` collects the rows of all pages.
+        `after` is a key without LIVE_PREFIX; it is empty for the first page. `found` collects the
+        rows of all pages.
         """
         start = LIVE_PREFIX + after if after else ""
         path = wire.list_path(LIVE_PREFIX, start, KEYS_PER_PAGE)
