--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -17,7 +17,8 @@
 class CommittedState:
     """Applies the replica's changes: jobs, chunks, owners, taints, machine types, the format.
 
-    Uncommitted decisions of this controller are replaced by what others have committed.
+    The view to which they are applied also contains this controller's uncommitted decisions. A
+    newer record of a key replaces the uncommitted decisions that were to be written to that key.
     """
 
     def __init__(
@@ -32,14 +33,18 @@
     def reset_for_snapshot(self, keys: set[str]) -> None:
         """Before a snapshot is applied: removes all taints, and jobs without a key in `keys`.
 
-        `keys` are all keys in the snapshot.
+        `keys` are the snapshot's keys that have a record.
         """
         for job_id in [job_id for job_id in self._jobs.jobs if wire.job_key(job_id) not in keys]:
             self._jobs.remove(job_id)
         self._cluster.taints.forget()
 
     def take_changed_taints(self) -> set[str]:
-        """The machines whose taints changed since the last call."""
+        """The machines whose taints changed since the last call.
+
+        A snapshot adds all machines that are tainted in it, whether their taints changed or not. It
+        does not add machines whose taints it no longer contains.
+        """
         machines, self._changed_taints = self._changed_taints, set()
         return machines
 
@@ -84,7 +89,7 @@
         return job
 
     def _attach_chunks(self, job: Job) -> None:
-        """Adds the job's chunks that the replica showed before the job's record named them."""
+        """Adds the unattached chunks of the generation to which the job's record now refers."""
         for number, chunk in self._unattached.take(job.id, job.generation):
             self._jobs.update_chunk(job, number, chunk.record, chunk.mod_revision)
 
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -88,8 +88,8 @@
 
         If the job is not live, the condition is that the job's own key does not exist: every live
         job has that key, so the chunks are unused. If the job is live, the condition is that this
-        controller still owns its shard: only the owner may rechunk a job, so no other controller
-        can be using a generation that is not the current one.
+        controller still owns its shard. Only the owner may rechunk a job. So while this controller
+        owns the shard, no other controller can switch the job to another generation of chunks.
         """
         job = self._jobs.get(job_id)
         if job is None:
@@ -109,8 +109,8 @@
     def sweep_orphans(self) -> None:
         """Marks chunks without a job for removal; a crashed controller may leave such chunks.
 
-        Only the owner of the first shard does this, and only after it has seen the chunks without a
-        job for ORPHAN_RETENTION_LEASES.
+        Only the owner of the first shard does this. It marks the chunks of a job once more than
+        ORPHAN_RETENTION_LEASES lease durations have passed since it first saw them without the job.
         """
         if not self._owners.owns_first_shard():
             return
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -9,7 +9,11 @@
 
 
 class UpdateKey(NamedTuple):
-    """The subject of an update; a later update with the same key replaces an earlier one."""
+    """The subject of an update.
+
+    Among the updates that the sender has not delivered yet, a later update replaces an earlier one
+    with the same key.
+    """
 
     kind: str
     job_id: str
@@ -55,7 +59,7 @@
     job_id: str
     task: int
     attempt: int
-    mode: int  # StopMode.STOP or StopMode.SAVE
+    mode: int  # the value of a StopMode; this version requests only SAVE
     reason: str  # for the log
 
     @property
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -2,10 +2,14 @@
 
 The previous version reads and rewrites records of format 1 only. Each controller of this version
 writes a reader key, which states that its process also reads format 2. Once the live process of
-every configured controller has done so, one transaction raises the format permanently. It is
-conditional on all reader keys and, if the limit on conditions per transaction allows it, on all
-node keys. If a controller returns to the previous version before that, its new process writes a new
-node key, and the condition on this key makes the transaction fail.
+every configured controller has written its reader key, one transaction raises the format
+permanently. The transaction is conditional on the format key and all reader keys. If the limit on
+conditions per transaction allows it, the transaction is also conditional on all node keys.
+
+A controller may return to the previous version before the format is raised. Its new process then
+writes a new node key with another incarnation than that of the reader key. A controller whose
+replica shows both keys does not start the transaction. If the replica does not show the new node
+key yet, the condition on that key makes the transaction fail, provided that it is included.
 """
 
 import logging
@@ -32,7 +36,10 @@
 
 
 class ProcessKey(NamedTuple):
-    """The incarnation in a node key or reader key, and the key's mod revision."""
+    """The incarnation and the mod revision of a node key or a reader key.
+
+    The incarnation is None if the key's record does not contain one.
+    """
 
     incarnation: int | None
     mod_revision: int
@@ -163,8 +170,9 @@
     def on_seen(self, revision: int | None) -> None:
         """Handles the sync after a commit (`sync_after_commit`).
 
-        After a successful sync the replica shows the outcome, and the next step is taken. After a
-        failed one, that is left to the next tick or change.
+        After a successful sync, the replica shows the outcome of the commit, and the next step is
+        taken at once. After a failed sync, the next tick or change of the replica takes the next
+        step.
         """
         self._is_committing = False
         if revision is not None:
--- a/emberglade/membership/member.py
+++ b/emberglade/membership/member.py
@@ -61,7 +61,8 @@
         """Handles `table(table, overflow)` from the agent manager: writes the table to the store.
 
         A table is built every 5 s, or earlier if peers lack this controller's machines. `table`
-        contains counts and machines; `overflow` the values that don't fit in the node key.
+        contains counts. It contains machines only while some live peer has not exchanged views with
+        this controller recently. `overflow` contains the values that don't fit in the node key.
         """
         self.node_key.set_table(table, overflow)
 
@@ -79,7 +80,11 @@
     # --- ownership
 
     def set_planners(self, shard_planner: "ShardPlanner", leader_planner: "LeaderPlanner") -> None:
-        """Sets the planners for shards and leadership, used once there is a view of peers."""
+        """Sets the planners for shards and leadership.
+
+        Once they are set, this process takes no shards and no leadership until the peer monitor has
+        sent its first `liveness(view)`.
+        """
         self.ownership.set_planners(shard_planner, leader_planner)
 
     def on_changed(self, changes: list[Change], revision: int, is_snapshot: bool) -> None:
--- a/emberglade/state/replica.py
+++ b/emberglade/state/replica.py
@@ -1,4 +1,4 @@
-"""The local replica: all live keys as of one revision, and the most recent changes."""
+"""The local replica of all live keys, and the most recent changes."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the replica is valid as of some revision."""
+        """Whether all live keys have been read, and no change has been missed since."""
         return self.revision >= 0
 
     def rows(self) -> list[Change]:
@@ -45,7 +45,10 @@
         self.revision = NOT_LOADED
 
     def replace(self, rows: Iterable[Change], revision: int) -> list[Change]:
-        """Replaces the contents by all live keys, read at `revision` or later.
+        """Replaces the contents by `rows`, all live keys as a full read found them.
+
+        `revision` is the revision of the first page. Later pages may be of newer revisions; the
+        replica becomes consistent when the changes after `revision` are applied (full_read.py).
 
         Returns:
             The removals of keys that no longer exist, followed by all current keys.
@@ -58,9 +61,10 @@
         return gone + list(fresh.values())
 
     def apply(self, changes: Iterable[Change], revision: int) -> list[Change]:
-        """Applies committed changes up to `revision`, which becomes the replica's revision.
+        """Applies committed changes up to `revision`.
 
-        Changes at or below the replica's revision are ignored, and the revision never decreases.
+        Changes at or below the replica's revision are ignored. The replica's revision becomes
+        the higher of `revision` and its current value.
 
         Returns:
             The changes that were applied.
@@ -79,7 +83,11 @@
         return fresh
 
     def changes_after(self, revision: int) -> list[Change] | None:
-        """The changes after `revision` in order, or None if some are no longer kept."""
+        """The changes after `revision` in order, or None.
+
+        None if the replica is not loaded, if `revision` is newer than the replica's revision, or if
+        some of these changes are no longer kept.
+        """
         if not self.is_loaded or not self._recent_after <= revision <= self.revision:
             return None
         return [change for change in self._recent if change.mod_revision > revision]
--- a/emberglade/user_api/cancellations.py
+++ b/emberglade/user_api/cancellations.py
@@ -121,10 +121,12 @@
         """Handles the store's answer to the commit of a cancellation."""
         if status == 200:
             log.info("job %s cancelled by its user", job_id)
-            # The cancellation is confirmed only once this controller's own replica shows it, for
-            # two reasons. Other controllers compare the revision of this replica with that of their
-            # own to know that they miss no cancellation confirmed here. And halts are sent to the
-            # machines on which this replica shows tasks of the job.
+            # The cancellation is confirmed only once this controller's replica shows it, for two
+            # reasons:
+            # - A peer whose replica is at least as new as this replica assumes that it knows of all
+            #   cancellations confirmed here. This replica must therefore show each of them.
+            # - `on_confirm_cancellation` stops the job's tasks by commands ("halts") to their
+            #   machines. It finds the cancellation and the machines in this replica.
             send(self.store.on_sync, callback(self.on_cancel_synced, job_id, reply, retries))
         elif status == 409 and retries < MAX_RETRIES:
             # The job's record changed between the sync and the commit, for example because the
--- a/emberglade/user_api/dependency_outcomes.py
+++ b/emberglade/user_api/dependency_outcomes.py
@@ -13,8 +13,8 @@
 from ..state import FINAL_PREFIX, Store
 from ..state.store import DECISIONS
 
-# A request for more dependencies than this reads only this many and is marked as failed; a retry
-# requests only those whose outcomes are still unknown.
+# If more dependencies are requested, only this many are read, and the request is marked as failed.
+# A retry requests only the dependencies whose outcomes are still unknown.
 MAX_READS_PER_REQUEST = 32
 
 
@@ -52,8 +52,9 @@
     ) -> None:
         """Reads the final keys of jobs, up to MAX_READS_PER_REQUEST of them.
 
-        `then(DependencyReadRequest)` is called once they are read. The request is marked as failed
-        if there are more jobs than the limit.
+        `then(DependencyReadRequest)` is called once they are read; it is never called if
+        `dependencies` is empty. The request is marked as failed if there are more jobs than the
+        limit.
         """
         chosen = set(sorted(dependencies)[:MAX_READS_PER_REQUEST])
         request = DependencyReadRequest(set(chosen), then, failed=len(chosen) < len(dependencies))
--- a/emberglade/user_api/dependent_submissions.py
+++ b/emberglade/user_api/dependent_submissions.py
@@ -33,6 +33,11 @@
 TRANSACTION_BYTES = 40 * 1024
 MAX_LOGGED_DEPENDENCIES = 8
 MAX_DEPENDENCIES_IN_REASON = 4
+# Sent if a submission can't be decided now; the user should retry. Besides the case that its text
+# names, it is sent in three others:
+# - a write of segments failed;
+# - this process has no incarnation yet;
+# - more dependencies were unknown than one request reads (MAX_READS_PER_REQUEST).
 DEPENDENCIES_UNREAD = service_unavailable(
     "the state service does not answer for all awaited jobs yet"
 )
@@ -47,7 +52,8 @@
         dependencies: The ids of the jobs that it depends on.
         reply: Answers the submission.
         record: The waiting job's record; None until it is prepared.
-        segments: (key, ids) of the dependency list's unwritten segments; the last is written first.
+        segments: (key, ids) of each segment of the dependency list that is still to be written, in
+            the order of the list. They are written from the end of the list.
     """
 
     spec: JobSpec
@@ -82,7 +88,11 @@
         self.dependency_list_count = 0  # number of lists that this process has prepared
 
     def submit(self, request: wire.Submission, reply: Reply) -> None:
-        """Accepts a job with dependencies; the caller has counted the submission as open."""
+        """Accepts a job with dependencies, or answers why it can't be accepted.
+
+        The caller has called `Acceptance.open`, which counts the submission towards the limit of
+        open submissions. The submission is closed before it is answered.
+        """
         submission = DependentSubmission(request.spec, request.dependencies, reply)
         send(self.store.on_sync, callback(self.on_dependencies_synced, submission))
 
@@ -91,7 +101,8 @@
     def on_dependencies_synced(self, submission: DependentSubmission, revision: int | None) -> None:
         """Handles the sync that `submit` requested; `revision` is None if it failed.
 
-        The replica now shows all unfinished jobs that were accepted before the sync was requested.
+        After a successful sync, the replica shows all unfinished jobs that were accepted before the
+        sync was requested.
         """
         job_id = submission.spec.id
         if revision is None:
@@ -137,9 +148,11 @@
         DEPENDENCIES_UNREAD.send(submission.reply)
 
     def refuse(self, submission: DependentSubmission, reason: str) -> None:
-        """Closes a submission that can never be accepted.
+        """Closes a submission and refuses it for `reason`, unless its job was accepted earlier.
 
-        If its job was accepted earlier, it is answered with the job's state instead.
+        If the job was accepted earlier, the answer is the job's state. If the look-up can't
+        determine whether it was accepted, the user is asked to retry. A refused submission may be
+        accepted later, for example once a dependency that was never accepted has been accepted.
         """
         self.acceptance.close()
         self.lookup.answer(submission.spec.id, submission.reply, if_never_accepted=refused(reason))
@@ -171,11 +184,12 @@
     def write_segments(
         self, submission: DependentSubmission, first_mod_revision: int | None
     ) -> None:
-        """Writes the remaining segments, the first one last, and then the job's record.
+        """Writes the next batch of segments, or the job's record if all segments are written.
 
-        `first_mod_revision` is the revision of the previous transaction with segments. Once all
-        are written, that transaction included the first segment, and the job's record is committed
-        on condition that the first segment has not changed since.
+        Batches are taken from the end of the list, so the last batch contains the first segment.
+        `first_mod_revision` is the revision of the previous batch, or None if there was none.
+        After the last batch, it is the mod revision of the first segment. The job's record is
+        committed on condition that the first segment still has this mod revision.
         """
         if not submission.segments:
             self.write_waiting(submission, first_mod_revision)
@@ -233,15 +247,17 @@
     def _answer_accepted(self, submission: DependentSubmission) -> None:
         job_id, dependencies, graph = submission.spec.id, submission.dependencies, self.view.graph
         shown = " ".join(dependencies[:MAX_LOGGED_DEPENDENCIES])
-        log.info("job %s accepted: waits for %d dependencies: %s", job_id, len(dependencies), shown)
+        log.info("job %s accepted: has %d dependencies: %s", job_id, len(dependencies), shown)
         if any(graph.is_cancelled(dependency) for dependency in dependencies):
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.CANCELLED)))
         elif any(
             dependency in graph.unresolved or graph.unresolved_dependencies_of(dependency)
             for dependency in dependencies
         ):
-            # A dependency may have been cancelled, and another controller may have reported this
-            # job as cancelled already, so the job's state is looked up.
+            # The outcome of a direct or indirect dependency is unresolved. If that dependency was
+            # cancelled, another controller may have reported this job as cancelled already.
+            # Although this job was accepted just now, `answer_accepted_before` is called: it looks
+            # up the job's state, and the look-up reads the unresolved outcomes first.
             self.acceptance.answer_accepted_before(job_id, submission.reply)
         else:
             submission.reply(201, wire.write_state(JobState(job_id, JobStatus.PENDING)))
--- a/emberglade/user_api/job_state.py
+++ b/emberglade/user_api/job_state.py
@@ -20,8 +20,9 @@
     Attributes:
         job_id: The job.
         status: Its status.
-        done_tasks: Number of completed tasks; None if the answer has no counts.
-        running_tasks: Number of tasks bound to a machine; None if the answer has no counts.
+        done_tasks: Number of completed tasks; None if the answer to the user contains no task
+            counts, as when a submission is accepted or a live job is cancelled.
+        running_tasks: Number of tasks bound to a machine; None if `done_tasks` is None.
     """
 
     job_id: str
