--- a/emberglade/agents/reconciliation.py
+++ b/emberglade/agents/reconciliation.py
@@ -1,7 +1,8 @@
 """Reconciliation: compares the tasks on a machine with those that are committed for it.
 
-The differences become commands. They are derived from the replica alone; docs/safety.md, 4 to 6,
-explains why none of them can do harm, however late it arrives.
+The differences become commands. What is committed is read from the replica, which may be
+outdated, and from cancellations that peers announced; docs/safety.md, 4 to 6, explains why no
+command can do harm, however late it arrives.
 """
 
 import logging
@@ -32,9 +33,9 @@
 
 
 class SyncNeed(Enum):
-    """Commands that would need a replica synced after the heartbeat arrived."""
+    """The kind of command that has to wait for a sync made after the heartbeat arrived."""
 
-    CLEAR = "clear"  # or a halt of an attempt that the replica does not show
+    CLEAR = "clear"  # to clear or halt an attempt that the replica does not bind to the machine
     START = "start"
 
 
@@ -43,7 +44,7 @@
     """The answer to an agent.
 
     Attributes:
-        sync_need: The further commands that a sync would allow.
+        sync_need: The kind of further commands that a sync would allow; None if there are none.
     """
 
     fencing_token: int
@@ -87,7 +88,8 @@
                 self._end_undesired(result, heartbeat.machine, key, status, synced)
             elif status.state is not EXITED:
                 self._stop_if_committed(result, key, status, desired)
-            # Else the job's owner is notified, and the task is cleared once the exit is committed.
+            # An attempt that exited gets no command here: its exit is forwarded to the job's owner
+            # (`update_forwarding`), and the task is cleared once the exit is committed.
         may_start = self._may_start(record)
         for key, desired in desired_tasks.items():
             found = tasks.get(key)
@@ -123,17 +125,18 @@
         status: TaskStatus,
         synced: bool,
     ) -> None:
-        """Handles an attempt that is not bound to the machine, as far as the replica shows."""
+        """Handles an attempt on a machine that, according to the replica, is not bound to it."""
         exited = status.state is EXITED
         cancelled = self.committed.cancelled
         if not exited and key[0] in cancelled:
-            # No task of a cancelled job may run anywhere, even if the replica is outdated.
+            # Needs no sync: a cancellation is final, so even an outdated replica proves that no
+            # task of the job may run.
             result.fence(cancelled.revision(key[0]))
             result.commands.append(HaltTask(key, status.attempt, 0))
         elif not synced:
             result.sync_need = result.sync_need or SyncNeed.CLEAR
         elif exited:
-            # The fencing token rejects a delayed start of this attempt that arrives later.
+            # Once the agent has this fencing token, it rejects a delayed start of this attempt.
             result.fence(self.committed.revision)
             result.commands.append(ClearTask(key, status.attempt))
         else:
--- a/emberglade/failure_detection/messages.py
+++ b/emberglade/failure_detection/messages.py
@@ -44,12 +44,12 @@
 
     peer: str
     state: PeerState
-    # Version of the newest heartbeat that the sender received directly; None if there is none.
+    # Version of the newest heartbeat that the sender received from the peer itself, or None.
     version: HeartbeatVersion | None
     age_s: float  # time since that heartbeat was sent
-    # Age of the peer's contact with the state service when that heartbeat was sent.
+    # Time from the peer's last contact with the state service until that heartbeat was sent.
     store_contact_age_s: float
-    failback_delay_s: float  # how long the peer must still serve before it takes shards back
+    failback_delay_s: float  # how much longer the peer must serve before it takes shards back
 
 
 class Heartbeat(NamedTuple):
@@ -58,7 +58,7 @@
     sender: str
     version: HeartbeatVersion
     sent_wall_time: float  # seconds since 1970
-    store_contact_age_s: float  # time since its last answered sync with the state service
+    store_contact_age_s: float  # time since its last answered sync, not counting a recent pause
     slow: bool  # whether the sender's own detection loop runs late
     opinions: tuple[Opinion, ...]
 
@@ -74,7 +74,8 @@
     """The relay's response to a probe request.
 
     `version` and `age_s` are those of the newest heartbeat that the relay received from the target;
-    `version` is None if the relay did not reach the target or has no heartbeat of its process.
+    `version` is None if the relay did not reach the target or has received no heartbeat from the
+    target's current process.
     """
 
     target: str
--- a/emberglade/fleet/taints.py
+++ b/emberglade/fleet/taints.py
@@ -1,8 +1,8 @@
 """The leader's taints on machines, as the replica shows them.
 
-Many machines can fail at once, and the state service limits the number of keys written. So the
-taints of all machines are stored in a few keys, and a change of any number of taints takes few
-writes (`taint_change.py`).
+Many machines can fail at once, and the state service limits the keys written per second and per
+transaction. So the taints of all machines are stored in a few keys, and a change of any number of
+taints takes few writes (`taint_change.py`).
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
     Attributes:
         taint: A Taint, or a stored value that is unknown to this version.
-        mod_revision: The mod revision of the key whose change set it.
+        mod_revision: The mod revision of its key after the change that set the taint.
         seen_at: When this controller's replica first showed it, by the monotonic clock.
     """
 
@@ -68,7 +68,8 @@
             if machine in new:
                 self.by_machine[machine] = taint_by_value[new[machine]]
             elif self.key_containing(machine) is None:
-                # Otherwise the taint has moved to another key, whose change is already applied.
+                # No key contains the machine any more. If another key did, the taint would have
+                # moved there, and `by_machine` would already have that key's entry.
                 self.by_machine.pop(machine, None)
         return changed
 
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -27,7 +27,8 @@
 class TaskLifecycle(ActorPart):
     """Changes the bindings of the jobs that this controller owns.
 
-    The changes follow from status updates of the agents and from the leader's taints.
+    The changes follow from task updates, preemption and the leader's taints. A task update results
+    from an agent's heartbeat, or is a stop request of another controller that preempts the task.
     """
 
     def __init__(
@@ -51,8 +52,9 @@
     def apply(self, update: TaskUpdate) -> None:
         """Applies a status update of one attempt, or a request to stop it.
 
-        Updates of jobs that this controller does not own, or may not change now, are ignored: the
-        agents' next heartbeats repeat them.
+        Updates of jobs that this controller does not own, or may not change now, are ignored. The
+        agents' next heartbeats lead to the same updates again, and a controller that preempts
+        repeats its request if it still needs the capacity.
         """
         job = self._jobs.get(update.job_id)
         if job is None or not self.may_change(job) or not 0 <= update.task < job.spec.tasks:
@@ -97,7 +99,10 @@
             self._commits.mark_changed(job, task)
 
     def stop(self, job: Job, task: int, mode: int, reason: str) -> None:
-        """Marks a bound task to be stopped; `mode` is a StopMode, `reason` is for the log."""
+        """Marks a bound task to be stopped; `mode` is a StopMode, `reason` is for the log.
+
+        A task that saves no checkpoints is stopped at once, also with StopMode.SAVE.
+        """
         binding = job.chunk_of(task).bindings[task]
         log.info(
             "stopping task %s on machine %s: %s", task_name(job.id, task), binding.machine, reason
@@ -116,7 +121,10 @@
         ]
 
     def apply_taints(self, machines: Iterable[str]) -> None:
-        """Releases the tasks of machines with expired leases; stops those of draining machines.
+        """Releases the tasks of machines that can't run them any more, and drains machines.
+
+        A machine can't run its tasks any more if its lease has expired (taint "ended") or if it was
+        scaled in (taint "gone"). The tasks of a machine with taint "drain" are stopped.
 
         Only tasks of jobs that this controller owns are changed.
         """
@@ -143,7 +151,7 @@
         for machine, names in list(released.items())[:MAX_MACHINES_LOGGED]
     ]
     log.info(
-        "rescheduling %d tasks of %d machines whose leases have expired: %s%s",
+        "rescheduling %d tasks of %d machines that can't run them any more: %s%s",
         sum(map(len, released.values())),
         len(released),
         ", ".join(shown),
--- a/emberglade/jobs/task_updates.py
+++ b/emberglade/jobs/task_updates.py
@@ -1,4 +1,4 @@
-"""Updates about one attempt of a task that a controller sends to the owner of its job.
+"""Updates about one attempt of a task, which a controller sends to the owner of the task's job.
 
 An update states a proven fact about one attempt on one machine, or requests a stop of that attempt.
 Delivered late or twice, it has no wrong effect.
@@ -9,7 +9,11 @@
 
 
 class UpdateKey(NamedTuple):
-    """The subject of an update; a later update with the same key replaces an earlier one."""
+    """The subject of an update.
+
+    Among the updates that the sender has not delivered yet, a later update replaces an earlier one
+    with the same key.
+    """
 
     kind: str
     job_id: str
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskGone:
-    """Proof that the attempt is not on its machine and never will be again."""
+    """Proof that the attempt is not running on its machine and never will be."""
 
     job_id: str
     task: int
@@ -55,7 +59,7 @@
     job_id: str
     task: int
     attempt: int
-    mode: int  # StopMode.STOP or StopMode.SAVE
+    mode: int  # the value of a StopMode; this version requests only SAVE
     reason: str  # for the log
 
     @property
--- a/emberglade/membership/format.py
+++ b/emberglade/membership/format.py
@@ -2,10 +2,14 @@
 
 The previous version reads and rewrites records of format 1 only. Each controller of this version
 writes a reader key, which states that its process also reads format 2. Once the live process of
-every configured controller has done so, one transaction raises the format permanently. It is
-conditional on all reader keys and, where the limit on conditions allows it, on all node keys. With
-the node keys it fails if a controller returns to the previous version first, since the new process
-writes a new node key.
+every configured controller has written its reader key, one transaction raises the format
+permanently. The transaction is conditional on the format key and all reader keys. If the limit on
+conditions per transaction allows it, the transaction is also conditional on all node keys.
+
+A controller may return to the previous version before the format is raised. Its new process then
+writes a new node key with another incarnation than that of the reader key. A controller whose
+replica shows both keys does not start the transaction. If the replica does not show the new node
+key yet, the condition on that key makes the transaction fail, provided that it is included.
 """
 
 import logging
@@ -32,7 +36,10 @@
 
 
 class ProcessKey(NamedTuple):
-    """A key that identifies a process of a controller."""
+    """The incarnation and the mod revision of a node key or a reader key.
+
+    The incarnation is None if the key's record does not contain one.
+    """
 
     incarnation: int | None
     mod_revision: int
@@ -48,8 +55,8 @@
 
     Attributes:
         raised: Whether the cluster uses the new format.
-        processes: {controller: the key of its live process}.
-        readers: {controller: the key of its process that reads the new format}.
+        processes: {controller: its node key, which names its live process}.
+        readers: {controller: its reader key, which names a process that reads the new format}.
     """
 
     def __init__(self, settings: "Settings", store: Store) -> None:
@@ -134,7 +141,8 @@
     def _conditions_for_raise(self) -> list[tuple[str, int]]:
         """The conditions `[(full key, mod_revision)]` of the transaction that raises the format.
 
-        Node keys, which are rewritten every few seconds, are included only if the limit allows it.
+        Node keys are included only if the limit on conditions per transaction allows it. They are
+        rewritten every few seconds, so the transaction may fail; it is then repeated.
         """
         names = self.settings.names
         conditions = [(LIVE_PREFIX + FORMAT_KEY, self._format_mod_revision)]
@@ -149,7 +157,7 @@
         return conditions
 
     def _commit(self, conditions: list[tuple[str, int]], key: str, record: wire.Record) -> None:
-        """Writes one key under `conditions`; the next step waits until a sync shows the result."""
+        """Writes one key under `conditions`; the next step waits for the sync after the commit."""
         self._is_committing = True
         send(
             self.store.on_commit,
@@ -160,7 +168,12 @@
         )
 
     def on_seen(self, revision: int | None) -> None:
-        """Handles the sync after a commit (`sync_after_commit`): takes the next step on success."""
+        """Handles the sync after a commit (`sync_after_commit`).
+
+        After a successful sync, the replica shows the outcome of the commit, and the next step is
+        taken at once. After a failed sync, the next tick or change of the replica takes the next
+        step.
+        """
         self._is_committing = False
         if revision is not None:
             self.advance()
--- a/emberglade/state/requests.py
+++ b/emberglade/state/requests.py
@@ -21,7 +21,7 @@
 class Priority(enum.IntEnum):
     """The priority of a request; lower values are sent first."""
 
-    HEARTBEATS = 0  # also the store's own reads, syncs and leases
+    HEARTBEATS = 0  # the store's own requests: full reads, syncs and leases
     DECISIONS = 1  # controllers' decisions
     SUBMISSIONS = 2  # users' submissions
 
@@ -93,15 +93,16 @@
         now = self.now()
         for waiting, limit in self._queues_in_order(now):
             if not self._send_from(waiting, limit, now):
-                # Lower priorities wait as well, or they would use up the budget first.
+                # Lower priorities wait too: they must not use up the budget that this queue needs.
                 return
 
     def _queues_in_order(self, now: float) -> Iterator[tuple[deque[Request], int]]:
         """Yields (queue, maximum number of requests to send from it) in the order of service.
 
-        The order is that of the priorities, except that one submission that has waited long goes
-        first. Without this, decisions use up all writes for seconds after the loss of a third of
-        the machines, and submissions are answered too late (fleet/third_of_machines_fail.txt).
+        The order is that of the priorities, with one exception: if the oldest submission has waited
+        long and none was sent recently, it goes first. Without this exception, decisions use up the
+        write budget for seconds after the loss of a third of the machines, and submissions are
+        answered too late (fleet/third_of_machines_fail.txt).
         """
         submissions = self._queues[Priority.SUBMISSIONS]
         if (
@@ -114,7 +115,7 @@
             yield waiting, len(waiting)
 
     def _send_from(self, waiting: deque[Request], limit: int, now: float) -> bool:
-        """Sends up to `limit` requests of one queue; False if a budget is used up.
+        """Sends up to `limit` requests of one queue; False if paused or a budget is used up.
 
         Requests that waited longer than the timeout are answered 429 instead.
         """
@@ -153,7 +154,8 @@
     def on_answered(self, request: Request, status: int, body: Any) -> None:
         """Handles the state service's response to one request, from the client.
 
-        A 429 pauses all requests for `pause_s` and lowers the rate of the budget concerned.
+        A 429 pauses all requests for `pause_s`. It also lowers the rate of the write budget if the
+        request contained writes, else that of the request budget.
         """
         self._in_flight -= 1
         if status == TOO_MANY_REQUESTS:
--- a/emberglade/user_api/job_state.py
+++ b/emberglade/user_api/job_state.py
@@ -20,8 +20,9 @@
     Attributes:
         job_id: The job.
         status: Its status.
-        done_tasks: Number of completed tasks; None if the answer has no counts.
-        running_tasks: Number of tasks bound to a machine; None if the answer has no counts.
+        done_tasks: Number of completed tasks; None if the answer to the user contains no task
+            counts, as when a submission is accepted or a live job is cancelled.
+        running_tasks: Number of tasks bound to a machine; None if `done_tasks` is None.
     """
 
     job_id: str
@@ -34,7 +35,7 @@
     """Why a look-up returned no JobState."""
 
     NEVER_ACCEPTED = enum.auto()  # no job of that id was ever accepted
-    UNAVAILABLE = enum.auto()  # can't be determined now; the user should retry
+    UNAVAILABLE = enum.auto()  # the state can't be determined now; the user should retry
 
 
 LookupResult = JobState | LookupFailure
--- a/tests/stand_ins/tasks.py
+++ b/tests/stand_ins/tasks.py
@@ -20,7 +20,8 @@
     """One attempt of a task on a machine.
 
     Attributes:
-        serial: The number of its start on this machine; events of other starts are ignored.
+        serial: Number of this start among all task starts on the machine. An event that was
+            scheduled for another start of the task is ignored.
     """
 
     attempt: int
@@ -57,7 +58,7 @@
             del self.by_name[command.task]
 
     def start(self, command: Command, present: TaskAttempt | None) -> None:
-        """Starts a task, or refuses it."""
+        """Starts a task, or refuses to; a repeated command for the same attempt has no effect."""
         name = command.task
         if present is not None:
             if present.attempt != command.attempt:
