--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .domains import FailureDomains
 from .errors import DetectionError
+from .failure_domains import FailureDomains
 
 if TYPE_CHECKING:
     from ..config import Operators, Settings
@@ -97,7 +97,7 @@
     if not operators.failure_detection:
         return "failure detection: off; liveness is decided by leased keys alone"
     bounds = detection_bounds(settings, operators)
-    domains = sorted(set(failure_domains(settings, operators).domains.values()))
+    domains = sorted(set(failure_domains(settings, operators).failure_domains.values()))
     return (
         f"failure detection: on; minimum time to suspicion {bounds.suspect_s:g} s, "
         f"time to confirmation {bounds.confirm_s:.3g} s; domains {', '.join(domains)}"
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from .domains import FailureDomains
+from .failure_domains import FailureDomains
 from .peer import Peer
 
 
@@ -10,7 +10,7 @@
     peer: Peer,
     relays: Collection[str],
     key_expired: bool,
-    domains: FailureDomains,
+    failure_domains: FailureDomains,
     now: float,
 ) -> str | None:
     """The evidence that a suspected peer is dead, as a text for the log; None if it is too weak.
@@ -19,7 +19,7 @@
         peer: The suspected peer.
         relays: The controllers that this one can ask to probe the peer now.
         key_expired: Whether the peer's key is missing from a replica that was recently synced.
-        domains: The failure domains of all controllers.
+        failure_domains: The failure domains of all controllers.
         now: The monotonic time, in seconds.
     """
     refuses = peer.refuses_connections(now)
@@ -35,12 +35,12 @@
             return "sends no heartbeats, and its key has expired"
         return None
     outcomes = peer.confirming_outcomes(now, key_expired)
-    confirming = {domains.of(relay) for relay in peer.failed_relays(outcomes, now)}
-    if len(confirming) < _needed_domains(peer.relays or relays, domains):
+    confirming = {failure_domains.of(relay) for relay in peer.failed_relays(outcomes, now)}
+    if len(confirming) < _needed_failure_domains(peer.relays or relays, failure_domains):
         return None
     return f"{'refuses connections' if refuses else 'sends no heartbeats'}; relays confirm"
 
 
-def _needed_domains(relays: Collection[str], domains: FailureDomains) -> int:
+def _needed_failure_domains(relays: Collection[str], failure_domains: FailureDomains) -> int:
     """How many domains must confirm a death: a majority of the domains of the relays."""
-    return len({domains.of(relay) for relay in relays}) // 2 + 1
+    return len({failure_domains.of(relay) for relay in relays}) // 2 + 1
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -7,7 +7,7 @@
 
 from .bounds import DetectionBounds
 from .confirmation import death_evidence
-from .domains import FailureDomains
+from .failure_domains import FailureDomains
 from .local_health import LocalHealth
 from .messages import (
     Heartbeat,
@@ -44,10 +44,10 @@
         node: str,
         peer_names: Iterable[str],
         bounds: DetectionBounds,
-        domains: FailureDomains,
+        failure_domains: FailureDomains,
     ) -> None:
         """Creates the detector of the controller `node`; call `start` before anything else."""
-        self.node, self.bounds, self.domains = node, bounds, domains
+        self.node, self.bounds, self.failure_domains = node, bounds, failure_domains
         self.peers = {name: Peer(name, bounds) for name in peer_names}
         self.health = LocalHealth(bounds.heartbeat_s)
         self.store_contact_at = NEVER
@@ -251,7 +251,7 @@
             return False
         relays = () if isolated else self._relays(peer)
         key_expired = peer.key_lease is None and self._has_recent_store_contact(now)
-        reason = death_evidence(peer, relays, key_expired, self.domains, now)
+        reason = death_evidence(peer, relays, key_expired, self.failure_domains, now)
         if reason is None:
             return False
         self._set_state(peer, PeerState.DEAD, reason)
@@ -264,7 +264,7 @@
             for peer in self.peers.values()
             if peer is not target and peer.state is PeerState.ALIVE
         ]
-        return choose_relays(self.node, alive, self.domains)
+        return choose_relays(self.node, alive, self.failure_domains)
 
     def _indirect_probe(self, peer: Peer, isolated: bool, now: float) -> IndirectProbe | None:
         """The next indirect probe of a suspected peer, at most one per heartbeat interval."""
--- a/emberglade/failure_detection/failover.py
+++ b/emberglade/failure_detection/failover.py
@@ -24,7 +24,7 @@
 
     The writer of a recent claim was alive when it wrote, whatever the last view shows. Suppose that
     a controller returns and takes shards. In the view of a peer, which may be a quarter of a second
-    old, the returned controller does not serve yet. Without the check `is_fresh`, that peer takes
+    old, the returned controller does not serve yet. Without the check `is_recent`, that peer takes
     the shards from it again (tests/scenarios/failure_detection/beside_previous_version.txt).
     """
 
@@ -34,13 +34,13 @@
         self._written_at: dict[int | str, float] = {}
 
     def note(self, claims: Mapping[int, Owner] | Mapping[str, Owner], now: float) -> None:
-        """Notes the current claims, {name: Owner}; a claim seen for the first time is not fresh."""
+        """Notes the current claims, {name: Owner}; a claim first seen now is not recent."""
         for name, owner in claims.items():
             if self._mod_revisions.get(name, owner.mod_revision) != owner.mod_revision:
                 self._written_at[name] = now
             self._mod_revisions[name] = owner.mod_revision
 
-    def is_fresh(self, name: int | str, now: float) -> bool:
+    def is_recent(self, name: int | str, now: float) -> bool:
         """Whether this controller saw the claim change less than a heartbeat interval ago."""
         return now - self._written_at.get(name, NEVER) < self.heartbeat_s
 
@@ -52,8 +52,8 @@
     is not slow and owns few shards.
 
     A shard that this process owns is not free. A shard whose owner is a previous process of this
-    controller is free. Any other shard is free if its claim is not fresh (`ClaimHistory.is_fresh`)
-    and one of these conditions holds:
+    controller is free. Any other shard is free if its claim is not recent
+    (`ClaimHistory.is_recent`) and one of these conditions holds:
     - it has no owner, or its owner does not serve;
     - its owner is slow and is not the shard's home, and some serving controller is not slow.
     """
@@ -123,7 +123,7 @@
     ) -> bool:
         if owner.node == self.node:
             return owner.incarnation != incarnation
-        if self.history.is_fresh(shard, now):
+        if self.history.is_recent(shard, now):
             return False
         if owner.node not in view.serving:
             return True
@@ -177,7 +177,7 @@
     It does so in each of these cases:
     - the leader is a previous process of this controller;
     - the leader's key has been missing for the delay that `_takeover_delay_s` returns;
-    - the leader does not serve, its claim is not fresh, the view allows failover
+    - the leader does not serve, its claim is not recent, the view allows failover
       (`may_fail_over`), and the controllers that come before this one in the order of succession
       have not taken leadership within one heartbeat interval each.
     """
@@ -202,7 +202,7 @@
                 self._free_since = None
                 return leader.incarnation != incarnation
             self.history.note({LEADERSHIP: leader}, now)
-            if leader.node in view.serving or self.history.is_fresh(LEADERSHIP, now):
+            if leader.node in view.serving or self.history.is_recent(LEADERSHIP, now):
                 self._free_since = None
                 return False
         if self._free_since is None:
--- a/emberglade/failure_detection/domains.py
+++ b/emberglade/failure_detection/failure_domains.py
@@ -26,15 +26,15 @@
     otherwise it is the controller's zone.
 
     Attributes:
-        domains: The name of each controller's domain.
+        failure_domains: The name of each controller's domain.
     """
 
-    def __init__(self, domains: Mapping[str, str]) -> None:
-        self.domains = domains
+    def __init__(self, failure_domains: Mapping[str, str]) -> None:
+        self.failure_domains = failure_domains
 
     def of(self, controller: str) -> str:
         """The failure domain of a controller."""
-        return self.domains[controller]
+        return self.failure_domains[controller]
 
     @classmethod
     def read(
@@ -54,13 +54,13 @@
             DetectionError: A row is invalid, two networks overlap, or a domain's networks contain
                 no controller.
         """
-        domains = dict(zones)
+        failure_domains = dict(zones)
         if rows:
-            domains.update(_domains_by_address(rows, addresses))
-        return cls(domains)
+            failure_domains.update(_failure_domains_by_address(rows, addresses))
+        return cls(failure_domains)
 
 
-def _domains_by_address(
+def _failure_domains_by_address(
     rows: Collection["DomainNetwork"], addresses: Mapping[str, str]
 ) -> dict[str, str]:
     """{controller: domain} for the controllers whose address is in one of the networks."""
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -13,7 +13,7 @@
 from . import wire
 from .bounds import DetectionBounds
 from .detector import PeerDetector
-from .domains import FailureDomains
+from .failure_domains import FailureDomains
 from .heartbeats import HeartbeatReceiver, HeartbeatSource
 from .messages import PeerState
 from .probes import PeerProbing
@@ -63,14 +63,14 @@
         self,
         settings: "Settings",
         bounds: DetectionBounds,
-        domains: FailureDomains,
+        failure_domains: FailureDomains,
         store: Store,
         links: Mapping[str, "Client"],
     ) -> None:
         node = settings.node
         self.bounds, self.store, self.links = bounds, store, links
         self.listeners: Sequence[LivenessListener] = ()
-        self.detector = PeerDetector(node, links, bounds, domains)
+        self.detector = PeerDetector(node, links, bounds, failure_domains)
         self.heartbeats = HeartbeatSource(self, node, self.detector)
         self.receiver = HeartbeatReceiver(self, links, self.detector)
         self.probing = PeerProbing(self, node, links, self.detector, self.heartbeats, self.receiver)
--- a/emberglade/jobs/commit_settlement.py
+++ b/emberglade/jobs/commit_settlement.py
@@ -12,9 +12,9 @@
 from ..actors import ActorPart, callback, send, send_after
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
+from .scheduling_view import SchedulingView
 from .shard_owners import full_shard_key
 from .transaction import CommitInFlight
-from .view import View
 
 if TYPE_CHECKING:
     from ..state import Store
@@ -34,7 +34,7 @@
         self,
         actor: "JobManager",
         store: "Store",
-        view: View,
+        view: SchedulingView,
         settled: Callable[[dict[str, Any]], None],
     ) -> None:
         super().__init__(actor)
--- a/emberglade/jobs/commits.py
+++ b/emberglade/jobs/commits.py
@@ -12,8 +12,8 @@
 from .garbage_collection import GarbageCollection
 from .job import Job
 from .pending_writes import WRITE_DELAY_S, PendingWrites
+from .scheduling_view import SchedulingView
 from .transaction import CommitInFlight, FinishedJob, Transaction
-from .view import View
 
 if TYPE_CHECKING:
     from ..state import Store
@@ -57,7 +57,7 @@
         self,
         actor: "JobManager",
         store: "Store",
-        view: View,
+        view: SchedulingView,
         garbage: GarbageCollection,
         listener: CommitListener,
     ) -> None:
--- a/emberglade/jobs/committed.py
+++ b/emberglade/jobs/committed.py
@@ -10,8 +10,8 @@
 from .commits import Commits
 from .garbage_collection import GarbageCollection
 from .job import Job
+from .scheduling_view import SchedulingView
 from .unattached_chunks import ChunkVersion
-from .view import View
 
 
 class CommittedState:
@@ -22,7 +22,11 @@
     """
 
     def __init__(
-        self, view: View, commits: Commits, garbage: GarbageCollection, clock: Callable[[], float]
+        self,
+        view: SchedulingView,
+        commits: Commits,
+        garbage: GarbageCollection,
+        clock: Callable[[], float],
     ) -> None:
         self._jobs, self._unattached, self._cluster = view.jobs, view.unattached, view.cluster
         self._owners, self._chunk_limits = view.owners, view.chunk_limits
--- a/emberglade/jobs/dependency_release.py
+++ b/emberglade/jobs/dependency_release.py
@@ -16,7 +16,7 @@
 from . import wire
 from .commits import NOT_EXECUTED
 from .job import Job
-from .view import View
+from .scheduling_view import SchedulingView
 from .waiting_job import WaitingJob, released_spec
 from .wire import Outcome
 
@@ -33,7 +33,7 @@
 class DependencyRelease(ActorPart):
     """Releases ready and ends cancelled waiting jobs of the shards that this controller owns."""
 
-    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: SchedulingView) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._graph, self._owners = view.graph, view.owners
--- a/emberglade/jobs/garbage_collection.py
+++ b/emberglade/jobs/garbage_collection.py
@@ -12,7 +12,7 @@
 from ..state.store import DECISIONS
 from . import wire
 from .job import Job
-from .view import View
+from .scheduling_view import SchedulingView
 
 if TYPE_CHECKING:
     from ..state import Store
@@ -25,7 +25,7 @@
 class GarbageCollection(ActorPart):
     """Removes chunks of finished jobs, of unused generations, and those that belong to no job."""
 
-    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: SchedulingView) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._jobs, self._owners = view.jobs, view.owners
--- a/emberglade/jobs/manager.py
+++ b/emberglade/jobs/manager.py
@@ -20,11 +20,11 @@
 from .preemption import Preemption
 from .rechunking import Rechunking
 from .scheduler import Scheduler
+from .scheduling_view import SchedulingView
 from .segment_collection import SegmentCollection
 from .task_lifecycle import TaskLifecycle
 from .task_updates import StopRequested, TaskUpdate
 from .underused_machine import find_underused_machine
-from .view import View
 
 if TYPE_CHECKING:
     from ..agents import AgentManager
@@ -55,7 +55,7 @@
 
     def __init__(self, settings: "Settings", store: "Store") -> None:
         self.settings, self.store = settings, store
-        self.view = view = View(settings, self.now)
+        self.view = view = SchedulingView(settings, self.now)
         self.garbage = GarbageCollection(self, store, view)
         self.commits = Commits(self, store, view, self.garbage, listener=self)
         self.committed = CommittedState(view, self.commits, self.garbage, self.now)
--- a/emberglade/jobs/pending_writes.py
+++ b/emberglade/jobs/pending_writes.py
@@ -1,7 +1,7 @@
 """The changed records that are not written yet, and when each of them is due."""
 
 from . import wire
-from .view import View
+from .scheduling_view import SchedulingView
 
 WRITE_DELAY_S = 0.02  # changes that follow closely on each other are written together
 # Minimum time that a batched change waits, in agent heartbeat intervals.
@@ -15,7 +15,7 @@
         due: key -> when it should be written, on the monotonic clock.
     """
 
-    def __init__(self, view: View) -> None:
+    def __init__(self, view: SchedulingView) -> None:
         self._settings, self._jobs, self._budget = view.settings, view.jobs, view.budget
         self.due: dict[str, float] = {}
 
--- a/emberglade/jobs/placement_pass.py
+++ b/emberglade/jobs/placement_pass.py
@@ -8,7 +8,7 @@
 from .chunking import chunk_size
 from .commits import Commits
 from .job import Job
-from .view import View
+from .scheduling_view import SchedulingView
 
 log = logging.getLogger("emberglade.jobs")
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        view: View,
+        view: SchedulingView,
         commits: Commits,
         placement_round: placement.PlacementRound,
         starving: set[str],
--- a/emberglade/jobs/preemption.py
+++ b/emberglade/jobs/preemption.py
@@ -7,9 +7,9 @@
 from ..actors import ActorPart
 from .binding import Binding, StopMode
 from .job import Job
+from .scheduling_view import SchedulingView
 from .task_lifecycle import TaskLifecycle
 from .task_updates import StopRequested
-from .view import View
 
 if TYPE_CHECKING:
     from .manager import JobManager
@@ -42,7 +42,7 @@
     def __init__(
         self,
         actor: "JobManager",
-        view: View,
+        view: SchedulingView,
         tasks: TaskLifecycle,
         request_stop: Callable[[StopRequested], None],
     ) -> None:
--- a/emberglade/jobs/rechunking.py
+++ b/emberglade/jobs/rechunking.py
@@ -22,8 +22,8 @@
 from .chunking import rechunk
 from .commits import NOT_EXECUTED, Commits
 from .job import Job
+from .scheduling_view import SchedulingView
 from .transaction import CommitInFlight
-from .view import View
 
 if TYPE_CHECKING:
     from ..state import Store
@@ -55,7 +55,9 @@
 class Rechunking(ActorPart):
     """Rechunks the jobs that this controller owns, one at a time."""
 
-    def __init__(self, actor: "JobManager", store: "Store", view: View, commits: Commits) -> None:
+    def __init__(
+        self, actor: "JobManager", store: "Store", view: SchedulingView, commits: Commits
+    ) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._jobs, self._owners = view.jobs, view.owners
--- a/emberglade/jobs/scheduler.py
+++ b/emberglade/jobs/scheduler.py
@@ -9,7 +9,7 @@
 from .job import Job
 from .placement_pass import PlacementPass
 from .preemption import Preemption
-from .view import View
+from .scheduling_view import SchedulingView
 
 if TYPE_CHECKING:
     from .manager import JobManager
@@ -38,7 +38,7 @@
     def __init__(
         self,
         actor: "JobManager",
-        view: View,
+        view: SchedulingView,
         commits: Commits,
         backoff: FailureBackoff,
         preemption: Preemption,
--- a/emberglade/jobs/view.py
+++ b/emberglade/jobs/scheduling_view.py
@@ -15,7 +15,7 @@
     from ..config import Settings
 
 
-class View:
+class SchedulingView:
     """A view of the live and waiting jobs, including uncommitted decisions, and of the machines.
 
     Attributes:
--- a/emberglade/jobs/segment_collection.py
+++ b/emberglade/jobs/segment_collection.py
@@ -7,7 +7,7 @@
 from ..state import wire as state_wire
 from ..state.store import DECISIONS
 from . import wire
-from .view import View
+from .scheduling_view import SchedulingView
 
 if TYPE_CHECKING:
     from ..state import Store
@@ -20,7 +20,7 @@
 class SegmentCollection(ActorPart):
     """Removes the dependency lists of failed submissions and of jobs that are no longer waiting."""
 
-    def __init__(self, actor: "JobManager", store: "Store", view: View) -> None:
+    def __init__(self, actor: "JobManager", store: "Store", view: SchedulingView) -> None:
         super().__init__(actor)
         self._settings, self._store, self._budget = view.settings, store, view.budget
         self._graph, self._owners = view.graph, view.owners
--- a/emberglade/jobs/task_lifecycle.py
+++ b/emberglade/jobs/task_lifecycle.py
@@ -9,8 +9,8 @@
 from .commits import Commits
 from .failure_backoff import DONE, FailureBackoff
 from .job import Job, task_name
+from .scheduling_view import SchedulingView
 from .task_updates import StopRequested, TaskExited, TaskGone, TaskUpdate
-from .view import View
 
 if TYPE_CHECKING:
     from .manager import JobManager
@@ -34,7 +34,7 @@
     def __init__(
         self,
         actor: "JobManager",
-        view: View,
+        view: SchedulingView,
         commits: Commits,
         backoff: FailureBackoff,
         schedule_placement: Callable[[], None],
--- a/tests/scenario_kinds/detector.py
+++ b/tests/scenario_kinds/detector.py
@@ -53,7 +53,7 @@
         super().__init__(patch, directory)
         self.now = START_S
         self.seed: Any = 1
-        self.domains = {OWN_NAME: OWN_DOMAIN}
+        self.failure_domains = {OWN_NAME: OWN_DOMAIN}
         self.names: list[str] = []
         self.detector: Any = None  # a PeerDetector, created by `peers`
         self.view: Any = None
@@ -88,12 +88,14 @@
         A peer without a domain is in a failure domain of its own.
         """
         positional, named = parse_arguments(arguments)
-        domains = {name: name for name in positional} | {
+        failure_domains = {name: name for name in positional} | {
             name: str(domain) for name, domain in named.items()
         }
-        self.domains.update(domains)
-        self.names = sorted(set(self.domains) - {OWN_NAME})
-        self.detector = PeerDetector(OWN_NAME, self.names, BOUNDS, FailureDomains(self.domains))
+        self.failure_domains.update(failure_domains)
+        self.names = sorted(set(self.failure_domains) - {OWN_NAME})
+        self.detector = PeerDetector(
+            OWN_NAME, self.names, BOUNDS, FailureDomains(self.failure_domains)
+        )
         self.detector.start(self.now)
         for lease, name in enumerate(self.names, 1):
             self.processes[name] = Incarnation(1, lease)
@@ -101,7 +103,7 @@
 
     def do_domain(self, name: str) -> None:
         """Sets the failure domain of this controller; has to precede `peers`."""
-        self.domains[OWN_NAME] = name
+        self.failure_domains[OWN_NAME] = name
 
     def do_heartbeats_from(self, *names: str) -> None:
         """From now on these peers send a heartbeat each second."""
