--- a/emberglade/failure_detection/__init__.py
+++ b/emberglade/failure_detection/__init__.py
@@ -4,9 +4,9 @@
 """
 
 from .bounds import DetectionBounds, describe_detection, detection_bounds, failure_domains
+from .domains import FailureDomains
 from .errors import DetectionError
 from .failover import LeaderPlanner, ShardPlanner
-from .failure_domains import FailureDomains
 from .monitor import PeerMonitor
 from .view import LivenessView
 
--- a/emberglade/failure_detection/bounds.py
+++ b/emberglade/failure_detection/bounds.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from .domains import FailureDomains
 from .errors import DetectionError
-from .failure_domains import FailureDomains
 
 if TYPE_CHECKING:
     from ..config import Operators, Settings
--- a/emberglade/failure_detection/confirmation.py
+++ b/emberglade/failure_detection/confirmation.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from .failure_domains import FailureDomains
+from .domains import FailureDomains
 from .peer import Peer
 
 
--- a/emberglade/failure_detection/detector.py
+++ b/emberglade/failure_detection/detector.py
@@ -7,7 +7,7 @@
 
 from .bounds import DetectionBounds
 from .confirmation import death_evidence
-from .failure_domains import FailureDomains
+from .domains import FailureDomains
 from .local_health import LocalHealth
 from .messages import (
     Heartbeat,
--- a/emberglade/failure_detection/monitor.py
+++ b/emberglade/failure_detection/monitor.py
@@ -13,7 +13,7 @@
 from . import wire
 from .bounds import DetectionBounds
 from .detector import PeerDetector
-from .failure_domains import FailureDomains
+from .domains import FailureDomains
 from .heartbeats import HeartbeatReceiver, HeartbeatSource
 from .messages import PeerState
 from .probes import PeerProbing
--- a/emberglade/failure_detection/relays.py
+++ b/emberglade/failure_detection/relays.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from .failure_domains import FailureDomains
+from .domains import FailureDomains
 
 MAX_RELAYS = 4
 
